--- a/edge/src/test/java/thistlefall/node/ConnectionsMeasure.java
+++ b/edge/src/test/java/thistlefall/node/ConnectionsMeasure.java
@@ -84,8 +84,8 @@
     }
 
     @Override
-    public void close() throws InterruptedException {
-      process.destroyForcibly().waitFor();
+    public void close() {
+      process.destroyForcibly().onExit().join();
     }
   }
 
--- a/lab/src/main/java/thistlefall/lab/cli/Trace.java
+++ b/lab/src/main/java/thistlefall/lab/cli/Trace.java
@@ -8,12 +8,10 @@
 import java.util.Comparator;
 import java.util.List;
 import java.util.Locale;
-import java.util.Map;
 import java.util.TreeSet;
 import java.util.concurrent.Callable;
 import java.util.stream.Collectors;
 import java.util.stream.Stream;
-import java.util.stream.StreamSupport;
 import picocli.CommandLine.Command;
 import picocli.CommandLine.Parameters;
 import thistlefall.lab.scenario.HistoryFile;
@@ -77,8 +75,7 @@
 
   private static String text(JsonNode event) {
     return event.get("event").asText()
-        + StreamSupport.stream(
-                ((Iterable<Map.Entry<String, JsonNode>>) event::fields).spliterator(), false)
+        + event.properties().stream()
             .filter(field -> !List.of("atS", "event", "id").contains(field.getKey()))
             .map(field -> " " + field.getKey() + "=" + field.getValue().asText())
             .collect(Collectors.joining());
