--- a/edge/src/main/java/thistlefall/Gateway.java
+++ b/edge/src/main/java/thistlefall/Gateway.java
@@ -11,7 +11,8 @@
  * Proteus paper (see PAPER and DESIGN); each departure says at its place what it guards against.
  */
 public final class Gateway implements Ports.Events {
-  private static final long MS = 1_000_000L, SECOND = 1_000 * MS;
+  private static final long MS = 1_000_000L;
+  private static final long SECOND = 1_000 * MS;
   private static final double NANO = 1e-9;
 
   /** Housekeeping: fine against the aims, coarse against the CPU bill. */
@@ -21,7 +22,9 @@
    * How often fresh use is pushed, and for how long no call is answered by a counter that is
    * silent.
    */
-  private static final long PUSH = SECOND / 4, SILENT_AFTER = SECOND / 2;
+  private static final long PUSH = SECOND / 4;
+
+  private static final long SILENT_AFTER = SECOND / 2;
 
   /**
    * Customers come unevenly: a gateway's part of a quota while the counter answers, in even parts.
@@ -32,12 +35,18 @@
    * Calls to the counter a second, at first and at the least; most steps up and down with an
    * answer.
    */
-  private static final double CALLS_START = 2, CALLS_LEAST = 1, CALLS_UP = 0.2, CALLS_DOWN = 0.3;
+  private static final double CALLS_START = 2;
+
+  private static final double CALLS_LEAST = 1;
+  private static final double CALLS_UP = 0.2;
+  private static final double CALLS_DOWN = 0.3;
 
   /**
    * The wait at which the budget of calls stays as it is, in time-outs; the seconds it may save up.
    */
-  private static final double LINE = 0.22, SAVED_S = 0.25;
+  private static final double LINE = 0.22;
+
+  private static final double SAVED_S = 0.25;
 
   /**
    * The operator's limit on concurrency: requests in flight for each listed server, over all
@@ -46,7 +55,9 @@
   private static final double OPEN_PER_SERVER = 6;
 
   /** The estimator's memory of some 50 intervals, and the bound on its trace in a quiet spell. */
-  private static final double FORGET = 0.98, TRACE = 100;
+  private static final double FORGET = 0.98;
+
+  private static final double TRACE = 100;
 
   /**
    * Inverse latency is told in aims over latency, this many being 1, to be of one size with the
@@ -58,17 +69,22 @@
    * Actuation penalties (the level's loop is the slower), and the least part of each: no class
    * starves.
    */
-  private static final double Q_SHARE = 0.3, Q_LEVEL = 0.7, MIN_SHARE = 0.02, MIN_LEVEL = 0.25;
+  private static final double Q_SHARE = 0.3;
+
+  private static final double Q_LEVEL = 0.7;
+  private static final double MIN_SHARE = 0.02;
+  private static final double MIN_LEVEL = 0.25;
 
   /**
    * Weight of an answer in a server's averages; memory, in seconds, of these and of the others'
    * use.
    */
-  private static final double ALPHA = 0.12,
-      ALPHA_ERR = 0.2,
-      FORGIVE_S = 4,
-      OTHERS_S = 3,
-      TALLY_S = 5;
+  private static final double ALPHA = 0.12;
+
+  private static final double ALPHA_ERR = 0.2;
+  private static final double FORGIVE_S = 4;
+  private static final double OTHERS_S = 3;
+  private static final double TALLY_S = 5;
 
   /**
    * For how long a server no longer named is remembered, in seconds; what is known ages far sooner.
@@ -90,11 +106,12 @@
    * Further attempts per first one, how many may be saved up; the usual spans that a first one
    * needs.
    */
-  private static final double RETRY_RATIO = 0.2,
-      RETRY_MOST = 20,
-      MARGIN = 1.5,
-      PATIENCE = 6,
-      LATE = 3;
+  private static final double RETRY_RATIO = 0.2;
+
+  private static final double RETRY_MOST = 20;
+  private static final double MARGIN = 1.5;
+  private static final double PATIENCE = 6;
+  private static final double LATE = 3;
 
   /**
    * The values of a load report that tell how busy a server is; their life in seconds; how many
@@ -102,23 +119,31 @@
    */
   private static final Set<String> LOADS = Set.of("waiting", "active", "cpu");
 
-  private static final int REPORT_S = 1, RECENT = 6;
+  private static final int REPORT_S = 1;
+  private static final int RECENT = 6;
   private final Settings cfg;
   private final Actions out;
   private final SplittableRandom random;
   private final long born;
-  private long now, nextControl, tokensAt, sentWorkAt, restUntil;
+  private long now;
+  private long nextControl;
+  private long tokensAt;
+  private long sentWorkAt;
+  private long restUntil;
 
   /**
    * The least wait for the counter, which creeps up; since when none of its calls has been
    * answered.
    */
-  private long leastWait, unansweredSince = Long.MAX_VALUE;
+  private long leastWait;
+
+  private long unansweredSince = Long.MAX_VALUE;
 
   private final Map<String, Job> jobs = new HashMap<>();
   private final Map<Long, Customer> customers = new LinkedHashMap<>();
   private final Map<String, Backend> servers = new LinkedHashMap<>();
-  private List<Backend> listed = List.of(), allowed = List.of();
+  private List<Backend> listed = List.of();
+  private List<Backend> allowed = List.of();
 
   /** Servers that operators keep out, whatever the list says. */
   private final Set<String> leftOut = new HashSet<>();
@@ -126,18 +151,30 @@
   /**
    * Zones that operators keep out, or have back bit by bit; the same by verdict; those to be tried.
    */
-  private final Map<Integer, Course> zones = new TreeMap<>(), verdicts = new TreeMap<>();
+  private final Map<Integer, Course> zones = new TreeMap<>();
+
+  private final Map<Integer, Course> verdicts = new TreeMap<>();
 
   private final Set<Integer> trials = new TreeSet<>();
   private final Map<Integer, Tally> tallies = new TreeMap<>();
-  private final Map<Integer, Double> kindLatency = new HashMap<>(), zoneErrors = new HashMap<>();
+  private final Map<Integer, Double> kindLatency = new HashMap<>();
+  private final Map<Integer, Double> zoneErrors = new HashMap<>();
   private final Backend[] lastHeard = new Backend[RECENT];
   private final Lane[] lanes;
   private final Control control;
-  private int inFlight, heardCount;
-  private double retryTokens = RETRY_MOST, virtualTime, sentWork, sentToOne, usualStake, usualLoad;
-  private boolean silent, denied, succeeded;
-  private double callRate = CALLS_START, callTokens;
+  private int inFlight;
+  private int heardCount;
+  private double retryTokens = RETRY_MOST;
+  private double virtualTime;
+  private double sentWork;
+  private double sentToOne;
+  private double usualStake;
+  private double usualLoad;
+  private boolean silent;
+  private boolean denied;
+  private boolean succeeded;
+  private double callRate = CALLS_START;
+  private double callTokens;
 
   /** Customers with something to push. */
   private final Set<Customer> active = new LinkedHashSet<>();
@@ -313,8 +350,13 @@
 
   /** What attempts in a zone came to, fading, and ever. */
   private final class Tally {
-    private double ended, missed, excess;
-    private long at = now, attempts, misses, answered = born;
+    private double ended;
+    private double missed;
+    private double excess;
+    private long at = now;
+    private long attempts;
+    private long misses;
+    private long answered = born;
 
     void fade() {
       double kept = Math.exp(-(now - at) * NANO);
@@ -710,20 +752,34 @@
 
   /** What this gateway knows of a customer's use. */
   private final class Customer {
-    private final long key, span, phase;
+    private final long key;
+    private final long span;
+    private final long phase;
     private final Plan plan;
-    private final int gateways, place;
+    private final int gateways;
+    private final int place;
     private final boolean shared;
 
     /** The count of the present window: its number, this gateway's part and the others'. */
-    private long window = Long.MIN_VALUE, refilled, heard, pushAt, usedAt;
+    private long window = Long.MIN_VALUE;
 
-    private double mine, others;
+    private long refilled;
+    private long heard;
+    private long pushAt;
+    private long usedAt;
+
+    private double mine;
+    private double others;
 
     /**
      * The quota's store as estimated here; the others' use: its rate, and what was foreseen of it.
      */
-    private double store, othersRate, foreseen, unpushed, ceiling;
+    private double store;
+
+    private double othersRate;
+    private double foreseen;
+    private double unpushed;
+    private double ceiling;
 
     /** What this gateway may let in without news of the others: its part, one request at least. */
     private double part;
@@ -979,10 +1035,16 @@
     private final Lane lane;
     private long arrived = now;
     private final double vAtArrival = virtualTime;
-    private boolean taken, asking, inQuota, open, over, passedOn;
+    private boolean taken;
+    private boolean asking;
+    private boolean inQuota;
+    private boolean open;
+    private boolean over;
+    private boolean passedOn;
     private int attempts;
     private Backend backend;
-    private long sentAt, mayHaveRunSince;
+    private long sentAt;
+    private long mayHaveRunSince;
     private Backend anchor;
 
     Job(Request request, Customer customer, Lane lane) {
@@ -1024,8 +1086,15 @@
   private final class Lane {
     private final RequestClass spec;
     private final ArrayDeque<Job> queue = new ArrayDeque<>();
-    private double share, finishTag, service, units = 1, price = 1, latencySum, waitSum;
-    private int arrivals, good;
+    private double share;
+    private double finishTag;
+    private double service;
+    private double units = 1;
+    private double price = 1;
+    private double latencySum;
+    private double waitSum;
+    private int arrivals;
+    private int good;
     private final List<Double> services = new ArrayList<>();
 
     Lane(RequestClass spec) {
@@ -1190,16 +1259,17 @@
   /** The share loop, the slower concurrency loop and the optimizer that feeds both. */
   private final class Control {
     private final int n = lanes.length;
-    private final Rls shareModel = new Rls(2 * n, 3 * n), levelModel = new Rls(1, 2);
+    private final Rls shareModel = new Rls(2 * n, 3 * n);
+    private final Rls levelModel = new Rls(1, 2);
     private double[] lastY;
-    private double lastInverse,
-        lastLevel,
-        lastChange,
-        scale = 1,
-        level = 1,
-        limit = 1,
-        able = 1,
-        warm;
+    private double lastInverse;
+    private double lastLevel;
+    private double lastChange;
+    private double scale = 1;
+    private double level = 1;
+    private double limit = 1;
+    private double able = 1;
+    private double warm;
     private boolean bound;
 
     /** Until fitted, shares follow worth. */
@@ -1243,7 +1313,8 @@
     void interval() {
       double total = Arrays.stream(lanes).mapToInt(lane -> lane.good).sum();
       scale += 0.2 * (Math.max(1, total) - scale);
-      double[] y = new double[2 * n], seen = new double[2 * n];
+      double[] y = new double[2 * n];
+      double[] seen = new double[2 * n];
       for (int i = 0; i < n; i++) {
         Lane lane = lanes[i];
         boolean live = lane.good > 0;
@@ -1291,12 +1362,14 @@
 
     /** The greedy optimizer of the paper's figure 4, for one gateway: the references. */
     private SimpleMatrix optimize(SimpleMatrix r, SimpleMatrix b0) {
-      double[] s = new double[n], current = new double[n];
+      double[] s = new double[n];
+      double[] current = new double[n];
       Arrays.fill(current, Double.NEGATIVE_INFINITY);
       double step = Math.max(MIN_SHARE, 1 / Math.max(1, scale));
       for (double given = 0; given < 1 - 1e-9; ) {
         int best = 0;
-        double bestGain = Double.NEGATIVE_INFINITY, bestGrant = step;
+        double bestGain = Double.NEGATIVE_INFINITY;
+        double bestGrant = step;
         for (int i = 0; i < n; i++) {
           double grant = step;
           while (utility(r, b0, s, i, grant) <= current[i] && given + grant <= 1) {
@@ -1367,7 +1440,8 @@
       double fit = levelModel.theta.cols(1, 2).get(0);
       SimpleMatrix b0 = column(levelModel.updates >= 3 && fit < 0 ? fit : -inverse / u);
       SimpleMatrix yref = column(aim / Math.max(aim / 4, aim - wait));
-      SimpleMatrix r = column(inverse - b0.get(0) * u), last = column(u);
+      SimpleMatrix r = column(inverse - b0.get(0) * u);
+      SimpleMatrix last = column(u);
       // A level that did not bind tells nothing; it drifts back to the operator's limit.
       u = bound ? controlLaw(b0, column(1), Q_LEVEL, yref, r, last).get(0) : (u + 1) / 2;
       lastInverse = inverse;
@@ -1381,10 +1455,19 @@
   private final class Backend {
     private final String id;
     private Server entry;
-    private boolean named, ready, shunned, missed, silent;
+    private boolean named;
+    private boolean ready;
+    private boolean shunned;
+    private boolean missed;
+    private boolean silent;
     private final LinkedHashSet<Job> outstanding = new LinkedHashSet<>();
-    private double latency, errors, load;
-    private long heard = now, coldAt = now, reported = born, coldSince;
+    private double latency;
+    private double errors;
+    private double load;
+    private long heard = now;
+    private long coldAt = now;
+    private long reported = born;
+    private long coldSince;
 
     Backend(Server entry) {
       id = entry.id();
--- a/edge/src/main/java/thistlefall/node/ClientServer.java
+++ b/edge/src/main/java/thistlefall/node/ClientServer.java
@@ -62,9 +62,9 @@
  */
 final class ClientServer {
   private static final long MAX_CUSTOMER = 1L << 33;
-  private static final long LOOK_MS = 200,
-      LINGER_MS = 1_000,
-      GRACE_MS = Clients.DRAIN_GRACE / 1_000_000;
+  private static final long LOOK_MS = 200;
+  private static final long LINGER_MS = 1_000;
+  private static final long GRACE_MS = Clients.DRAIN_GRACE / 1_000_000;
 
   /**
    * When a client that ended its sending is asked whether it is still there, in milliseconds after
@@ -78,7 +78,9 @@
    * see a client leave, it has to be read on. Up to the first they count for nothing, up to the
    * second as held, and only while there is much room.
    */
-  private static final int LITTLE_BEHIND = 4 * 1024, MOST_BEHIND = 128 * 1024;
+  private static final int LITTLE_BEHIND = 4 * 1024;
+
+  private static final int MOST_BEHIND = 128 * 1024;
 
   /** What a head or a piece of a body takes beside its bytes. */
   private static final int PART = 128;
@@ -89,7 +91,9 @@
    * answered by a reset. Both spans together, in nanoseconds, stay under the tenth of a second in
    * which an attempt may begin for a client that has left.
    */
-  private static final long SEEN = 50_000_000, ASKED_AGAIN = 20_000_000;
+  private static final long SEEN = 50_000_000;
+
+  private static final long ASKED_AGAIN = 20_000_000;
 
   /** Lines for one request of which the client is not read. */
   private static final int MOST_ASKED = 4;
@@ -416,7 +420,11 @@
     private Channel channel;
     private Clients.Entry entry;
     private OpenRequest current;
-    private boolean keepAlive, old, headOnly, closing, inputEnded;
+    private boolean keepAlive;
+    private boolean old;
+    private boolean headOnly;
+    private boolean closing;
+    private boolean inputEnded;
 
     /** Decoded, but behind a request that is not answered yet. */
     private final ArrayDeque<HttpObject> waiting = new ArrayDeque<>();
@@ -882,8 +890,10 @@
       private long span;
       private Relay relay;
       private Channel server;
-      private Runnable written, gone;
-      private boolean complete, letGo;
+      private Runnable written;
+      private Runnable gone;
+      private boolean complete;
+      private boolean letGo;
 
       Rest(long length) {
         this.length = length;
--- a/edge/src/main/java/thistlefall/node/Config.java
+++ b/edge/src/main/java/thistlefall/node/Config.java
@@ -202,8 +202,8 @@
     if (!List.of("alone", "counter").contains(verdicts)) {
       throw new Invalid("zones.verdicts is not alone or counter: " + node.path("verdicts"));
     }
-    int most = whole(node, "zones", "most-out-percent", 1, 90),
-        after = whole(node, "zones", "alone-after-ms", 500, 60_000);
+    int most = whole(node, "zones", "most-out-percent", 1, 90);
+    int after = whole(node, "zones", "alone-after-ms", 500, 60_000);
     return new ZoneSettings(
         ZoneSettings.Verdicts.valueOf(verdicts.toUpperCase(Locale.ROOT)),
         most == 0 ? ZoneSettings.MOST_OUT : most / 100.0,
--- a/edge/src/main/java/thistlefall/node/CounterClient.java
+++ b/edge/src/main/java/thistlefall/node/CounterClient.java
@@ -31,7 +31,9 @@
  * by the same one, so that the calls of a name are counted, and told to the module, in their order.
  */
 final class CounterClient {
-  private static final int LINES = 4, MOST_PENDING = 256, MOST_ANSWER = 1024;
+  private static final int LINES = 4;
+  private static final int MOST_PENDING = 256;
+  private static final int MOST_ANSWER = 1024;
   private static final long MS = 1_000_000L;
   private static final Pattern TOTAL = Pattern.compile("-?\\d+(\\.\\d+)?([eE][-+]?\\d{1,2})?");
 
@@ -94,9 +96,11 @@
    * line.
    */
   private final class Call {
-    private final long name, at = System.nanoTime();
+    private final long name;
+    private final long at = System.nanoTime();
     private final String uri;
-    private boolean written, over;
+    private boolean written;
+    private boolean over;
 
     Call(long name, double amount, long lifetime) {
       this.name = name;
@@ -125,9 +129,11 @@
   /** A connection with its calls in the order in which they are answered. */
   private final class Line extends SimpleChannelInboundHandler<FullHttpResponse> {
     private final int place;
-    private final ArrayDeque<Call> waiting = new ArrayDeque<>(), pending = new ArrayDeque<>();
+    private final ArrayDeque<Call> waiting = new ArrayDeque<>();
+    private final ArrayDeque<Call> pending = new ArrayDeque<>();
     private Channel channel;
-    private boolean flushing, dead;
+    private boolean flushing;
+    private boolean dead;
 
     Line(int place) {
       this.place = place;
--- a/edge/src/main/java/thistlefall/node/Dispositions.java
+++ b/edge/src/main/java/thistlefall/node/Dispositions.java
@@ -11,7 +11,9 @@
  */
 final class Dispositions {
   /** Signals' numbers on Linux (signal(7)). */
-  static final int HUP = 1, TERM = 15;
+  static final int HUP = 1;
+
+  static final int TERM = 15;
 
   private static final Path STATUS = Path.of("/proc/self/status");
   private static final String IGNORED = "SigIgn:";
--- a/edge/src/main/java/thistlefall/node/EdgeNode.java
+++ b/edge/src/main/java/thistlefall/node/EdgeNode.java
@@ -84,7 +84,8 @@
   final Slots slots;
   final Relay.All relays;
   final Standstills standstills = new Standstills(System.nanoTime());
-  private final LeftOut leftOut, zonesOut;
+  private final LeftOut leftOut;
+  private final LeftOut zonesOut;
   private final HandoverFile handover;
   private Config config;
   private volatile Budget budget;
@@ -93,7 +94,8 @@
   /** Null where zones are left by hand alone. */
   private ZoneVerdicts verdicts;
 
-  private volatile boolean admitted, taking;
+  private volatile boolean admitted;
+  private volatile boolean taking;
   private boolean inside;
 
   /** {@code folder} keeps what outlives the process; null if nothing does. */
--- a/edge/src/main/java/thistlefall/node/Figures.java
+++ b/edge/src/main/java/thistlefall/node/Figures.java
@@ -24,18 +24,20 @@
   private static final String[] ZONES = {"zones.away", "zones.calls", "zones.trials"};
   private final List<String> classes;
   private final AtomicLongArray ended;
-  private final AtomicLong tries = new AtomicLong(),
-      counterCalls = new AtomicLong(),
-      counterUnanswered = new AtomicLong();
-  private final AtomicInteger inProgress = new AtomicInteger(),
-      known = new AtomicInteger(),
-      skipped = new AtomicInteger();
+  private final AtomicLong tries = new AtomicLong();
+  private final AtomicLong counterCalls = new AtomicLong();
+  private final AtomicLong counterUnanswered = new AtomicLong();
+  private final AtomicInteger inProgress = new AtomicInteger();
+  private final AtomicInteger known = new AtomicInteger();
+  private final AtomicInteger skipped = new AtomicInteger();
 
   private final Counts connections;
   private volatile long discoveryAt = System.nanoTime();
 
   /** Written on the loop alone. */
-  private volatile long standstill, wordWait;
+  private volatile long standstill;
+
+  private volatile long wordWait;
 
   /** Zones away, calls about zones, trials; null where zones are left by hand alone. */
   private volatile long[] zones;
--- a/edge/src/main/java/thistlefall/node/Main.java
+++ b/edge/src/main/java/thistlefall/node/Main.java
@@ -11,7 +11,9 @@
  */
 public final class Main {
   /** How often a new configuration that cannot be used is looked at again, and how soon. */
-  private static final int LOOKS = 20, LOOK_MS = 100;
+  private static final int LOOKS = 20;
+
+  private static final int LOOK_MS = 100;
 
   private Main() {}
 
--- a/edge/src/main/java/thistlefall/node/OpsServer.java
+++ b/edge/src/main/java/thistlefall/node/OpsServer.java
@@ -27,10 +27,12 @@
  * commands go to that loop.
  */
 final class OpsServer implements AutoCloseable {
-  private static final int MOST_LINE = 512, CALL_MS = 5_000;
+  private static final int MOST_LINE = 512;
+  private static final int CALL_MS = 5_000;
   private static final Set<String> NAMED = Set.of("set-down", "set-up", "zone-out", "zone-in");
   private static final Pattern SECONDS = Pattern.compile("[1-9][0-9]{0,3}");
-  private static final String YES = "ACK\n", NO = "NAK ";
+  private static final String YES = "ACK\n";
+  private static final String NO = "NAK ";
 
   private final EdgeNode node;
   private final EventLoopGroup group =
--- a/edge/src/main/java/thistlefall/node/Relay.java
+++ b/edge/src/main/java/thistlefall/node/Relay.java
@@ -23,7 +23,8 @@
   private final Channel from;
   private final Channel to;
   private int onWay;
-  private boolean reading, over;
+  private boolean reading;
+  private boolean over;
   private long progress = System.nanoTime();
 
   private Relay(All all, Channel from, Channel to) {
@@ -75,10 +76,15 @@
    */
   static final class All {
     /** Of the 32 MB that buffers may take; the rest is for what is held whole and for reads. */
-    private static final int MOST_ON_WAY = 8 << 20, LEAST_SHARE = 8 << 10, MOST_SHARE = 128 << 10;
+    private static final int MOST_ON_WAY = 8 << 20;
+
+    private static final int LEAST_SHARE = 8 << 10;
+    private static final int MOST_SHARE = 128 << 10;
 
     /** A peer that neither takes nor gives anything for so long is given up. */
-    private static final long STALL = TimeUnit.SECONDS.toNanos(8), LOOK_MS = 500;
+    private static final long STALL = TimeUnit.SECONDS.toNanos(8);
+
+    private static final long LOOK_MS = 500;
 
     private final Set<Relay> running = new LinkedHashSet<>();
 
--- a/edge/src/main/java/thistlefall/node/ServerPool.java
+++ b/edge/src/main/java/thistlefall/node/ServerPool.java
@@ -62,7 +62,8 @@
   /** No read takes more: what is decoded of one read is passed on before the next. */
   private static final int MOST_READ = 32 * 1024;
 
-  private static final long MS = 1_000_000L, SWEEP = 1_000 * MS;
+  private static final long MS = 1_000_000L;
+  private static final long SWEEP = 1_000 * MS;
 
   /** What a request may need from its first byte here to its last byte there. */
   private static final long ON_THE_WAY = 20 * MS;
@@ -297,7 +298,8 @@
     /** Whether a long answer is passed on: for the module the attempt was over when that began. */
     private boolean passed;
 
-    private boolean written, over;
+    private boolean written;
+    private boolean over;
 
     /**
      * What it may go by, while its client is asked whether it is still there; and how often that
@@ -459,7 +461,9 @@
 
     private ByteBuf held;
     private HeldBytes.Body holding;
-    private boolean interim, whole, stray;
+    private boolean interim;
+    private boolean whole;
+    private boolean stray;
 
     /** Where a long answer goes on to, and when its first piece did. */
     private Relay relay;
--- a/edge/src/main/java/thistlefall/node/Slots.java
+++ b/edge/src/main/java/thistlefall/node/Slots.java
@@ -20,7 +20,9 @@
   private final int mine;
 
   /** Kept so that the locks are. */
-  private FileLock living, taking;
+  private FileLock living;
+
+  private FileLock taking;
 
   /** Takes a slot; {@code folder} is null where there is nothing to share. */
   Slots(Path folder) {
--- a/edge/src/main/java/thistlefall/node/Standstills.java
+++ b/edge/src/main/java/thistlefall/node/Standstills.java
@@ -16,7 +16,8 @@
    */
   static final long SETTLE = TimeUnit.MILLISECONDS.toNanos(20);
 
-  private long ticked, settled;
+  private long ticked;
+  private long settled;
 
   /** The loop ran now. */
   Standstills(long now) {
--- a/edge/src/main/java/thistlefall/node/WarmUp.java
+++ b/edge/src/main/java/thistlefall/node/WarmUp.java
@@ -22,7 +22,9 @@
  */
 final class WarmUp {
   /** Code is compiled after some 200 runs, and not all of it is run for each request. */
-  private static final int REQUESTS = 2_000, ROUND = 20;
+  private static final int REQUESTS = 2_000;
+
+  private static final int ROUND = 20;
 
   private static final String BODY = "x".repeat(512);
 
@@ -34,7 +36,8 @@
   private final List<EmbeddedChannel> servers = new ArrayList<>();
   private EmbeddedChannel client;
   private boolean open;
-  private int sent, served;
+  private int sent;
+  private int served;
 
   private WarmUp(Config config, EdgeNode node) {
     this.config = config;
--- a/edge/src/main/java/thistlefall/node/connections/Budget.java
+++ b/edge/src/main/java/thistlefall/node/connections/Budget.java
@@ -38,16 +38,20 @@
    * Four lines, and as many again while a new address is followed; all watches that may be open at
    * once.
    */
-  static final int COUNTER = 8, DISCOVERY = Watches.MOST;
+  static final int COUNTER = 8;
 
-  private static final int LEAST_CLIENTS = 8,
-      LEAST_LANE = 2,
-      LEAST_SERVERS = 4,
-      LEAST_OPERATORS = 4,
-      MOST_OPERATORS = 32;
+  static final int DISCOVERY = Watches.MOST;
+
+  private static final int LEAST_CLIENTS = 8;
+  private static final int LEAST_LANE = 2;
+  private static final int LEAST_SERVERS = 4;
+  private static final int LEAST_OPERATORS = 4;
+  private static final int MOST_OPERATORS = 32;
 
   /** Of what is left: clients hold a third of all descriptors for requests, and others may come. */
-  private static final double CLIENTS = 0.6, LANE = 0.1;
+  private static final double CLIENTS = 0.6;
+
+  private static final double LANE = 0.1;
 
   /** So many times an even part of the connections may go to one archive server. */
   private static final int UNEVEN = 4;
--- a/edge/src/main/java/thistlefall/node/connections/Clients.java
+++ b/edge/src/main/java/thistlefall/node/connections/Clients.java
@@ -37,10 +37,15 @@
   /**
    * A TLS handshake has this from the connect on; the head then has until {@link #HEAD_BEHIND_TLS}.
    */
-  static final long HANDSHAKE = 1_500 * MS, HEAD_BEHIND_TLS = 2_800 * MS;
+  static final long HANDSHAKE = 1_500 * MS;
+
+  static final long HEAD_BEHIND_TLS = 2_800 * MS;
 
   /** A body may pause for so long, and comes with so many bytes a millisecond or more. */
-  private static final long PAUSE = 1_500 * MS, LUMP = 600 * MS, LEAST_RATE = 48;
+  private static final long PAUSE = 1_500 * MS;
+
+  private static final long LUMP = 600 * MS;
+  private static final long LEAST_RATE = 48;
 
   /** A peer that takes nothing of what is written to it for so long is given up. */
   static final long STALL = 8_000 * MS;
@@ -114,9 +119,14 @@
   /** Answered for the last time: they only wait for the peer's close, the longest first. */
   private final Set<Entry> lingering = new LinkedHashSet<>();
 
-  private int most, lane, learned = Integer.MAX_VALUE, idle;
-  private long idleLimit, learnedAt;
-  private boolean draining, stepping;
+  private int most;
+  private int lane;
+  private int learned = Integer.MAX_VALUE;
+  private int idle;
+  private long idleLimit;
+  private long learnedAt;
+  private boolean draining;
+  private boolean stepping;
 
   /** An empty table. */
   public Clients(Host host, Counts counts) {
@@ -334,16 +344,22 @@
   public final class Entry {
     private final Peer peer;
     private final Carrier carrier;
-    private final boolean tls, away;
+    private final boolean tls;
+    private final boolean away;
     private final long born;
     private State state;
 
     /** When the wait for the present request began, and when something of it last came. */
-    private long since, heard, received;
+    private long since;
+
+    private long heard;
+    private long received;
 
     private int unwritten;
     private long wroteAt;
-    private boolean leaving, answered, over;
+    private boolean leaving;
+    private boolean answered;
+    private boolean over;
     private Cause why;
 
     private Entry(Peer peer, Carrier carrier, boolean tls, boolean away, long now) {
--- a/edge/src/main/java/thistlefall/node/connections/Counts.java
+++ b/edge/src/main/java/thistlefall/node/connections/Counts.java
@@ -27,19 +27,19 @@
     CROWDED
   }
 
-  final AtomicLong open = new AtomicLong(),
-      idle = new AtomicLong(),
-      handshaking = new AtomicLong(),
-      handshakesFailed = new AtomicLong(),
-      refused = new AtomicLong(),
-      halfClosed = new AtomicLong(),
-      exhausted = new AtomicLong(),
-      serversOpen = new AtomicLong(),
-      opened = new AtomicLong(),
-      notOpened = new AtomicLong(),
-      reused = new AtomicLong(),
-      heldBytes = new AtomicLong(),
-      bodiesRefused = new AtomicLong();
+  final AtomicLong open = new AtomicLong();
+  final AtomicLong idle = new AtomicLong();
+  final AtomicLong handshaking = new AtomicLong();
+  final AtomicLong handshakesFailed = new AtomicLong();
+  final AtomicLong refused = new AtomicLong();
+  final AtomicLong halfClosed = new AtomicLong();
+  final AtomicLong exhausted = new AtomicLong();
+  final AtomicLong serversOpen = new AtomicLong();
+  final AtomicLong opened = new AtomicLong();
+  final AtomicLong notOpened = new AtomicLong();
+  final AtomicLong reused = new AtomicLong();
+  final AtomicLong heldBytes = new AtomicLong();
+  final AtomicLong bodiesRefused = new AtomicLong();
   private final AtomicLongArray ended = new AtomicLongArray(Cause.values().length);
 
   void ended(Cause why) {
--- a/edge/src/main/java/thistlefall/node/connections/Servers.java
+++ b/edge/src/main/java/thistlefall/node/connections/Servers.java
@@ -25,7 +25,9 @@
   /**
    * Back-off after a connection that failed, doubled by each further one; half of it is by chance.
    */
-  private static final long FIRST_BACKOFF = 20 * MS, MOST_BACKOFF = 1_000 * MS;
+  private static final long FIRST_BACKOFF = 20 * MS;
+
+  private static final long MOST_BACKOFF = 1_000 * MS;
 
   /** Attempts that wait at one archive server for each connection in use or being made. */
   private static final int MOST_WAITING = 4;
@@ -88,10 +90,15 @@
   private final Set<Link> resting = new LinkedHashSet<>();
 
   private final long keep;
-  private int most = Integer.MAX_VALUE, perTarget = Integer.MAX_VALUE, open;
+  private int most = Integer.MAX_VALUE;
+  private int perTarget = Integer.MAX_VALUE;
+  private int open;
 
   /** What a connect takes, and a first answer beyond what a later one does, in nanoseconds. */
-  private double connectSpan = MS, firstSpan, laterSpan;
+  private double connectSpan = MS;
+
+  private double firstSpan;
+  private double laterSpan;
 
   /**
    * {@code keepAlive} is the span after which an archive server itself closes an idle connection.
@@ -167,11 +174,18 @@
 
     private final Set<Link> busy = new LinkedHashSet<>();
     private final ArrayDeque<Wanting> waiting = new ArrayDeque<>();
-    private int dialing, failures, cap = Integer.MAX_VALUE;
-    private long dialAt = Long.MIN_VALUE, capAt, heardAt = Long.MIN_VALUE;
+    private int dialing;
+    private int failures;
+    private int cap = Integer.MAX_VALUE;
+    private long dialAt = Long.MIN_VALUE;
+    private long capAt;
+    private long heardAt = Long.MIN_VALUE;
 
     /** An attempt here timed out, and nothing was heard since it was sent. */
-    private boolean distrusted, retired, asked;
+    private boolean distrusted;
+
+    private boolean retired;
+    private boolean asked;
 
     private double usual;
 
--- a/edge/src/main/java/thistlefall/node/connections/Tls.java
+++ b/edge/src/main/java/thistlefall/node/connections/Tls.java
@@ -20,7 +20,8 @@
  */
 public final class Tls implements AutoCloseable {
   private static final int SESSIONS = 4_096;
-  private static final long SESSION_S = 3_600, CLOSE_NOTIFY_MS = 1_000;
+  private static final long SESSION_S = 3_600;
+  private static final long CLOSE_NOTIFY_MS = 1_000;
 
   /**
    * What the configuration's {@code tls} object sets.
--- a/edge/src/main/java/thistlefall/node/discovery/JsonObjects.java
+++ b/edge/src/main/java/thistlefall/node/discovery/JsonObjects.java
@@ -15,7 +15,9 @@
   private final Runnable emptyLine;
   private final ByteArrayOutputStream held = new ByteArrayOutputStream();
   private int depth;
-  private boolean text, escaped, something;
+  private boolean text;
+  private boolean escaped;
+  private boolean something;
 
   /**
    * {@code most} is how many bytes an object may have; an empty line is told as {@code emptyLine}.
--- a/edge/src/main/java/thistlefall/node/discovery/Watches.java
+++ b/edge/src/main/java/thistlefall/node/discovery/Watches.java
@@ -27,7 +27,9 @@
    * Wait after a watch that ended, doubled by each further one; a part of it by chance, or a fleet
    * asks at once.
    */
-  static final long FIRST_BACKOFF = 100 * MS, MOST_BACKOFF = ANSWER;
+  static final long FIRST_BACKOFF = 100 * MS;
+
+  static final long MOST_BACKOFF = ANSWER;
 
   /** How often {@link #look} is to be called. */
   public static final long LOOK = 50 * MS;
@@ -53,7 +55,8 @@
   /** One call for changes: open until it is closed by either side, which is its end. */
   public static final class Watch {
     private final int place;
-    private boolean open = true, spoke;
+    private boolean open = true;
+    private boolean spoke;
     private long heardAt;
 
     private Watch(int place) {
@@ -70,7 +73,9 @@
   private final SplittableRandom random;
   private final List<Watch> open = new ArrayList<>();
   private int place;
-  private long revision, backoff = FIRST_BACKOFF, askAt;
+  private long revision;
+  private long backoff = FIRST_BACKOFF;
+  private long askAt;
 
   /** Since when nothing but older lists came. */
   private long outdatedSince = Long.MAX_VALUE;
--- a/edge/src/main/java/thistlefall/node/zones/ZoneAgreement.java
+++ b/edge/src/main/java/thistlefall/node/zones/ZoneAgreement.java
@@ -59,16 +59,24 @@
   /**
    * A node asks the carrier at most so often, and all nodes together 250 times a second at most.
    */
-  private static final long ASK = 250_000_000L, ASK_PER_NODE = 4_000_000L;
+  private static final long ASK = 250_000_000L;
+
+  private static final long ASK_PER_NODE = 4_000_000L;
 
   /** Three misses, or two where many nodes must agree. */
-  private static final double EXCESS = 2.8, EXCESS_OF_MANY = 1.8, ALL_EXCESS = 1.5;
+  private static final double EXCESS = 2.8;
+
+  private static final double EXCESS_OF_MANY = 1.8;
+  private static final double ALL_EXCESS = 1.5;
 
   /**
    * What must have been answered of late in the best other zone, the most of it that missed, and
    * the most that is in doubt there.
    */
-  private static final double ELSEWHERE_GOOD = 2, ELSEWHERE_PART = 0.2, ELSEWHERE_EXCESS = 1;
+  private static final double ELSEWHERE_GOOD = 2;
+
+  private static final double ELSEWHERE_PART = 0.2;
+  private static final double ELSEWHERE_EXCESS = 1;
 
   /** From so many nodes on a majority makes up for what each is less sure of. */
   private static final int MANY = 24;
@@ -84,8 +92,11 @@
   private final Map<Integer, ZoneMachine> machines = new HashMap<>();
   private Map<Integer, ZoneEvidence> evidence = Map.of();
   private int unanswered;
-  private long calls, trials;
-  private boolean panic, told, voting = true;
+  private long calls;
+  private long trials;
+  private boolean panic;
+  private boolean told;
+  private boolean voting = true;
 
   /** Begins with all zones in; {@code seed} is its only source of chance. */
   public ZoneAgreement(Terms terms, Ballots ballots, long seed, long now, Actions out) {
--- a/edge/src/main/java/thistlefall/node/zones/ZoneMachine.java
+++ b/edge/src/main/java/thistlefall/node/zones/ZoneMachine.java
@@ -36,14 +36,20 @@
    * How many nodes try a zone in a window; how many must find it well; trials that each has to
    * pass, and between two of them.
    */
-  private static final int TRIERS = 6, WELL = 3, PASSES = 1, PASSES_ALONE = 3;
+  private static final int TRIERS = 6;
+
+  private static final int WELL = 3;
+  private static final int PASSES = 1;
+  private static final int PASSES_ALONE = 3;
 
   private static final long TRY_EVERY = 200_000_000L;
 
   /**
    * After a trial that failed the next waits for so long, twice as long after each, up to the most.
    */
-  private static final long TRY_AGAIN = 500_000_000L, MOST_TRY_AGAIN = 2_000_000_000L;
+  private static final long TRY_AGAIN = 500_000_000L;
+
+  private static final long MOST_TRY_AGAIN = 2_000_000_000L;
 
   /** Misses since the return that send it back at once. */
   private static final int RELAPSE = 3;
@@ -55,12 +61,24 @@
   private final SplittableRandom chance;
   private State state = State.IN;
   private Why why = Why.NONE;
-  private int witnesses, relapses;
-  private long since, accusedAt = NEVER, accusedSince, askAt, heldUntil, returnedAt = NEVER;
+  private int witnesses;
+  private int relapses;
+  private long since;
+  private long accusedAt = NEVER;
+  private long accusedSince;
+  private long askAt;
+  private long heldUntil;
+  private long returnedAt = NEVER;
   private final long[] votedIn = {NEVER, NEVER};
 
   /** Attempts and misses when trials or the way back began. */
-  private long baseEnded, baseMissed, triedIn = NEVER, passedIn = NEVER, tryAt, ramp;
+  private long baseEnded;
+
+  private long baseMissed;
+  private long triedIn = NEVER;
+  private long passedIn = NEVER;
+  private long tryAt;
+  private long ramp;
 
   private int failed;
 
@@ -262,7 +280,8 @@
     if (baseEnded == NEVER) {
       base(of);
     }
-    long ended = of.attempts() - baseEnded, missed = of.misses() - baseMissed;
+    long ended = of.attempts() - baseEnded;
+    long missed = of.misses() - baseMissed;
     boolean again = accused && missed >= RELAPSE && 2 * missed >= ended;
     if (again) {
       askAt = now;
--- a/edge/src/test/java/thistlefall/ColdFleetTest.java
+++ b/edge/src/test/java/thistlefall/ColdFleetTest.java
@@ -22,9 +22,14 @@
  * sent.
  */
 class ColdFleetTest {
-  private static final long MS = 1_000_000L, SPAN = 2_000 * MS, RAMP = 10_000 * MS;
-  private static final int SERVERS = 20, CORES = 4, MOST_HELD = 40;
-  private static final double WORK_S = 0.2, COLD_FROM = 0.25;
+  private static final long MS = 1_000_000L;
+  private static final long SPAN = 2_000 * MS;
+  private static final long RAMP = 10_000 * MS;
+  private static final int SERVERS = 20;
+  private static final int CORES = 4;
+  private static final int MOST_HELD = 40;
+  private static final double WORK_S = 0.2;
+  private static final double COLD_FROM = 0.25;
 
   /** An attempt that ends at a moment. */
   private record End(long at, int gateway, String id, String server, long sentAt, Outcome how) {}
@@ -34,7 +39,8 @@
   private final Map<String, Integer> held = new HashMap<>();
   private final PriorityQueue<End> ends = new PriorityQueue<>(Comparator.comparingLong(End::at));
   private long began;
-  private double most, multiple;
+  private double most;
+  private double multiple;
 
   private double warmth(String server, long now, int cold) {
     boolean is = Integer.parseInt(server.substring(1)) < cold;
@@ -104,7 +110,10 @@
     long now = gateways.get(0).now;
     began = Long.MAX_VALUE;
     double rate = load * SERVERS * CORES / WORK_S;
-    long end = now + 12_000 * MS, restart = now + 3_000 * MS, tick = now, next = now;
+    long end = now + 12_000 * MS;
+    long restart = now + 3_000 * MS;
+    long tick = now;
+    long next = now;
     while (now < end) {
       long ending = ends.isEmpty() ? Long.MAX_VALUE : ends.peek().at;
       now = Math.min(Math.min(tick, next), ending);
--- a/edge/src/test/java/thistlefall/CounterFleetTest.java
+++ b/edge/src/test/java/thistlefall/CounterFleetTest.java
@@ -20,23 +20,24 @@
  * (docs/design/quota-counter.md).
  */
 class CounterFleetTest {
-  private static final long MS = 1_000_000L,
-      SECOND = 1_000 * MS,
-      STEP = MS,
-      WAY = MS,
-      TIMEOUT = 50 * MS;
-  private static final int GATEWAYS = 40,
-      SPREAD = 3,
-      CUSTOMERS = 74,
-      RATE = 70,
-      PARTS = 2,
-      LINE = 100,
-      SEEDS = 3;
+  private static final long MS = 1_000_000L;
+  private static final long SECOND = 1_000 * MS;
+  private static final long STEP = MS;
+  private static final long WAY = MS;
+  private static final long TIMEOUT = 50 * MS;
+  private static final int GATEWAYS = 40;
+  private static final int SPREAD = 3;
+  private static final int CUSTOMERS = 74;
+  private static final int RATE = 70;
+  private static final int PARTS = 2;
+  private static final int LINE = 100;
+  private static final int SEEDS = 3;
 
   /** Some 15 calls a second for each gateway. */
   private static final double CALLS = 600;
 
-  private static final int FROM_S = 8, UNTIL_S = 20;
+  private static final int FROM_S = 8;
+  private static final int UNTIL_S = 20;
 
   /**
    * 2 units a second and 10 at once; a customer asks for 0.95 a second, one in ten for four times
@@ -75,7 +76,11 @@
     long[] busy = new long[PARTS];
     Map<Long, Double> totals = new HashMap<>();
     PriorityQueue<Back> backs = new PriorityQueue<>(Comparator.comparingLong(Back::at));
-    int calls = 0, lost = 0, asked = 0, waited = 0, ids = 0;
+    int calls = 0;
+    int lost = 0;
+    int asked = 0;
+    int waited = 0;
+    int ids = 0;
     for (long now = start; now < start + UNTIL_S * SECOND; now += STEP) {
       boolean counts = now >= start + FROM_S * SECOND;
       for (Host host : hosts) {
--- a/edge/src/test/java/thistlefall/ListsTest.java
+++ b/edge/src/test/java/thistlefall/ListsTest.java
@@ -18,8 +18,11 @@
  * is named, not what ever was.
  */
 class ListsTest {
-  private static final long MS = 1_000_000L, MINUTE = 60_000 * MS, MB = 1 << 20;
-  private static final int MANY = 100_000, REQUESTS = 50;
+  private static final long MS = 1_000_000L;
+  private static final long MINUTE = 60_000 * MS;
+  private static final long MB = 1 << 20;
+  private static final int MANY = 100_000;
+  private static final int REQUESTS = 50;
 
   private final Host host = new Host(Host.FREE, 1, 0, false);
 
--- a/edge/src/test/java/thistlefall/RulesTest.java
+++ b/edge/src/test/java/thistlefall/RulesTest.java
@@ -475,7 +475,8 @@
     String bad = null;
     for (int i = 0; i < 60; i++) {
       host.now += 20 * MS;
-      String id = host.request(SAFE, 1), server = host.attempts(id).get(0).server();
+      String id = host.request(SAFE, 1);
+      String server = host.attempts(id).get(0).server();
       bad = bad == null && !server.equals("b") ? server : bad;
       host.end(id, server.equals(bad) ? Outcome.ERROR : Outcome.OK);
       if (server.equals(bad)) {
--- a/edge/src/test/java/thistlefall/ScaleMeasure.java
+++ b/edge/src/test/java/thistlefall/ScaleMeasure.java
@@ -32,16 +32,18 @@
 @Tag("measure")
 @Timeout(300)
 class ScaleMeasure {
-  private static final long MS = 1_000_000L, SECOND = 1_000 * MS, SEED = 1;
-  private static final int RUNS = 5,
-      ZONES = 10,
-      CELLS = 180,
-      CUSTOMERS = 74,
-      RATE = 70,
-      REQUESTS = 2_100,
-      LISTS = 5,
-      CHANGES = 500,
-      MANY = 20_000;
+  private static final long MS = 1_000_000L;
+  private static final long SECOND = 1_000 * MS;
+  private static final long SEED = 1;
+  private static final int RUNS = 5;
+  private static final int ZONES = 10;
+  private static final int CELLS = 180;
+  private static final int CUSTOMERS = 74;
+  private static final int RATE = 70;
+  private static final int REQUESTS = 2_100;
+  private static final int LISTS = 5;
+  private static final int CHANGES = 500;
+  private static final int MANY = 20_000;
 
   /** Edge nodes and archive servers: today's size to the target's. */
   private static final int[][] SIZES = {{100, 200}, {100, 1_000}, {300, 3_000}, {950, 8_900}};
@@ -67,7 +69,8 @@
     private final Gateway gateway;
     private final int nodes;
     private long now = SECOND;
-    private int ids, served;
+    private int ids;
+    private int served;
 
     Node(int nodes) {
       this.nodes = nodes;
@@ -163,7 +166,8 @@
 
   /** Nanoseconds and allocated bytes of one of {@code times} goes. */
   private static double[] cost(int times, Runnable all) {
-    long bytes = THREADS.getCurrentThreadAllocatedBytes(), begun = System.nanoTime();
+    long bytes = THREADS.getCurrentThreadAllocatedBytes();
+    long begun = System.nanoTime();
     all.run();
     long took = System.nanoTime() - begun;
     return new double[] {
@@ -267,7 +271,8 @@
 
   private static void row(String name, String unit, double scale, Measure measure) {
     for (int[] size : SIZES) {
-      double[] spans = new double[RUNS], bytes = new double[RUNS];
+      double[] spans = new double[RUNS];
+      double[] bytes = new double[RUNS];
       measure.of(size);
       for (int i = 0; i < RUNS; i++) {
         double[] one = measure.of(size);
--- a/edge/src/test/java/thistlefall/node/JsonTest.java
+++ b/edge/src/test/java/thistlefall/node/JsonTest.java
@@ -55,7 +55,8 @@
             "7",
             "[{\"a\":[1]}]")) {
       JsonNode tree = mapper.readTree(text);
-      List<JsonNode> items = new ArrayList<>(), expected = new ArrayList<>();
+      List<JsonNode> items = new ArrayList<>();
+      List<JsonNode> expected = new ArrayList<>();
       JsonNode rest = Json.read(text, "a", items::add);
       if (tree.isObject() && tree.path("a").isArray()) {
         tree.get("a").forEach(expected::add);
--- a/edge/src/test/java/thistlefall/node/connections/HeldBytesTest.java
+++ b/edge/src/test/java/thistlefall/node/connections/HeldBytesTest.java
@@ -11,7 +11,8 @@
 
 /** The bound on bodies that are held. */
 class HeldBytesTest {
-  private static final int MOST = 1_200_000, BODY = 65_536;
+  private static final int MOST = 1_200_000;
+  private static final int BODY = 65_536;
   private final Counts counts = new Counts();
   private final HeldBytes held = new HeldBytes(counts);
 
--- a/edge/src/test/java/thistlefall/node/connections/ServersTest.java
+++ b/edge/src/test/java/thistlefall/node/connections/ServersTest.java
@@ -20,9 +20,11 @@
 
 /** Connections to archive servers, on a clock and a network of the test's own. */
 class ServersTest {
-  private static final long MS = 1_000_000L, KEEP_ALIVE = 15_000 * MS;
+  private static final long MS = 1_000_000L;
+  private static final long KEEP_ALIVE = 15_000 * MS;
   private final Counts counts = new Counts();
-  private final List<Link> dialed = new ArrayList<>(), closed = new ArrayList<>();
+  private final List<Link> dialed = new ArrayList<>();
+  private final List<Link> closed = new ArrayList<>();
   private final List<Target> later = new ArrayList<>();
   private long now = 7_000_000 * MS;
   private final Servers servers =
--- a/edge/src/test/java/thistlefall/node/discovery/WatchesTest.java
+++ b/edge/src/test/java/thistlefall/node/discovery/WatchesTest.java
@@ -11,7 +11,8 @@
 
 /** When discovery is asked, on a clock of the test's own. */
 class WatchesTest implements Watches.Host {
-  private static final long MS = 1_000_000L, TOLD = 6_000 * MS;
+  private static final long MS = 1_000_000L;
+  private static final long TOLD = 6_000 * MS;
   private final List<Watches.Watch> open = new ArrayList<>();
   private int opened;
   private long now;
--- a/edge/src/test/java/thistlefall/node/zones/ZoneAgreementTest.java
+++ b/edge/src/test/java/thistlefall/node/zones/ZoneAgreementTest.java
@@ -23,7 +23,10 @@
 
 /** Whole fleets of agreements on a given clock, over many seeds; a failure tells its seed. */
 class ZoneAgreementTest {
-  private static final int SEEDS = 30, A = 0, B = 1, C = 2;
+  private static final int SEEDS = 30;
+  private static final int A = 0;
+  private static final int B = 1;
+  private static final int C = 2;
 
   private static void seeds(LongConsumer play) {
     for (long seed = 1; seed <= SEEDS; seed++) {
@@ -348,7 +351,8 @@
           ZoneFleet fleet = fleet(100, seed);
           fail(fleet, B);
           fleet.run(5 * SECOND);
-          long before = fleet.trials, sent = fleet.sent[B];
+          long before = fleet.trials;
+          long sent = fleet.sent[B];
           fleet.run(20 * SECOND);
           long trials = fleet.trials - before;
           assertTrue(
--- a/edge/src/test/java/thistlefall/node/zones/ZoneFleet.java
+++ b/edge/src/test/java/thistlefall/node/zones/ZoneFleet.java
@@ -13,7 +13,8 @@
  * Many agreements on one clock with a counter between them; what their attempts meet is made up.
  */
 final class ZoneFleet {
-  static final long MS = 1_000_000L, SECOND = 1_000 * MS;
+  static final long MS = 1_000_000L;
+  static final long SECOND = 1_000 * MS;
   static final List<String> ZONES = List.of("a", "b", "c");
   static final long RAMP = 6 * SECOND;
   static final double BEGIN = 0.24;
@@ -31,12 +32,12 @@
   final class Node implements ZoneAgreement.Actions {
     final int me;
     final SplittableRandom own = random.split();
-    final double[] ended = new double[ZONES.size()],
-        missed = new double[ZONES.size()],
-        excess = new double[ZONES.size()];
-    final long[] attempts = new long[ZONES.size()],
-        misses = new long[ZONES.size()],
-        answered = new long[ZONES.size()];
+    final double[] ended = new double[ZONES.size()];
+    final double[] missed = new double[ZONES.size()];
+    final double[] excess = new double[ZONES.size()];
+    final long[] attempts = new long[ZONES.size()];
+    final long[] misses = new long[ZONES.size()];
+    final long[] answered = new long[ZONES.size()];
     final Course[] courses = new Course[ZONES.size()];
     final boolean[] trying = new boolean[ZONES.size()];
     final List<String> log = new ArrayList<>();
@@ -47,7 +48,8 @@
     /** How often a vote of this node counts; a liar accuses whatever it meets. */
     double weight = 1;
 
-    boolean liar, dead;
+    boolean liar;
+    boolean dead;
     ZoneAgreement agreement;
 
     Node(int me) {
@@ -178,8 +180,11 @@
   /** Attempts of a node in a zone a second. */
   double rate = 8;
 
-  boolean down, told = true;
-  long now = 1_000 * SECOND, calls, trials;
+  boolean down;
+  boolean told = true;
+  long now = 1_000 * SECOND;
+  long calls;
+  long trials;
 
   ZoneFleet(int size, long seed, ZoneSettings.Verdicts verdicts) {
     this.size = size;
@@ -192,7 +197,8 @@
 
   /** Goes on for a span; {@code always} is asked at each step. */
   void run(long span, Runnable always) {
-    long step = ZoneVerdicts.TICK, until = now + span;
+    long step = ZoneVerdicts.TICK;
+    long until = now + span;
     while (now < until) {
       now += step;
       while (!later.isEmpty() && later.peek().at() <= now) {
--- a/lab/src/main/java/thistlefall/lab/cli/Run.java
+++ b/lab/src/main/java/thistlefall/lab/cli/Run.java
@@ -23,7 +23,8 @@
     mixinStandardHelpOptions = true,
     description = "Plays one scenario on real processes and judges it.")
 final class Run implements Callable<Integer> {
-  static final String RESULT = "result.json", PAGE = "index.html";
+  static final String RESULT = "result.json";
+  static final String PAGE = "index.html";
 
   @Parameters(paramLabel = "FILE", description = "the scenario")
   private Path file;
--- a/lab/src/main/java/thistlefall/lab/cli/Scale.java
+++ b/lab/src/main/java/thistlefall/lab/cli/Scale.java
@@ -73,7 +73,8 @@
         System.err.println(file + ": has no such side or sizes");
         return 2;
       }
-      String date = LocalDate.now().toString(), command = command();
+      String date = LocalDate.now().toString();
+      String command = command();
       Path folder = out != null ? out : Path.of("target", "scale", read.name());
       for (Planned one : plays) {
         long begun = System.nanoTime();
--- a/lab/src/main/java/thistlefall/lab/cli/ScaleReport.java
+++ b/lab/src/main/java/thistlefall/lab/cli/ScaleReport.java
@@ -23,7 +23,9 @@
     description = "Prints the tables of results in Markdown.")
 final class ScaleReport implements Callable<Integer> {
   /** Between these lines of a page the tables stand. */
-  static final String BEGIN = "<!-- tables of lab scale report -->", END = "<!-- end of tables -->";
+  static final String BEGIN = "<!-- tables of lab scale report -->";
+
+  static final String END = "<!-- end of tables -->";
 
   @Parameters(paramLabel = "DIR", arity = "1..*", description = "folders with a scale.json each")
   private List<Path> folders;
@@ -72,7 +74,8 @@
 
   /** A page with what stands between its marks anew. */
   static String within(String page, String tables) throws IOException {
-    int from = page.indexOf(BEGIN), to = page.indexOf(END);
+    int from = page.indexOf(BEGIN);
+    int to = page.indexOf(END);
     if (from < 0 || to < from) {
       throw new IOException("the page has no lines " + BEGIN + " and " + END);
     }
--- a/lab/src/main/java/thistlefall/lab/cli/Trace.java
+++ b/lab/src/main/java/thistlefall/lab/cli/Trace.java
@@ -42,8 +42,8 @@
         System.err.println(folder + ": no request " + id);
         return 2;
       }
-      double from = events.get(0).get("atS").asDouble(),
-          until = events.get(events.size() - 1).get("atS").asDouble();
+      double from = events.get(0).get("atS").asDouble();
+      double until = events.get(events.size() - 1).get("atS").asDouble();
       TreeSet<String> nodes =
           events.stream()
               .map(event -> event.path("node").asText())
--- a/lab/src/main/java/thistlefall/lab/fleet/Fleet.java
+++ b/lab/src/main/java/thistlefall/lab/fleet/Fleet.java
@@ -70,7 +70,9 @@
 
   private static final InetSocketAddress ANY = new InetSocketAddress("127.0.0.1", 0);
   private static final int LOOPS = 2;
-  private static final String SERVING = "serving on ", OPERATORS = "operators call at ", NEVER = "";
+  private static final String SERVING = "serving on ";
+  private static final String OPERATORS = "operators call at ";
+  private static final String NEVER = "";
 
   /** A node that does not listen by then never will. */
   private static final long START_S = 60;
--- a/lab/src/main/java/thistlefall/lab/fleet/Topology.java
+++ b/lab/src/main/java/thistlefall/lab/fleet/Topology.java
@@ -24,7 +24,8 @@
     Party front,
     Party counter,
     Party discovery) {
-  private static final String REGION = "region", OUTSIDE = "outside";
+  private static final String REGION = "region";
+  private static final String OUTSIDE = "outside";
 
   /**
    * So many nodes and servers spread evenly over zones of one region; the counter stands in the
--- a/lab/src/main/java/thistlefall/lab/judge/Judge.java
+++ b/lab/src/main/java/thistlefall/lab/judge/Judge.java
@@ -38,14 +38,19 @@
    */
   private static final double BLAMED = 2 / 3.0;
 
-  private static final int OK = 200, TOO_MANY = 429, UNAVAILABLE = 503;
+  private static final int OK = 200;
+  private static final int TOO_MANY = 429;
+  private static final int UNAVAILABLE = 503;
 
   /** A request as it stands. */
   private static final class Request {
     final Asked asked;
-    int answers, attempts, mayHaveRun;
+    int answers;
+    int attempts;
+    int mayHaveRun;
     long firstSent;
-    boolean over, excused;
+    boolean over;
+    boolean excused;
 
     Request(Asked asked) {
       this.asked = asked;
--- a/lab/src/main/java/thistlefall/lab/load/Arrivals.java
+++ b/lab/src/main/java/thistlefall/lab/load/Arrivals.java
@@ -87,7 +87,8 @@
   private void customer(int plan, SplittableRandom chance) {
     Plan of = terms.plans.get(plan);
     long customer = chance.nextLong(CUSTOMERS);
-    int first = chance.nextInt(terms.nodes), spread = Math.min(of.spread(), terms.nodes);
+    int first = chance.nextInt(terms.nodes);
+    int spread = Math.min(of.spread(), terms.nodes);
     double rate = of.rate() * of.use();
     double[] weights = weights(spread, chance);
     long shiftAt = exponential(terms.shift, chance);
--- a/lab/src/main/java/thistlefall/lab/load/Asking.java
+++ b/lab/src/main/java/thistlefall/lab/load/Asking.java
@@ -56,7 +56,9 @@
   public final class Ask {
     private final Arrival of;
     private final String id;
-    private final int number, spread, node;
+    private final int number;
+    private final int spread;
+    private final int node;
     private long deadline;
     private boolean asked;
 
--- a/lab/src/main/java/thistlefall/lab/load/Clients.java
+++ b/lab/src/main/java/thistlefall/lab/load/Clients.java
@@ -39,7 +39,10 @@
 public final class Clients {
   private static final long MS = 1_000_000L;
   private static final double SECOND = 1e9;
-  private static final int MOST_BODY = 1 << 16, CONNECT_MS = 1_000, HEALTH_MS = 100, OK = 200;
+  private static final int MOST_BODY = 1 << 16;
+  private static final int CONNECT_MS = 1_000;
+  private static final int HEALTH_MS = 100;
+  private static final int OK = 200;
   private static final String HEALTH = "/_health";
 
   private final EventLoop loop;
@@ -50,7 +53,8 @@
   private final CompletableFuture<Void> done = new CompletableFuture<>();
   private List<Arrival> arrivals;
   private long begun;
-  private int next, open;
+  private int next;
+  private int open;
 
   /**
    * Nothing is sent yet.
@@ -210,7 +214,8 @@
     private final Ask ask;
     private final int node;
     private Channel on;
-    private boolean reused, over;
+    private boolean reused;
+    private boolean over;
 
     Try(Ask ask) {
       this.ask = ask;
--- a/lab/src/main/java/thistlefall/lab/model/ClientsHost.java
+++ b/lab/src/main/java/thistlefall/lab/model/ClientsHost.java
@@ -13,7 +13,8 @@
 
 /** The front and the clients behind it, as {@code Clients} plays them on sockets. */
 final class ClientsHost {
-  private static final long CONNECT = 1_000_000_000L, HEALTH = 100_000_000L;
+  private static final long CONNECT = 1_000_000_000L;
+  private static final long HEALTH = 100_000_000L;
   private static final int OK = 200;
 
   private final Timeline timeline;
@@ -86,7 +87,8 @@
     private final NodeHost host;
     private final Pool pool;
     private int life;
-    private boolean reused, over;
+    private boolean reused;
+    private boolean over;
 
     Try(Ask ask) {
       this.ask = ask;
--- a/lab/src/main/java/thistlefall/lab/model/Meter.java
+++ b/lab/src/main/java/thistlefall/lab/model/Meter.java
@@ -46,7 +46,9 @@
   private final Map<Activity, Histogram> spans = new EnumMap<>(Activity.class);
   private final Map<Outcome, Long> calls = new EnumMap<>(Outcome.class);
   private final Histogram added = new Histogram(MOST, DIGITS);
-  private long opened, reused, outside;
+  private long opened;
+  private long reused;
+  private long outside;
   private boolean on;
 
   /** Counts from now on, or no more. */
--- a/lab/src/main/java/thistlefall/lab/model/Model.java
+++ b/lab/src/main/java/thistlefall/lab/model/Model.java
@@ -47,7 +47,8 @@
   public static final long BEGUN = START + SETTLE;
 
   private static final long END = 1_000_000_000L;
-  private static final double CORES = 4, SECOND = 1e9;
+  private static final double CORES = 4;
+  private static final double SECOND = 1e9;
   private static final long MB = 1 << 20;
 
   /** By then an answer that was given is heard. */
--- a/lab/src/main/java/thistlefall/lab/model/NodeHost.java
+++ b/lab/src/main/java/thistlefall/lab/model/NodeHost.java
@@ -59,12 +59,17 @@
       BiConsumer<Party, String> log) {}
 
   /** As the real node: the module sees deadlines early, and what it leaves unanswered is failed. */
-  private static final long ANSWER_MARGIN = 12_000_000L, LAST_MOMENT = 6_000_000L;
+  private static final long ANSWER_MARGIN = 12_000_000L;
+
+  private static final long LAST_MOMENT = 6_000_000L;
 
   /**
    * From a start on this machine until it listens, has heard discovery, and says yes to the front.
    */
-  private static final long LISTENS = 700_000_000L, HEARD = 800_000_000L, READY = 1_700_000_000L;
+  private static final long LISTENS = 700_000_000L;
+
+  private static final long HEARD = 800_000_000L;
+  private static final long READY = 1_700_000_000L;
 
   /** How often it is looked whether the process before has ended. */
   private static final long LOOK = 20_000_000L;
@@ -72,7 +77,9 @@
   /** The settings' connect time-out. */
   private static final long CONNECT = 250_000_000L;
 
-  private static final int OK = 200, FAILED = 502, REFUSED = 503;
+  private static final int OK = 200;
+  private static final int FAILED = 502;
+  private static final int REFUSED = 503;
 
   private final class Open {
     final Request request;
@@ -98,7 +105,8 @@
     /** How long its server had it. */
     long served;
 
-    boolean written, over;
+    boolean written;
+    boolean over;
 
     Attempt(Open of, ServerHost server) {
       this.of = of;
@@ -116,7 +124,10 @@
   private Gateway gateway;
   private ZoneVerdicts verdicts;
   private int life;
-  private boolean ready, ending, paused, deaf;
+  private boolean ready;
+  private boolean ending;
+  private boolean paused;
+  private boolean deaf;
 
   /** What happened while the process stood still, and what discovery has not said. */
   private final List<Runnable> backlog = new ArrayList<>();
--- a/lab/src/main/java/thistlefall/lab/model/Pool.java
+++ b/lab/src/main/java/thistlefall/lab/model/Pool.java
@@ -26,13 +26,15 @@
   private final Network network;
   private final Party from;
   private final Peer to;
-  private final long timeout, keep;
+  private final long timeout;
+  private final long keep;
   private final Meter meter;
 
   /** Since when each has been idle, the one used last at the end. */
   private long[] since = new long[1];
 
-  private int idle, idleLife;
+  private int idle;
+  private int idleLife;
 
   /** Idle connections end after {@code keep} nanoseconds. */
   Pool(
--- a/lab/src/main/java/thistlefall/lab/model/ServerHost.java
+++ b/lab/src/main/java/thistlefall/lab/model/ServerHost.java
@@ -31,7 +31,8 @@
   private ArchiveServer<Call> core;
   private int life;
   private boolean draining;
-  private long startedAt, wakeAt = Long.MAX_VALUE;
+  private long startedAt;
+  private long wakeAt = Long.MAX_VALUE;
 
   /** Warm, and started long ago. */
   ServerHost(Timeline timeline, Party party, ServerTerms terms, Consumer<Event> history) {
--- a/lab/src/main/java/thistlefall/lab/model/Timeline.java
+++ b/lab/src/main/java/thistlefall/lab/model/Timeline.java
@@ -12,7 +12,8 @@
 
   private final PriorityQueue<Entry> entries =
       new PriorityQueue<>(Comparator.comparingLong(Entry::at).thenComparingLong(Entry::order));
-  private long now, asked;
+  private long now;
+  private long asked;
 
   Timeline(long start) {
     now = start;
--- a/lab/src/main/java/thistlefall/lab/net/Datagrams.java
+++ b/lab/src/main/java/thistlefall/lab/net/Datagrams.java
@@ -18,7 +18,8 @@
   private final SplittableRandom chance;
   private final PriorityQueue<Way<T>> under =
       new PriorityQueue<>(Comparator.<Way<T>>comparingLong(Way::at).thenComparingLong(Way::order));
-  private long lineFree = Long.MIN_VALUE, sent;
+  private long lineFree = Long.MIN_VALUE;
+  private long sent;
 
   /** Draws losses, copies and jitter from {@code chance}. */
   public Datagrams(SplittableRandom chance) {
--- a/lab/src/main/java/thistlefall/lab/net/Door.java
+++ b/lab/src/main/java/thistlefall/lab/net/Door.java
@@ -29,7 +29,9 @@
    * A selector ends a closed listener only at its next turn; until then the kernel goes on taking
    * connections.
    */
-  private static final int TRIES = 2_000, BETWEEN_MS = 5;
+  private static final int TRIES = 2_000;
+
+  private static final int BETWEEN_MS = 5;
 
   private final ServerBootstrap bootstrap;
   private InetSocketAddress at;
--- a/lab/src/main/java/thistlefall/lab/net/Flow.java
+++ b/lab/src/main/java/thistlefall/lab/net/Flow.java
@@ -17,15 +17,19 @@
   /** A window of TCP: by so many bytes under way the source is not read. */
   static final int WINDOW = 1 << 18;
 
-  private static final Object END = new Object(), RESET = new Object(), OPEN = new Object();
+  private static final Object END = new Object();
+  private static final Object RESET = new Object();
+  private static final Object OPEN = new Object();
 
   private final Stream<Object> stream;
   private final Supplier<Conditions> conditions;
   private final Channel source;
-  private final Runnable opened, ends;
+  private final Runnable opened;
+  private final Runnable ends;
   private Channel sink;
   private ScheduledFuture<?> wake;
-  private boolean ended, reset;
+  private boolean ended;
+  private boolean reset;
 
   /**
    * {@code opened} runs when the first word of this connection has come through, {@code ends} when
--- a/lab/src/main/java/thistlefall/lab/net/Selector.java
+++ b/lab/src/main/java/thistlefall/lab/net/Selector.java
@@ -11,7 +11,8 @@
  * @param role only these; null for any
  */
 public record Selector(Kind kind, String name, boolean others, Role role) {
-  private static final String NODES = "nodes/", SERVERS = "servers/";
+  private static final String NODES = "nodes/";
+  private static final String SERVERS = "servers/";
 
   /** By what a party is chosen. */
   public enum Kind {
--- a/lab/src/main/java/thistlefall/lab/net/Stream.java
+++ b/lab/src/main/java/thistlefall/lab/net/Stream.java
@@ -13,14 +13,17 @@
  */
 public final class Stream<T> {
   /** Linux's least and most time until a part is sent again, in nanoseconds. */
-  public static final long LEAST_TIMEOUT = 200_000_000L, MOST_TIMEOUT = 120_000_000_000L;
+  public static final long LEAST_TIMEOUT = 200_000_000L;
+
+  public static final long MOST_TIMEOUT = 120_000_000_000L;
 
   private static final double SECOND = 1e9;
 
   private static final class Part<T> {
     final T what;
     final int bytes;
-    long at, timeout = LEAST_TIMEOUT;
+    long at;
+    long timeout = LEAST_TIMEOUT;
     boolean lost;
 
     Part(T what, int bytes) {
--- a/lab/src/main/java/thistlefall/lab/net/TcpLink.java
+++ b/lab/src/main/java/thistlefall/lab/net/TcpLink.java
@@ -27,7 +27,8 @@
 
   private final EventLoop loop;
   private final InetSocketAddress target;
-  private final Supplier<Conditions> there, back;
+  private final Supplier<Conditions> there;
+  private final Supplier<Conditions> back;
   private final SplittableRandom chance;
   private final Set<Pair> pairs = new LinkedHashSet<>();
   private final Door door;
--- a/lab/src/main/java/thistlefall/lab/process/Usage.java
+++ b/lab/src/main/java/thistlefall/lab/process/Usage.java
@@ -20,7 +20,9 @@
   /** USER_HZ, the same on all machines that the program runs on. */
   private static final double TICKS = 100;
 
-  private static final int USER = 11, SYSTEM = 12, KB = 1_024;
+  private static final int USER = 11;
+  private static final int SYSTEM = 12;
+  private static final int KB = 1_024;
 
   /**
    * What it has used up to now.
--- a/lab/src/main/java/thistlefall/lab/report/Page.java
+++ b/lab/src/main/java/thistlefall/lab/report/Page.java
@@ -29,7 +29,9 @@
  * second by second.
  */
 public final class Page {
-  private static final int WIDTH = 900, HEIGHT = 260, PERCENT = 100;
+  private static final int WIDTH = 900;
+  private static final int HEIGHT = 260;
+  private static final int PERCENT = 100;
 
   private final Result result;
   private final List<Double> time = new ArrayList<>();
--- a/lab/src/main/java/thistlefall/lab/report/ScalePage.java
+++ b/lab/src/main/java/thistlefall/lab/report/ScalePage.java
@@ -15,7 +15,8 @@
  * What was measured over size, each with its budget's line, as one HTML page that needs no network.
  */
 public final class ScalePage {
-  private static final int WIDTH = 900, HEIGHT = 320;
+  private static final int WIDTH = 900;
+  private static final int HEIGHT = 320;
 
   private ScalePage() {}
 
--- a/lab/src/main/java/thistlefall/lab/scale/CapacityTables.java
+++ b/lab/src/main/java/thistlefall/lab/scale/CapacityTables.java
@@ -16,7 +16,8 @@
  * break on the way, and the runs behind it.
  */
 public final class CapacityTables {
-  private static final int STEPS = 200, HALVES = 40;
+  private static final int STEPS = 200;
+  private static final int HALVES = 40;
 
   /**
    * Where on the way a budget breaks: 0 at the path's first size, 1 at its second and so on;
@@ -152,7 +153,8 @@
       return 0;
     }
     for (int i = 1; i <= STEPS * (int) last; i++) {
-      double above = i / (double) STEPS, below = above - 1.0 / STEPS;
+      double above = i / (double) STEPS;
+      double below = above - 1.0 / STEPS;
       if (slope.ratio(size(above)) > 1) {
         for (int half = 0; half < HALVES; half++) {
           double middle = (below + above) / 2;
@@ -169,7 +171,8 @@
   /** A size on the way: between two of the path by even factors. */
   private Map<String, Double> size(double place) {
     int first = (int) Math.min(place, file.path().size() - 2.0);
-    Map<String, Double> from = file.path().get(first), to = file.path().get(first + 1);
+    Map<String, Double> from = file.path().get(first);
+    Map<String, Double> to = file.path().get(first + 1);
     Map<String, Double> size = new TreeMap<>();
     from.forEach(
         (key, value) ->
--- a/lab/src/main/java/thistlefall/lab/scale/ModelScale.java
+++ b/lab/src/main/java/thistlefall/lab/scale/ModelScale.java
@@ -17,7 +17,9 @@
 
 /** Plays a size on virtual time. */
 public final class ModelScale {
-  private static final double SECOND = 1e9, MS = 1e6, US = 1e3;
+  private static final double SECOND = 1e9;
+  private static final double MS = 1e6;
+  private static final double US = 1e3;
 
   /** A counter that costs next to nothing, to tell what the real one's cost does. */
   private static final double FREE_MS = 1e-3;
@@ -63,9 +65,9 @@
   private static Tally play(
       ScaleFile file, Scenario scenario, Consumer<String> progress, Map<String, Double> figures)
       throws IOException, InterruptedException {
-    double fromS = file.model().fromS(),
-        span = file.model().spanS() - fromS,
-        nodes = scenario.topology().nodes();
+    double fromS = file.model().fromS();
+    double span = file.model().spanS() - fromS;
+    double nodes = scenario.topology().nodes();
     Tally tally =
         new Tally(
             scenario,
--- a/lab/src/main/java/thistlefall/lab/scale/ScaleFile.java
+++ b/lab/src/main/java/thistlefall/lab/scale/ScaleFile.java
@@ -40,7 +40,10 @@
     double idleS,
     ModelSizes model,
     SocketsSizes sockets) {
-  private static final double MOST_SPAN_S = 600, MS = 1e3, MOST_TIMES = 2, EVENT_PART = 4;
+  private static final double MOST_SPAN_S = 600;
+  private static final double MS = 1e3;
+  private static final double MOST_TIMES = 2;
+  private static final double EVENT_PART = 4;
 
   /**
    * Sizes on virtual time.
@@ -307,7 +310,8 @@
   }
 
   private static List<Scenario.Fault> faults(List<String> zones, ModelSizes times, ModelSize size) {
-    double at = times.fromS + 1, until = at + (times.spanS - at) / EVENT_PART;
+    double at = times.fromS + 1;
+    double until = at + (times.spanS - at) / EVENT_PART;
     if (size.event == null) {
       return List.of();
     }
--- a/lab/src/main/java/thistlefall/lab/scale/Slope.java
+++ b/lab/src/main/java/thistlefall/lab/scale/Slope.java
@@ -87,7 +87,8 @@
     if (measured.size() == 1 || measured.containsKey(x)) {
       return ScaleTables.median(measured.getOrDefault(x, measured.firstEntry().getValue()));
     }
-    Double below = measured.lowerKey(x), above = measured.higherKey(x);
+    Double below = measured.lowerKey(x);
+    Double above = measured.higherKey(x);
     if (below == null) {
       below = measured.firstKey();
       above = measured.higherKey(below);
@@ -95,8 +96,8 @@
       above = measured.lastKey();
       below = measured.lowerKey(above);
     }
-    double from = ScaleTables.median(measured.get(below)),
-        to = ScaleTables.median(measured.get(above));
+    double from = ScaleTables.median(measured.get(below));
+    double to = ScaleTables.median(measured.get(above));
     return Math.max(0, from + (to - from) * (x - below) / (above - below));
   }
 
--- a/lab/src/main/java/thistlefall/lab/scale/Tally.java
+++ b/lab/src/main/java/thistlefall/lab/scale/Tally.java
@@ -15,7 +15,9 @@
  */
 final class Tally implements Consumer<Event> {
   private static final long SECOND = 1_000_000_000L;
-  private static final int OK = 200, TOO_MANY = 429, UNAVAILABLE = 503;
+  private static final int OK = 200;
+  private static final int TOO_MANY = 429;
+  private static final int UNAVAILABLE = 503;
 
   private static final class Try {
     final Event.Asked asked;
@@ -27,15 +29,26 @@
   }
 
   private final Quotas quotas;
-  private final long from, until;
+  private final long from;
+  private final long until;
   private final Map<String, Try> open = new HashMap<>();
   private final Map<String, Integer> attempts = new HashMap<>();
   private final int servers;
-  private long tries, served, inAim, refused, within, refusedWithRoom, sent, beyond, left;
+  private long tries;
+  private long served;
+  private long inAim;
+  private long refused;
+  private long within;
+  private long refusedWithRoom;
+  private long sent;
+  private long beyond;
+  private long left;
   private final long[] aims;
 
   /** By seconds: tries asked, and of these those served in their aim. */
-  private final long[] asked, good;
+  private final long[] asked;
+
+  private final long[] good;
 
   private int fell;
   private double pressure;
--- a/lab/src/main/java/thistlefall/lab/scale/sockets/Asked.java
+++ b/lab/src/main/java/thistlefall/lab/scale/sockets/Asked.java
@@ -31,8 +31,10 @@
  */
 final class Asked {
   private static final double SECOND = 1e9;
-  private static final int OK = 200, DIGITS = 3;
-  private static final long MOST = 60_000_000_000L, LINGER_S = 10;
+  private static final int OK = 200;
+  private static final int DIGITS = 3;
+  private static final long MOST = 60_000_000_000L;
+  private static final long LINGER_S = 10;
 
   private final List<Arrival> arrivals;
   private final ConcurrentLinkedQueue<Event> history = new ConcurrentLinkedQueue<>();
@@ -149,7 +151,8 @@
         answers.add(answered);
       }
     }
-    long served = 0, refused = 0;
+    long served = 0;
+    long refused = 0;
     Histogram beyond = new Histogram(MOST, DIGITS);
     for (Event.Answered answered : answers) {
       Long at = askedAt.get(answered.id());
--- a/lab/src/main/java/thistlefall/lab/scale/sockets/CalmFigures.java
+++ b/lab/src/main/java/thistlefall/lab/scale/sockets/CalmFigures.java
@@ -10,7 +10,8 @@
  * point's figures.
  */
 final class CalmFigures {
-  private static final double SECOND = 1e9, MB = 1 << 20;
+  private static final double SECOND = 1e9;
+  private static final double MB = 1 << 20;
 
   private final SocketsSize size;
   private final Map<String, Double> figures;
@@ -26,11 +27,13 @@
    * asked.
    */
   void calm(Moment first, Moment last) {
-    double span = (last.at() - first.at()) / SECOND, nodes = size.real() + size.hollow();
+    double span = (last.at() - first.at()) / SECOND;
+    double nodes = size.real() + size.hollow();
     double asked =
         (size.realRequestsPerS() > 0 ? size.real() : 0)
             + (size.hollowRequestsPerS() > 0 ? size.hollow() : 0);
-    StandIns.Counts from = first.counts(), to = last.counts();
+    StandIns.Counts from = first.counts();
+    StandIns.Counts to = last.counts();
     figures.put(
         "discovery-to-node-bytes-per-node-s",
         (to.discoveryOut() - from.discoveryOut()) / nodes / span);
@@ -39,7 +42,8 @@
         (to.discoveryIn() - from.discoveryIn()) / nodes / span);
     figures.put("answers-cut", (double) (to.cut() - from.cut()));
     if (asked > 0) {
-      double calls = to.calls() - from.calls(), attempts = to.attempts() - from.attempts();
+      double calls = to.calls() - from.calls();
+      double attempts = to.attempts() - from.attempts();
       figures.put("counter-calls-per-asked-node-s", calls / asked / span);
       figures.put(
           "counter-to-node-bytes-per-asked-node-s",
--- a/lab/src/main/java/thistlefall/lab/scale/sockets/Fit.java
+++ b/lab/src/main/java/thistlefall/lab/scale/sockets/Fit.java
@@ -15,25 +15,36 @@
  * @param descriptors that a process may hold
  */
 record Fit(long memory, long descriptors) {
-  private static final long MB = 1 << 20, KB = 1 << 10;
+  private static final long MB = 1 << 20;
+  private static final long KB = 1 << 10;
 
   /** A real node's process with its heap full, and the lab's own without nodes. */
-  private static final long REAL = 160 * MB, LAB = 600 * MB;
+  private static final long REAL = 160 * MB;
+
+  private static final long LAB = 600 * MB;
 
   /**
    * The hollow nodes' process without one; a hollow node without a list, and for each listed
    * server.
    */
-  private static final long HOLLOW_PROCESS = 200 * MB, HOLLOW = 1 * MB, HOLLOW_SERVER = 2 * KB;
+  private static final long HOLLOW_PROCESS = 200 * MB;
+
+  private static final long HOLLOW = 1 * MB;
+  private static final long HOLLOW_SERVER = 2 * KB;
 
   /** The most real nodes, and the most servers of a list. */
-  private static final int MOST_REAL = 100, MOST_SERVERS = 65_000;
+  private static final int MOST_REAL = 100;
+
+  private static final int MOST_SERVERS = 65_000;
 
   /**
    * Descriptors: of a process without nodes; lines of a node to discovery and the counter, and its
    * socket; those of its servers and clients.
    */
-  private static final int PROCESS = 200, CONTROL = 8, LOADED = 500;
+  private static final int PROCESS = 200;
+
+  private static final int CONTROL = 8;
+  private static final int LOADED = 500;
 
   /** As this machine has it, half of its memory. */
   static Fit here() {
--- a/lab/src/main/java/thistlefall/lab/scale/sockets/HollowMain.java
+++ b/lab/src/main/java/thistlefall/lab/scale/sockets/HollowMain.java
@@ -27,11 +27,11 @@
   /** Begins what is said to the parent. */
   static final String MARK = "@";
 
-  static final String SERVING = "serving",
-      READY = "ready",
-      LISTED = "listed",
-      FIGURES = "figures",
-      BROKEN = "broken";
+  static final String SERVING = "serving";
+  static final String READY = "ready";
+  static final String LISTED = "listed";
+  static final String FIGURES = "figures";
+  static final String BROKEN = "broken";
 
   /** So often each node's list is looked at. */
   private static final long LOOK_MS = 5;
@@ -121,7 +121,8 @@
     BufferedReader in =
         new BufferedReader(new InputStreamReader(System.in, StandardCharsets.UTF_8));
     for (String line = in.readLine(); line != null; line = in.readLine()) {
-      Map<String, Long> sums = new TreeMap<>(), most = new TreeMap<>();
+      Map<String, Long> sums = new TreeMap<>();
+      Map<String, Long> most = new TreeMap<>();
       for (Hollow one : nodes) {
         Operators.figures(one.node.figures())
             .forEach(
--- a/lab/src/main/java/thistlefall/lab/scale/sockets/HollowNodes.java
+++ b/lab/src/main/java/thistlefall/lab/scale/sockets/HollowNodes.java
@@ -23,8 +23,10 @@
  * with this process.
  */
 final class HollowNodes implements AutoCloseable {
-  private static final String CONFIGURATIONS = "hollow.jsonl", LOG = "hollow.log";
-  private static final int KILL_S = 5, ANSWER_S = 10;
+  private static final String CONFIGURATIONS = "hollow.jsonl";
+  private static final String LOG = "hollow.log";
+  private static final int KILL_S = 5;
+  private static final int ANSWER_S = 10;
 
   /** Sum and most of a figure over all nodes. */
   record Figure(long sum, long most) {}
--- a/lab/src/main/java/thistlefall/lab/scale/sockets/RealNodes.java
+++ b/lab/src/main/java/thistlefall/lab/scale/sockets/RealNodes.java
@@ -28,7 +28,9 @@
  * #close()} or with this process.
  */
 final class RealNodes implements AutoCloseable {
-  private static final String SERVING = "serving on ", OPERATORS = "operators call at ", ENDED = "";
+  private static final String SERVING = "serving on ";
+  private static final String OPERATORS = "operators call at ";
+  private static final String ENDED = "";
   private static final Pattern USABLE = Pattern.compile("usable=(\\d+)");
   private static final int HEALTH_MS = 2_000;
   private static final long LOOK_MS = 50;
@@ -36,7 +38,8 @@
   private static final class Real {
     private final NodeProcess process;
     private final List<String> log;
-    private InetSocketAddress serving, operators;
+    private InetSocketAddress serving;
+    private InetSocketAddress operators;
 
     Real(NodeProcess process, List<String> log) {
       this.process = process;
--- a/lab/src/main/java/thistlefall/lab/scale/sockets/SocketsScale.java
+++ b/lab/src/main/java/thistlefall/lab/scale/sockets/SocketsScale.java
@@ -35,11 +35,15 @@
  * play has one too.
  */
 public final class SocketsScale {
-  private static final double SECOND = 1e9, MS = 1e6, DIRECT_PER_S = 70;
+  private static final double SECOND = 1e9;
+  private static final double MS = 1e6;
+  private static final double DIRECT_PER_S = 70;
   private static final int LOOPS = 4;
 
   /** The longest waits, in seconds: for processes, and for each hollow node more. */
-  private static final long START_S = 60, HOLLOW_START_S = 1;
+  private static final long START_S = 60;
+
+  private static final long HOLLOW_START_S = 1;
 
   /**
    * How long requests go on after the calm span, for the changes: so long, or half of the span if
@@ -51,7 +55,9 @@
    * For how long processor time without requests is measured at the end, or half of the span if
    * that is less; and the rest before.
    */
-  private static final double ALONE_S = 10, REST_S = 1;
+  private static final double ALONE_S = 10;
+
+  private static final double REST_S = 1;
 
   private static final ObjectMapper JSON = new ObjectMapper();
 
@@ -61,7 +67,9 @@
   private final Consumer<String> progress;
   private final Listings listings = new Listings();
   private final Map<String, Double> figures = new TreeMap<>();
-  private final Asked real, hollow, direct;
+  private final Asked real;
+  private final Asked hollow;
+  private final Asked direct;
   private StandIns standIns;
   private Nodes nodes;
 
@@ -97,8 +105,8 @@
             / shares
             * MS
             / SECOND;
-    double perNode = Math.max(size.realRequestsPerS(), size.hollowRequestsPerS()),
-        nodes = Math.max(size.fleet(), topology.nodes().size());
+    double perNode = Math.max(size.realRequestsPerS(), size.hollowRequestsPerS());
+    double nodes = Math.max(size.fleet(), topology.nodes().size());
     double most =
         perNode == 0
             ? workS
@@ -247,8 +255,8 @@
     hollow.play(standIns.clients(), door -> nodes.hollows().address(door));
     int[] next = new int[1];
     direct.play(standIns.clients(), door -> standIns.unlisted(next[0]++));
-    long from = begun + (long) (file.sockets().fromS() * SECOND),
-        to = begun + (long) (file.sockets().spanS() * SECOND);
+    long from = begun + (long) (file.sockets().fromS() * SECOND);
+    long to = begun + (long) (file.sockets().spanS() * SECOND);
     sleepUntil(from);
     Moment first = nodes.now();
     if (size.trouble() != null) {
--- a/lab/src/main/java/thistlefall/lab/scale/sockets/StandIns.java
+++ b/lab/src/main/java/thistlefall/lab/scale/sockets/StandIns.java
@@ -34,7 +34,8 @@
  */
 final class StandIns implements ArchiveServerPort.History, CounterPort.History, AutoCloseable {
   private static final InetSocketAddress ANY = new InetSocketAddress("127.0.0.1", 0);
-  private static final int LOOPS = 4, HOSTS = 250;
+  private static final int LOOPS = 4;
+  private static final int HOSTS = 250;
   private static final String FLAVOR = "std-4core";
   private static final double SLOW = 100;
 
@@ -69,10 +70,10 @@
   private final ArchiveServersPort servers;
   private final Member[] members;
   private final Map<String, Work> works = new ConcurrentHashMap<>();
-  private final AtomicLong answered = new AtomicLong(),
-      late = new AtomicLong(),
-      turnedAway = new AtomicLong(),
-      attempts = new AtomicLong();
+  private final AtomicLong answered = new AtomicLong();
+  private final AtomicLong late = new AtomicLong();
+  private final AtomicLong turnedAway = new AtomicLong();
+  private final AtomicLong attempts = new AtomicLong();
   private final DiscoveryPort discovery;
   private long revision = 1;
 
--- a/lab/src/main/java/thistlefall/lab/scenario/Capacity.java
+++ b/lab/src/main/java/thistlefall/lab/scenario/Capacity.java
@@ -70,7 +70,8 @@
    * dearest first, as far as it goes.
    */
   static double possible(Scenario scenario, List<Arrival> arrivals, double work) {
-    double left = work, worth = 0;
+    double left = work;
+    double worth = 0;
     for (Arrival one :
         arrivals.stream()
             .sorted(Comparator.comparingDouble((Arrival each) -> -worth(scenario, each)))
--- a/lab/src/main/java/thistlefall/lab/scenario/Play.java
+++ b/lab/src/main/java/thistlefall/lab/scenario/Play.java
@@ -44,9 +44,13 @@
   private static final int KILLED = 137;
 
   /** What one machine bears. */
-  private static final int MOST_NODES = 40, MOST_SERVERS = 200;
+  private static final int MOST_NODES = 40;
 
-  private static final long READY_S = 60, END_S = 30, LOOK_MS = 20;
+  private static final int MOST_SERVERS = 200;
+
+  private static final long READY_S = 60;
+  private static final long END_S = 30;
+  private static final long LOOK_MS = 20;
   private final Scenario scenario;
   private final Topology topology;
   private final Queue<Event> history = new ConcurrentLinkedQueue<>();
--- a/lab/src/main/java/thistlefall/lab/scenario/Recovery.java
+++ b/lab/src/main/java/thistlefall/lab/scenario/Recovery.java
@@ -23,19 +23,23 @@
     int possible,
     double whileOf,
     double afterOf) {
-  private static final double HALF = 0.5, MOST = 0.9, ALL = 0.99;
+  private static final double HALF = 0.5;
+  private static final double MOST = 0.9;
+  private static final double ALL = 0.99;
 
   /**
    * Of a play whose faults begin and end at these seconds; null if it had none, or no second before
    * them.
    */
   static Recovery of(List<Second> seconds, double faultsFrom, double faultsUntil) {
-    int from = (int) faultsFrom, until = (int) Math.ceil(faultsUntil);
+    int from = (int) faultsFrom;
+    int until = (int) Math.ceil(faultsUntil);
     if (from < 2 || until >= seconds.size()) {
       return null;
     }
     double before = goodput(seconds.subList(1, from));
-    ToDoubleFunction<Second> good = Second::good, possible = Second::possible;
+    ToDoubleFunction<Second> good = Second::good;
+    ToDoubleFunction<Second> possible = Second::possible;
     return new Recovery(
         before,
         after(seconds, until, HALF * before, good),
--- a/lab/src/main/java/thistlefall/lab/scenario/Result.java
+++ b/lab/src/main/java/thistlefall/lab/scenario/Result.java
@@ -60,15 +60,21 @@
     List<Mark> marks,
     List<Second> seconds,
     List<Finding> findings) {
-  private static final double MS = 1e6, SECOND = 1e9;
+  private static final double MS = 1e6;
+  private static final double SECOND = 1e9;
   private static final long MOST = 60_000_000_000L;
-  private static final int DIGITS = 3, OK = 200, TOO_MANY = 429, UNAVAILABLE = 503;
+  private static final int DIGITS = 3;
+  private static final int OK = 200;
+  private static final int TOO_MANY = 429;
+  private static final int UNAVAILABLE = 503;
 
   /** A second while it is added up. */
   private static final class Sum {
     final List<Arrival> arrivals = new ArrayList<>();
-    int served, refused;
-    double worth, good;
+    int served;
+    int refused;
+    double worth;
+    double good;
     final Map<String, Integer> attempts = new TreeMap<>();
     final Set<String> reached = new HashSet<>();
     final Histogram times = new Histogram(MOST, DIGITS);
@@ -106,7 +112,9 @@
     }
     Map<String, Long> askedAt = new HashMap<>();
     Map<String, Event.Answered> answers = new HashMap<>();
-    int tries = 0, attempts = 0, fell = 0;
+    int tries = 0;
+    int attempts = 0;
+    int fell = 0;
     double pressure = 0;
     List<Event> inOrder = history.stream().sorted(Comparator.comparingLong(Event::at)).toList();
     for (Event event : inOrder) {
@@ -150,10 +158,10 @@
         in.refused++;
       }
     }
-    double worth = seconds.stream().mapToDouble(one -> one.worth).sum(),
-        good = seconds.stream().mapToDouble(one -> one.good).sum();
-    int served = seconds.stream().mapToInt(one -> one.served).sum(),
-        refused = seconds.stream().mapToInt(one -> one.refused).sum();
+    double worth = seconds.stream().mapToDouble(one -> one.worth).sum();
+    double good = seconds.stream().mapToDouble(one -> one.good).sum();
+    int served = seconds.stream().mapToInt(one -> one.served).sum();
+    int refused = seconds.stream().mapToInt(one -> one.refused).sum();
     Capacity capacity = new Capacity(scenario, inOrder);
     List<Second> all = new ArrayList<>();
     for (int i = 0; i < seconds.size(); i++) {
--- a/lab/src/main/java/thistlefall/lab/scenario/Scenario.java
+++ b/lab/src/main/java/thistlefall/lab/scenario/Scenario.java
@@ -42,18 +42,22 @@
     Zones zones,
     List<Fault> faults,
     double least) {
-  private static final double SECOND = 1e9, MS = 1e6;
+  private static final double SECOND = 1e9;
+  private static final double MS = 1e6;
 
   /**
    * Protocol, The rules on sockets: each limit is 50 ms longer; the answer's slack and the stop's
    * span are the settings'.
    */
-  private static final long ANSWER_SLACK = 58_000_000L,
-      STOP_WITHIN = 1_050_000_000L,
-      CEILING_SLACK = 150_000_000L;
+  private static final long ANSWER_SLACK = 58_000_000L;
+
+  private static final long STOP_WITHIN = 1_050_000_000L;
+  private static final long CEILING_SLACK = 150_000_000L;
 
   /** What the model bears. */
-  private static final int MOST_NODES = 1_000, MOST_SERVERS = 10_000;
+  private static final int MOST_NODES = 1_000;
+
+  private static final int MOST_SERVERS = 10_000;
 
   private static final double MOST_SPAN_S = 3_600;
 
--- a/lab/src/main/java/thistlefall/lab/scenario/Script.java
+++ b/lab/src/main/java/thistlefall/lab/scenario/Script.java
@@ -59,8 +59,10 @@
     Topology topology = scenario.topology().topology();
     List<Step> steps = new ArrayList<>();
     for (Scenario.Fault fault : scenario.faults()) {
-      String name = "fault " + steps.size(), text = text(fault);
-      long at = (long) (fault.atS() * SECOND), until = (long) (fault.untilS() * SECOND);
+      String name = "fault " + steps.size();
+      String text = text(fault);
+      long at = (long) (fault.atS() * SECOND);
+      long until = (long) (fault.untilS() * SECOND);
       if (fault.what() != null) {
         Selector whom = Selector.parse(fault.whom());
         steps.add(new Step(at, text, () -> stage.begin(fault.what(), whom, until - at)));
@@ -69,7 +71,8 @@
         steps.add(new Step(at, text, () -> stage.begin(fault.counter())));
         steps.add(new Step(until, "no more: " + text, () -> stage.end(fault.counter())));
       } else {
-        Selector from = Selector.parse(fault.from()), to = Selector.parse(fault.to());
+        Selector from = Selector.parse(fault.from());
+        Selector to = Selector.parse(fault.to());
         boolean both = Boolean.TRUE.equals(fault.both());
         steps.add(
             new Step(
@@ -92,8 +95,8 @@
   private static void cutOff(
       Topology topology, Stage stage, Selector from, Selector to, long span) {
     for (Party node : topology.nodes()) {
-      boolean there = from.matches(topology.front()) && to.matches(node),
-          back = from.matches(node) && to.matches(topology.front());
+      boolean there = from.matches(topology.front()) && to.matches(node);
+      boolean back = from.matches(node) && to.matches(topology.front());
       if (there || back) {
         stage.seen(new Event.Lost(stage.now(), node.name(), stage.now() + span + GRACE));
       }
--- a/lab/src/main/java/thistlefall/lab/scenario/ServerFaults.java
+++ b/lab/src/main/java/thistlefall/lab/scenario/ServerFaults.java
@@ -6,7 +6,8 @@
 
 /** What a scenario does to the core of an archive server that goes on running. */
 public final class ServerFaults {
-  private static final double SLOWER = 5, FAILING = 0.2;
+  private static final double SLOWER = 5;
+  private static final double FAILING = 0.2;
 
   private ServerFaults() {}
 
--- a/lab/src/main/java/thistlefall/lab/stand/Agent.java
+++ b/lab/src/main/java/thistlefall/lab/stand/Agent.java
@@ -22,11 +22,14 @@
   private final TreeMap<String, Member> list = new TreeMap<>();
   private final ArrayDeque<Late> underWay = new ArrayDeque<>();
   private final ArrayDeque<Roll> kept = new ArrayDeque<>();
-  private long revision, forgotten;
+  private long revision;
+  private long forgotten;
   private boolean silent;
 
   /** The last one asked for, and of which version: many readers ask for the same. */
-  private Roll whole, since;
+  private Roll whole;
+
+  private Roll since;
 
   private long sinceVersion;
 
--- a/lab/src/main/java/thistlefall/lab/stand/ArchiveServer.java
+++ b/lab/src/main/java/thistlefall/lab/stand/ArchiveServer.java
@@ -63,7 +63,8 @@
   private long clock;
   private double pressure;
   private long fellAt = Long.MAX_VALUE;
-  private double slower = 1, failing;
+  private double slower = 1;
+  private double failing;
   private SplittableRandom chance;
   private boolean draining;
 
@@ -136,7 +137,8 @@
     if (fellAt <= now) {
       return;
     }
-    double warmth = warmth(now), used = budget.used(now, work, warmth * terms.cores());
+    double warmth = warmth(now);
+    double used = budget.used(now, work, warmth * terms.cores());
     pressure = warmth < 1 ? Math.max(pressure, used) : pressure;
     if (warmth < 1 && used > 1) {
       fellAt = now;
--- a/lab/src/main/java/thistlefall/lab/stand/Watch.java
+++ b/lab/src/main/java/thistlefall/lab/stand/Watch.java
@@ -10,7 +10,8 @@
   public static final long IDLE = 2_000_000_000L;
 
   private final Agent agent;
-  private long told, lineAt;
+  private long told;
+  private long lineAt;
   private boolean begun;
 
   /** Begins after a version; its first line is due at once. */
--- a/lab/src/main/java/thistlefall/lab/stand/http/Traffic.java
+++ b/lab/src/main/java/thistlefall/lab/stand/http/Traffic.java
@@ -12,11 +12,11 @@
  * Read on any thread.
  */
 public final class Traffic {
-  private final AtomicLong in = new AtomicLong(),
-      out = new AtomicLong(),
-      opened = new AtomicLong(),
-      closed = new AtomicLong(),
-      cut = new AtomicLong();
+  private final AtomicLong in = new AtomicLong();
+  private final AtomicLong out = new AtomicLong();
+  private final AtomicLong opened = new AtomicLong();
+  private final AtomicLong closed = new AtomicLong();
+  private final AtomicLong cut = new AtomicLong();
   private volatile boolean cutting;
 
   /** Bytes from edge nodes so far. */
--- a/lab/src/test/java/thistlefall/lab/cli/CapacityPageTest.java
+++ b/lab/src/test/java/thistlefall/lab/cli/CapacityPageTest.java
@@ -14,8 +14,8 @@
 
 /** The page's tables are those of the committed plays. */
 class CapacityPageTest {
-  private static final Path PAGE = Path.of("..", "docs", "CAPACITY.md"),
-      RESULTS = Path.of("scale", "results");
+  private static final Path PAGE = Path.of("..", "docs", "CAPACITY.md");
+  private static final Path RESULTS = Path.of("scale", "results");
 
   private static List<Path> results() throws IOException {
     try (Stream<Path> folders = Files.list(RESULTS)) {
--- a/lab/src/test/java/thistlefall/lab/cli/LabTest.java
+++ b/lab/src/test/java/thistlefall/lab/cli/LabTest.java
@@ -22,7 +22,8 @@
   private String said = "";
 
   private int lab(String... args) {
-    PrintStream out = System.out, err = System.err;
+    PrintStream out = System.out;
+    PrintStream err = System.err;
     ByteArrayOutputStream bytes = new ByteArrayOutputStream();
     try (PrintStream to = new PrintStream(bytes, true, StandardCharsets.UTF_8)) {
       System.setOut(to);
--- a/lab/src/test/java/thistlefall/lab/fleet/FleetTest.java
+++ b/lab/src/test/java/thistlefall/lab/fleet/FleetTest.java
@@ -34,7 +34,8 @@
 /** Three processes of the program among stand-ins, with faults between them. */
 @Timeout(value = 120, threadMode = Timeout.ThreadMode.SEPARATE_THREAD)
 class FleetTest {
-  private static final long MS = 1_000_000L, SECOND = 1_000 * MS;
+  private static final long MS = 1_000_000L;
+  private static final long SECOND = 1_000 * MS;
   private static final List<RequestClass> CLASSES =
       List.of(
           new RequestClass("search", 0.63, false, 2 * SECOND, 6 * SECOND, 5 * MS, 1),
@@ -131,7 +132,8 @@
 
   @Test
   void aCutZoneIsServedAroundAndAKilledNodeComesBack() throws Exception {
-    Party first = topology.nodes().get(0), other = topology.nodes().get(1);
+    Party first = topology.nodes().get(0);
+    Party other = topology.nodes().get(1);
     for (int i = 0; i < 30; i++) {
       String id = ask(topology.nodes().get(i % 3));
       assertTrue(served.containsKey(id), id + ": " + fleet.log(first));
--- a/lab/src/test/java/thistlefall/lab/judge/JudgeTest.java
+++ b/lab/src/test/java/thistlefall/lab/judge/JudgeTest.java
@@ -26,8 +26,13 @@
 
 /** Made-up histories: each breaks one rule once, beside one that is like it and breaks none. */
 class JudgeTest {
-  private static final long MS = 1_000_000L, SECOND = 1_000 * MS;
-  private static final int SAFE = 0, KEYED = 1, UNSAFE = 2, FREE = 0, CEILED = 1;
+  private static final long MS = 1_000_000L;
+  private static final long SECOND = 1_000 * MS;
+  private static final int SAFE = 0;
+  private static final int KEYED = 1;
+  private static final int UNSAFE = 2;
+  private static final int FREE = 0;
+  private static final int CEILED = 1;
   private static final Terms TERMS =
       new Terms(
           58 * MS,
@@ -105,7 +110,8 @@
   @Test
   void aFurtherAttemptIsMadeOnlyAsItsClassAllows() {
     Answered answer = new Answered(900 * MS, "r", 200);
-    Sent first = new Sent(MS, "r", "s1"), next = new Sent(2 * MS, "r", "s2");
+    Sent first = new Sent(MS, "r", "s1");
+    Sent next = new Sent(2 * MS, "r", "s2");
     assertEquals(NONE, judge(ask(0, "r", FREE, SAFE), first, next, answer));
     assertEquals(NONE, judge(ask(0, "r", FREE, KEYED), first, next, answer));
     assertEquals(
--- a/lab/src/test/java/thistlefall/lab/load/ArrivalsTest.java
+++ b/lab/src/test/java/thistlefall/lab/load/ArrivalsTest.java
@@ -16,9 +16,10 @@
   private static final long SECOND = 1_000_000_000L;
   private static final String DIGEST =
       "6bffbf9519fb25b1ec9f513b4f0482fcb7c8a4d71f84ab95f2cf133c15403519";
-  private static final RequestClass
-      SEARCH = new RequestClass("search", 0.63, false, 2 * SECOND, 6 * SECOND, 2e8, 1),
-      LICENSE = new RequestClass("license", 0.37, true, 2 * SECOND, 6 * SECOND, 3e8, 1);
+  private static final RequestClass SEARCH =
+      new RequestClass("search", 0.63, false, 2 * SECOND, 6 * SECOND, 2e8, 1);
+  private static final RequestClass LICENSE =
+      new RequestClass("license", 0.37, true, 2 * SECOND, 6 * SECOND, 3e8, 1);
 
   private static Arrivals.Terms terms(double skew, Plan... plans) {
     return new Arrivals.Terms(
@@ -42,8 +43,8 @@
   @Test
   void whatIsDrawnKeepsToItsTerms() {
     for (int seed = 0; seed < 20; seed++) {
-      Plan basico = new Plan("basico", 50, 1, 20, 1, 0, 0.5, 3),
-          editorial = new Plan("editorial", 20, 8, 20, 1, 0, 0.9, 4);
+      Plan basico = new Plan("basico", 50, 1, 20, 1, 0, 0.5, 3);
+      Plan editorial = new Plan("editorial", 20, 8, 20, 1, 0, 0.9, 4);
       List<Arrival> all = Arrivals.draw(terms(0, basico, editorial), seed);
       Set<String> ids = new HashSet<>();
       long before = 0;
--- a/lab/src/test/java/thistlefall/lab/net/TcpLinkTest.java
+++ b/lab/src/test/java/thistlefall/lab/net/TcpLinkTest.java
@@ -31,10 +31,12 @@
   private static final long MS = 1_000_000L;
   private final EventLoopGroup group =
       new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
-  private volatile Conditions there = Conditions.GOOD, back = Conditions.GOOD;
+  private volatile Conditions there = Conditions.GOOD;
+  private volatile Conditions back = Conditions.GOOD;
   private ServerSocket target;
   private TcpLink link;
-  private Socket client, server;
+  private Socket client;
+  private Socket server;
 
   @BeforeEach
   void open() throws IOException {
--- a/lab/src/test/java/thistlefall/lab/net/WaysTest.java
+++ b/lab/src/test/java/thistlefall/lab/net/WaysTest.java
@@ -88,7 +88,9 @@
     for (int i = 0; i < sent; i++) {
       way.enter(i * MS, i, 100, LOSSY);
     }
-    int came = 0, late = 0, last = -1;
+    int came = 0;
+    int late = 0;
+    int last = -1;
     HashSet<Integer> seen = new HashSet<>();
     for (Integer out = way.poll(Long.MAX_VALUE, LOSSY);
         out != null;
@@ -110,8 +112,8 @@
   @Test
   void faultsMeanPartiesZonesAndRegionsInOneDirection() {
     Party n1 = new Party("n1", "a", "north", Party.Role.NODE);
-    Party s1 = new Party("s1", "b", "north", Party.Role.SERVER),
-        s2 = new Party("s2", "c", "south", Party.Role.SERVER);
+    Party s1 = new Party("s1", "b", "north", Party.Role.SERVER);
+    Party s2 = new Party("s2", "c", "south", Party.Role.SERVER);
     Faults faults = new Faults();
     faults.set("cut", Selector.parse("zone:b"), Selector.parse("!zone:b"), false, Conditions.CUT);
     faults.set(
--- a/lab/src/test/java/thistlefall/lab/process/NodeProcessTest.java
+++ b/lab/src/test/java/thistlefall/lab/process/NodeProcessTest.java
@@ -94,9 +94,9 @@
 
   @Test
   void whatEndedIsForgottenAndWhatLivesEndsWithTheGuard() throws Exception {
-    NodeProcess first = start("exec sleep 600"),
-        brief = start("exit 3"),
-        second = start("exec sleep 600");
+    NodeProcess first = start("exec sleep 600");
+    NodeProcess brief = start("exit 3");
+    NodeProcess second = start("exec sleep 600");
     assertEquals(3, brief.ended().get());
     guard.close();
     assertEquals(137, first.ended().get());
--- a/lab/src/test/java/thistlefall/lab/process/UsageTest.java
+++ b/lab/src/test/java/thistlefall/lab/process/UsageTest.java
@@ -15,7 +15,8 @@
   @Test
   void processorTimeAndMemoryAreThisProcesss() throws Exception {
     Usage before = Usage.of(ProcessHandle.current().pid());
-    long begun = System.nanoTime(), sum = 0;
+    long begun = System.nanoTime();
+    long sum = 0;
     while (System.nanoTime() - begun < LEAST_NS) {
       sum += System.nanoTime() % 7;
     }
--- a/lab/src/test/java/thistlefall/lab/scale/CapacityTest.java
+++ b/lab/src/test/java/thistlefall/lab/scale/CapacityTest.java
@@ -119,7 +119,8 @@
                     line.startsWith("| ") && !line.startsWith("| at ") && !line.startsWith("| ---"))
             .toList();
     assertEquals(2, rows.size(), order);
-    double servers = 800 + 2_400 / 7.0, nodes = 100 * servers / 800;
+    double servers = 800 + 2_400 / 7.0;
+    double nodes = 100 * servers / 800;
     assertTrue(
         rows.get(1)
             .startsWith(
@@ -186,13 +187,13 @@
   /** A play with a trouble says nothing of a calm one. */
   @Test
   void aPlayWithATroubleCountsOnlyWhereALineWantsIt() throws Exception {
-    Point calm = point(1, 100, 200, 1, 0.1),
-        stopped =
-            new Point(
-                Point.Side.MODEL,
-                1,
-                new TreeMap<>(Map.of("nodes", 100.0, "servers", 200.0, "counter-stops", 1.0)),
-                new TreeMap<>(Map.of("calls-per-node-s", 9.0)));
+    Point calm = point(1, 100, 200, 1, 0.1);
+    Point stopped =
+        new Point(
+            Point.Side.MODEL,
+            1,
+            new TreeMap<>(Map.of("nodes", 100.0, "servers", 200.0, "counter-stops", 1.0)),
+            new TreeMap<>(Map.of("calls-per-node-s", 9.0)));
     Line line = CapacityFile.parse(FILE).lines().get(0);
     Map<String, Double> size = Map.of("nodes", 100.0, "servers", 200.0);
     assertEquals(100, new Slope(line, List.of(calm, stopped)).figure(size));
--- a/lab/src/test/java/thistlefall/lab/scale/ModelScaleTest.java
+++ b/lab/src/test/java/thistlefall/lab/scale/ModelScaleTest.java
@@ -18,7 +18,8 @@
 class ModelScaleTest {
   private static final String SMALL =
       "model:\n  from-s: 3\n  span-s: 6\n  sizes:\n    - {nodes: 20, servers: 100, services: 2, tenants: 1480, requests-per-s: 1400}\n";
-  private static final long MS = 1_000_000L, SECOND = 1_000 * MS;
+  private static final long MS = 1_000_000L;
+  private static final long SECOND = 1_000 * MS;
 
   private static ScaleFile file(String idle) throws Exception {
     String target = Files.readString(Path.of("scale", "target.yaml"));
@@ -86,8 +87,8 @@
 
   @Test
   void connectionsThatAreKeptForLessAreOpenedMoreOften() throws Exception {
-    double kept = play("10", 6).get("connections-opened-per-request"),
-        hardly = play("0.2", 6).get("connections-opened-per-request");
+    double kept = play("10", 6).get("connections-opened-per-request");
+    double hardly = play("0.2", 6).get("connections-opened-per-request");
     assertTrue(
         kept > 0 && hardly > 1.5 * kept && hardly <= 1, "seed 6: " + kept + " and " + hardly);
   }
--- a/lab/src/test/java/thistlefall/lab/scenario/PlayTest.java
+++ b/lab/src/test/java/thistlefall/lab/scenario/PlayTest.java
@@ -64,7 +64,8 @@
     int fleets = 0;
     for (String node : List.of("n0", "n1", "n2")) {
       List<String> log = Files.readAllLines(folder.resolve(node).resolve("log"));
-      double left = time(log, "zone b is left by"), comes = time(log, "zone b comes back by");
+      double left = time(log, "zone b is left by");
+      double comes = time(log, "zone b comes back by");
       fleets +=
           log.stream()
                   .anyMatch(
--- a/lab/src/test/java/thistlefall/lab/stand/AgentTest.java
+++ b/lab/src/test/java/thistlefall/lab/stand/AgentTest.java
@@ -15,7 +15,8 @@
 import thistlefall.lab.stand.Member.Phase;
 
 class AgentTest {
-  private static final long MS = 1_000_000L, SECOND = 1_000 * MS;
+  private static final long MS = 1_000_000L;
+  private static final long SECOND = 1_000 * MS;
 
   private static Member member(int id, Phase phase) {
     return new Member("s-" + id, "127.0.0.1:1", "a", "m", 1, phase, 1, 0);
@@ -42,7 +43,8 @@
       SplittableRandom chance = new SplittableRandom(seed);
       Agent agent =
           new Agent(new Roll(7, true, List.of(member(0, Phase.READY), member(1, Phase.READY))));
-      Map<String, Member> early = new TreeMap<>(), late = new TreeMap<>();
+      Map<String, Member> early = new TreeMap<>();
+      Map<String, Member> late = new TreeMap<>();
       read(early, agent.whole());
       Watch first = new Watch(agent, 0, 7);
       Watch second = null;
--- a/lab/src/test/java/thistlefall/lab/stand/ArchiveServerTest.java
+++ b/lab/src/test/java/thistlefall/lab/stand/ArchiveServerTest.java
@@ -15,7 +15,8 @@
 import thistlefall.lab.stand.ArchiveServer.Ending;
 
 class ArchiveServerTest {
-  private static final long MS = 1_000_000L, SECOND = 1_000 * MS;
+  private static final long MS = 1_000_000L;
+  private static final long SECOND = 1_000 * MS;
   private static final ServerTerms TERMS =
       new ServerTerms(4, 16, 10, 0.24, 17 * SECOND, 2.5, 1_500 * MS, 6 * SECOND);
   private static final long WARM = -100 * SECOND;
--- a/lab/src/test/java/thistlefall/lab/stand/CounterTest.java
+++ b/lab/src/test/java/thistlefall/lab/stand/CounterTest.java
@@ -12,7 +12,8 @@
 import thistlefall.lab.stand.Counter.Answer;
 
 class CounterTest {
-  private static final long MS = 1_000_000L, SECOND = 1_000 * MS;
+  private static final long MS = 1_000_000L;
+  private static final long SECOND = 1_000 * MS;
 
   private static Counter<Integer> counter(int parts, int line) {
     return new Counter<>(new CounterTerms(parts, MS, line), 0);
--- a/lab/src/test/java/thistlefall/lab/stand/http/PortsTest.java
+++ b/lab/src/test/java/thistlefall/lab/stand/http/PortsTest.java
@@ -29,7 +29,8 @@
 /** The stand-ins as an edge node meets them: on sockets. */
 @Timeout(value = 60, threadMode = Timeout.ThreadMode.SEPARATE_THREAD)
 class PortsTest {
-  private static final long MS = 1_000_000L, SECOND = 1_000 * MS;
+  private static final long MS = 1_000_000L;
+  private static final long SECOND = 1_000 * MS;
   private static final InetSocketAddress ANY = new InetSocketAddress("127.0.0.1", 0);
   private final EventLoopGroup group =
       new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
