--- a/deploy/archive.sh
+++ b/deploy/archive.sh
@@ -6,7 +6,7 @@
 set -u
 cd "$(dirname "$0")/.."
 # The JVM crashes on an archive that was cut short: it gets its name when it is whole.
-archive=edge/target/thistlefall.jsa
+archive=edge/target/edge-gateway.jsa
 made=$archive.made
 options=$(sed -n 's/^run = ".* java \(.*\) -XX:SharedArchiveFile=.*/\1/p' deploy/balancer.toml)
 work=$(mktemp -d)
@@ -27,7 +27,7 @@
   port=$((10000 + RANDOM % 11000 * 2))
   sed "s/18093/$port/g; s/18094/$((port + 1))/g" deploy/archive.json > "$work/config.json"
   rm -f "$archive" "$made"
-  GW_CONFIG=$work/config.json java $options -XX:ArchiveClassesAtExit="$made" -jar edge/target/thistlefall.jar serve \
+  GW_CONFIG=$work/config.json java $options -XX:ArchiveClassesAtExit="$made" -jar edge/target/edge-gateway.jar serve \
     > "$work/log" 2>&1 &
   node=$!
   until grep -q '^serving on' "$work/log"; do
@@ -41,8 +41,8 @@
   kill "$node"
   wait "$node"
   # The same options as `run`: an archive that they refuse is none.
-  java $options -XX:SharedArchiveFile="$made" -Xlog:class+load -jar edge/target/thistlefall.jar > "$work/loaded" 2>&1
-  grep -q 'thistlefall.node.Main source: shared objects file (top)' "$work/loaded"
+  java $options -XX:SharedArchiveFile="$made" -Xlog:class+load -jar edge/target/edge-gateway.jar > "$work/loaded" 2>&1
+  grep -q 'edgegateway.node.Main source: shared objects file (top)' "$work/loaded"
 }
 
 for _ in 1 2 3 4 5; do
--- a/edge/src/main/java/thistlefall/node/ClassArchive.java
+++ b/edge/src/main/java/edgegateway/node/ClassArchive.java
@@ -1,4 +1,4 @@
-package thistlefall.node;
+package edgegateway.node;
 
 import java.io.IOException;
 import java.nio.file.Files;
--- a/edge/src/main/java/thistlefall/node/ClientServer.java
+++ b/edge/src/main/java/edgegateway/node/ClientServer.java
@@ -1,5 +1,14 @@
-package thistlefall.node;
-
+package edgegateway.node;
+
+import edgegateway.node.Figures.Ending;
+import edgegateway.node.connections.Budget;
+import edgegateway.node.connections.Carrier;
+import edgegateway.node.connections.Clients;
+import edgegateway.node.connections.HeldBytes;
+import edgegateway.node.connections.Listener;
+import edgegateway.node.connections.Tls;
+import edgegateway.policy.api.Repeat;
+import edgegateway.policy.api.Request;
 import io.netty.buffer.ByteBuf;
 import io.netty.buffer.Unpooled;
 import io.netty.channel.Channel;
@@ -46,15 +55,6 @@
 import java.util.concurrent.CompletableFuture;
 import java.util.concurrent.TimeUnit;
 import java.util.function.Function;
-import thistlefall.Ports.Repeat;
-import thistlefall.Ports.Request;
-import thistlefall.node.Figures.Ending;
-import thistlefall.node.connections.Budget;
-import thistlefall.node.connections.Carrier;
-import thistlefall.node.connections.Clients;
-import thistlefall.node.connections.HeldBytes;
-import thistlefall.node.connections.Listener;
-import thistlefall.node.connections.Tls;
 
 /**
  * The clients' side: reads their requests, turns away what is none, and writes the answers. Which
--- a/edge/src/main/java/thistlefall/node/Config.java
+++ b/edge/src/main/java/edgegateway/node/Config.java
@@ -1,7 +1,14 @@
-package thistlefall.node;
+package edgegateway.node;
 
 import com.fasterxml.jackson.core.JsonProcessingException;
 import com.fasterxml.jackson.databind.JsonNode;
+import edgegateway.node.connections.Limits;
+import edgegateway.node.connections.Tls;
+import edgegateway.node.zones.ZoneSettings;
+import edgegateway.policy.api.Readiness;
+import edgegateway.policy.api.Server;
+import edgegateway.policy.api.Settings;
+import edgegateway.protocol.SettingsReader;
 import java.io.IOException;
 import java.net.InetSocketAddress;
 import java.nio.file.Files;
@@ -11,13 +18,6 @@
 import java.util.Locale;
 import java.util.Map;
 import java.util.Set;
-import thistlefall.Ports.Readiness;
-import thistlefall.Ports.Server;
-import thistlefall.Ports.Settings;
-import thistlefall.SettingsReader;
-import thistlefall.node.connections.Limits;
-import thistlefall.node.connections.Tls;
-import thistlefall.node.zones.ZoneSettings;
 
 /**
  * What an edge node is told at its start.
--- a/edge/src/main/java/thistlefall/node/CounterClient.java
+++ b/edge/src/main/java/edgegateway/node/CounterClient.java
@@ -1,5 +1,7 @@
-package thistlefall.node;
+package edgegateway.node;
 
+import edgegateway.node.connections.Dial;
+import edgegateway.policy.api.Outcome;
 import io.netty.bootstrap.Bootstrap;
 import io.netty.channel.Channel;
 import io.netty.channel.ChannelFuture;
@@ -23,8 +25,6 @@
 import java.util.ArrayDeque;
 import java.util.concurrent.TimeUnit;
 import java.util.regex.Pattern;
-import thistlefall.Ports.Outcome;
-import thistlefall.node.connections.Dial;
 
 /**
  * Calls to the shared counter, written one behind another on a few connections. A name always goes
--- a/edge/src/main/java/thistlefall/node/DiscoveryClient.java
+++ b/edge/src/main/java/edgegateway/node/DiscoveryClient.java
@@ -1,5 +1,9 @@
-package thistlefall.node;
+package edgegateway.node;
 
+import edgegateway.node.connections.Dial;
+import edgegateway.node.discovery.JsonObjects;
+import edgegateway.node.discovery.Watches;
+import edgegateway.policy.api.ListKind;
 import io.netty.bootstrap.Bootstrap;
 import io.netty.buffer.ByteBufUtil;
 import io.netty.channel.Channel;
@@ -24,10 +28,6 @@
 import java.util.Map;
 import java.util.concurrent.CompletableFuture;
 import java.util.concurrent.TimeUnit;
-import thistlefall.Ports.ListKind;
-import thistlefall.node.connections.Dial;
-import thistlefall.node.discovery.JsonObjects;
-import thistlefall.node.discovery.Watches;
 
 /**
  * Follows the list of app servers on the sockets; when it is asked for, and whose word counts, is
--- a/edge/src/main/java/thistlefall/node/EdgeNode.java
+++ b/edge/src/main/java/edgegateway/node/EdgeNode.java
@@ -1,5 +1,18 @@
-package thistlefall.node;
-
+package edgegateway.node;
+
+import edgegateway.node.Figures.Ending;
+import edgegateway.node.connections.Budget;
+import edgegateway.node.connections.Counts;
+import edgegateway.node.connections.HeldBytes;
+import edgegateway.node.zones.ZoneVerdict;
+import edgegateway.node.zones.ZoneVerdicts;
+import edgegateway.policy.Gateway;
+import edgegateway.policy.api.Actions;
+import edgegateway.policy.api.Handover;
+import edgegateway.policy.api.ListKind;
+import edgegateway.policy.api.Outcome;
+import edgegateway.policy.api.Result;
+import edgegateway.policy.api.ZoneState;
 import io.netty.buffer.ByteBuf;
 import io.netty.channel.Channel;
 import io.netty.channel.EventLoop;
@@ -20,18 +33,6 @@
 import java.util.concurrent.TimeUnit;
 import java.util.function.LongConsumer;
 import java.util.stream.Collectors;
-import thistlefall.Gateway;
-import thistlefall.Ports;
-import thistlefall.Ports.Handover;
-import thistlefall.Ports.ListKind;
-import thistlefall.Ports.Outcome;
-import thistlefall.Ports.Result;
-import thistlefall.node.Figures.Ending;
-import thistlefall.node.connections.Budget;
-import thistlefall.node.connections.Counts;
-import thistlefall.node.connections.HeldBytes;
-import thistlefall.node.zones.ZoneVerdict;
-import thistlefall.node.zones.ZoneVerdicts;
 
 /**
  * A real edge node: carries what happens on the sockets to the decision module and its actions
@@ -39,7 +40,7 @@
  * contract of one caller holds. A process has one with a loop of its own; many may share loops
  * where that is measured.
  */
-public final class EdgeNode implements Ports.Actions, AutoCloseable {
+public final class EdgeNode implements Actions, AutoCloseable {
   private static final long MS = 1_000_000L;
 
   /**
@@ -323,7 +324,7 @@
           StringBuilder text = new StringBuilder();
           long now = now();
           for (int i = 0; i < config.names().zones().size() && gateway != null; i++) {
-            Ports.ZoneState zone = gateway.zone(i);
+            ZoneState zone = gateway.zone(i);
             ZoneVerdict verdict =
                 verdicts == null || zone.byHand() ? null : verdicts.agreement().verdict(i);
             String state = zone.share() == 0 ? "out" : zone.share() < 1 ? "returning" : "in";
--- a/edge/src/main/java/thistlefall/node/Figures.java
+++ b/edge/src/main/java/edgegateway/node/Figures.java
@@ -1,12 +1,12 @@
-package thistlefall.node;
+package edgegateway.node;
 
+import edgegateway.node.connections.Counts;
 import java.util.List;
 import java.util.Locale;
 import java.util.concurrent.TimeUnit;
 import java.util.concurrent.atomic.AtomicInteger;
 import java.util.concurrent.atomic.AtomicLong;
 import java.util.concurrent.atomic.AtomicLongArray;
-import thistlefall.node.connections.Counts;
 
 /**
  * What operators read of an edge node: counted on its loop, read on any thread, all from 0 with the
--- a/edge/src/main/java/thistlefall/node/HandoverFile.java
+++ b/edge/src/main/java/edgegateway/node/HandoverFile.java
@@ -1,5 +1,7 @@
-package thistlefall.node;
+package edgegateway.node;
 
+import edgegateway.policy.api.Handover;
+import edgegateway.policy.api.Use;
 import java.io.ByteArrayInputStream;
 import java.io.ByteArrayOutputStream;
 import java.io.DataInputStream;
@@ -10,8 +12,6 @@
 import java.nio.file.StandardCopyOption;
 import java.util.ArrayList;
 import java.util.List;
-import thistlefall.Ports.Handover;
-import thistlefall.Ports.Use;
 
 /**
  * The file by which the process that an upgrade ends tells the other one what it knows. Plain
--- a/edge/src/main/java/thistlefall/node/Json.java
+++ b/edge/src/main/java/edgegateway/node/Json.java
@@ -1,4 +1,4 @@
-package thistlefall.node;
+package edgegateway.node;
 
 import com.fasterxml.jackson.core.JsonFactory;
 import com.fasterxml.jackson.core.JsonParser;
--- a/edge/src/main/java/thistlefall/node/LeftOut.java
+++ b/edge/src/main/java/edgegateway/node/LeftOut.java
@@ -1,4 +1,4 @@
-package thistlefall.node;
+package edgegateway.node;
 
 import com.fasterxml.jackson.databind.JsonNode;
 import com.fasterxml.jackson.databind.node.ArrayNode;
--- a/edge/src/main/java/thistlefall/node/Main.java
+++ b/edge/src/main/java/edgegateway/node/Main.java
@@ -1,9 +1,9 @@
-package thistlefall.node;
+package edgegateway.node;
 
+import edgegateway.simulator.Drill;
 import java.nio.file.Path;
 import java.util.concurrent.TimeUnit;
 import sun.misc.Signal;
-import thistlefall.drill.Drill;
 
 /**
  * The program: {@code serve} runs a real edge node, {@code drill} the decisions on the simulator's
@@ -22,7 +22,7 @@
     switch (args.length == 1 ? args[0] : "") {
       case "serve" -> serve(System.getenv("GW_CONFIG"));
       case "drill" -> Drill.main(args);
-      default -> exit(2, "usage: thistlefall.jar serve|drill");
+      default -> exit(2, "usage: edge-gateway.jar serve|drill");
     }
   }
 
--- a/edge/src/main/java/thistlefall/node/OpenRequest.java
+++ b/edge/src/main/java/edgegateway/node/OpenRequest.java
@@ -1,11 +1,11 @@
-package thistlefall.node;
+package edgegateway.node;
 
+import edgegateway.node.connections.HeldBytes;
+import edgegateway.policy.api.Request;
 import io.netty.buffer.ByteBuf;
 import io.netty.channel.Channel;
 import io.netty.handler.codec.http.HttpMethod;
 import io.netty.util.concurrent.Future;
-import thistlefall.Ports.Request;
-import thistlefall.node.connections.HeldBytes;
 
 /** A request that was taken: what goes on to app servers, and what is still owed to its client. */
 final class OpenRequest {
--- a/edge/src/main/java/thistlefall/node/OpsServer.java
+++ b/edge/src/main/java/edgegateway/node/OpsServer.java
@@ -1,5 +1,6 @@
-package thistlefall.node;
+package edgegateway.node;
 
+import edgegateway.node.connections.Listener;
 import io.netty.channel.Channel;
 import io.netty.channel.ChannelFutureListener;
 import io.netty.channel.ChannelHandlerContext;
@@ -19,7 +20,6 @@
 import java.util.concurrent.ExecutionException;
 import java.util.concurrent.TimeUnit;
 import java.util.regex.Pattern;
-import thistlefall.node.connections.Listener;
 
 /**
  * Where operators call: a line in, an answer out, and the connection ends. It has a thread of its
--- a/edge/src/main/java/thistlefall/node/Relay.java
+++ b/edge/src/main/java/edgegateway/node/Relay.java
@@ -1,4 +1,4 @@
-package thistlefall.node;
+package edgegateway.node;
 
 import io.netty.buffer.ByteBuf;
 import io.netty.channel.Channel;
--- a/edge/src/main/java/thistlefall/node/ServerPool.java
+++ b/edge/src/main/java/edgegateway/node/ServerPool.java
@@ -1,5 +1,15 @@
-package thistlefall.node;
-
+package edgegateway.node;
+
+import edgegateway.node.connections.Budget;
+import edgegateway.node.connections.Carrier;
+import edgegateway.node.connections.Dial;
+import edgegateway.node.connections.HeldBytes;
+import edgegateway.node.connections.Servers;
+import edgegateway.node.connections.Servers.Failure;
+import edgegateway.policy.api.Outcome;
+import edgegateway.policy.api.Readiness;
+import edgegateway.policy.api.Repeat;
+import edgegateway.policy.api.RequestClass;
 import io.netty.bootstrap.Bootstrap;
 import io.netty.buffer.ByteBuf;
 import io.netty.buffer.Unpooled;
@@ -38,16 +48,6 @@
 import java.util.Map;
 import java.util.Set;
 import java.util.concurrent.TimeUnit;
-import thistlefall.Ports.Outcome;
-import thistlefall.Ports.Readiness;
-import thistlefall.Ports.Repeat;
-import thistlefall.Ports.RequestClass;
-import thistlefall.node.connections.Budget;
-import thistlefall.node.connections.Carrier;
-import thistlefall.node.connections.Dial;
-import thistlefall.node.connections.HeldBytes;
-import thistlefall.node.connections.Servers;
-import thistlefall.node.connections.Servers.Failure;
 
 /**
  * The app servers' side: attempts on connections, one at a time on each, and their outcomes. Which
--- a/edge/src/main/java/thistlefall/node/SettingsPairs.java
+++ b/edge/src/main/java/edgegateway/node/SettingsPairs.java
@@ -1,4 +1,4 @@
-package thistlefall.node;
+package edgegateway.node;
 
 import com.fasterxml.jackson.databind.JsonNode;
 import java.util.ArrayList;
@@ -6,7 +6,10 @@
 import java.util.List;
 import java.util.Map;
 
-/** The settings' tree as the path=value pairs that {@link thistlefall.SettingsReader} reads. */
+/**
+ * The settings' tree as the path=value pairs that {@link edgegateway.protocol.SettingsReader}
+ * reads.
+ */
 public final class SettingsPairs {
   private SettingsPairs() {}
 
--- a/edge/src/main/java/thistlefall/node/WarmUp.java
+++ b/edge/src/main/java/edgegateway/node/WarmUp.java
@@ -1,5 +1,11 @@
-package thistlefall.node;
+package edgegateway.node;
 
+import edgegateway.policy.api.Counter;
+import edgegateway.policy.api.Readiness;
+import edgegateway.policy.api.Repeat;
+import edgegateway.policy.api.RequestClass;
+import edgegateway.policy.api.Server;
+import edgegateway.policy.api.Settings;
 import io.netty.buffer.ByteBuf;
 import io.netty.buffer.Unpooled;
 import io.netty.channel.embedded.EmbeddedChannel;
@@ -7,12 +13,6 @@
 import java.util.ArrayList;
 import java.util.List;
 import java.util.concurrent.TimeUnit;
-import thistlefall.Ports.Counter;
-import thistlefall.Ports.Readiness;
-import thistlefall.Ports.Repeat;
-import thistlefall.Ports.RequestClass;
-import thistlefall.Ports.Server;
-import thistlefall.Ports.Settings;
 
 /**
  * Has the JVM compile what a request passes through before the front sends any. On a part of a core
--- a/edge/src/main/java/thistlefall/node/connections/Budget.java
+++ b/edge/src/main/java/edgegateway/node/connections/Budget.java
@@ -1,9 +1,9 @@
-package thistlefall.node.connections;
+package edgegateway.node.connections;
 
+import edgegateway.node.discovery.Watches;
 import io.netty.util.internal.PlatformDependent;
 import java.util.ArrayList;
 import java.util.List;
-import thistlefall.node.discovery.Watches;
 
 /**
  * The one budget of descriptors of a process, and of the bytes of bodies that are held. All
--- a/edge/src/main/java/thistlefall/node/connections/Carrier.java
+++ b/edge/src/main/java/edgegateway/node/connections/Carrier.java
@@ -1,4 +1,4 @@
-package thistlefall.node.connections;
+package edgegateway.node.connections;
 
 /** What carries a connection's bytes. */
 public interface Carrier {
--- a/edge/src/main/java/thistlefall/node/connections/Clients.java
+++ b/edge/src/main/java/edgegateway/node/connections/Clients.java
@@ -1,5 +1,6 @@
-package thistlefall.node.connections;
+package edgegateway.node.connections;
 
+import edgegateway.node.connections.Counts.Cause;
 import java.net.Inet6Address;
 import java.net.InetAddress;
 import java.net.InetSocketAddress;
@@ -11,7 +12,6 @@
 import java.util.LinkedHashSet;
 import java.util.Map;
 import java.util.Set;
-import thistlefall.node.connections.Counts.Cause;
 
 /**
  * The table of clients' connections: who gets a place, who gives one up, and who has taken too
--- a/edge/src/main/java/thistlefall/node/connections/Counts.java
+++ b/edge/src/main/java/edgegateway/node/connections/Counts.java
@@ -1,4 +1,4 @@
-package thistlefall.node.connections;
+package edgegateway.node.connections;
 
 import java.util.Locale;
 import java.util.concurrent.atomic.AtomicLong;
--- a/edge/src/main/java/thistlefall/node/connections/Dial.java
+++ b/edge/src/main/java/edgegateway/node/connections/Dial.java
@@ -1,4 +1,4 @@
-package thistlefall.node.connections;
+package edgegateway.node.connections;
 
 import io.netty.bootstrap.Bootstrap;
 import io.netty.channel.Channel;
--- a/edge/src/main/java/thistlefall/node/connections/Limits.java
+++ b/edge/src/main/java/edgegateway/node/connections/Limits.java
@@ -1,4 +1,4 @@
-package thistlefall.node.connections;
+package edgegateway.node.connections;
 
 /**
  * What the configuration's {@code connections} object sets; a limit that it leaves out is 0 here
--- a/edge/src/main/java/thistlefall/node/connections/Listener.java
+++ b/edge/src/main/java/edgegateway/node/connections/Listener.java
@@ -1,4 +1,4 @@
-package thistlefall.node.connections;
+package edgegateway.node.connections;
 
 import io.netty.bootstrap.ServerBootstrap;
 import io.netty.channel.Channel;
--- a/edge/src/main/java/thistlefall/node/discovery/JsonObjects.java
+++ b/edge/src/main/java/edgegateway/node/discovery/JsonObjects.java
@@ -1,4 +1,4 @@
-package thistlefall.node.discovery;
+package edgegateway.node.discovery;
 
 import java.io.ByteArrayOutputStream;
 import java.nio.charset.StandardCharsets;
--- a/edge/src/main/java/thistlefall/node/discovery/Watches.java
+++ b/edge/src/main/java/edgegateway/node/discovery/Watches.java
@@ -1,4 +1,4 @@
-package thistlefall.node.discovery;
+package edgegateway.node.discovery;
 
 import java.util.ArrayList;
 import java.util.List;
--- a/edge/src/main/java/thistlefall/node/zones/Ballot.java
+++ b/edge/src/main/java/edgegateway/node/zones/Ballot.java
@@ -1,4 +1,4 @@
-package thistlefall.node.zones;
+package edgegateway.node.zones;
 
 /**
  * One question about one zone in one span of time; whoever votes does so once.
--- a/edge/src/main/java/thistlefall/node/zones/Ballots.java
+++ b/edge/src/main/java/edgegateway/node/zones/Ballots.java
@@ -1,4 +1,4 @@
-package thistlefall.node.zones;
+package edgegateway.node.zones;
 
 /** Carries votes between the nodes. Each call may be lost; none may count twice. */
 public interface Ballots {
--- a/edge/src/main/java/thistlefall/node/zones/CounterBallots.java
+++ b/edge/src/main/java/edgegateway/node/zones/CounterBallots.java
@@ -1,4 +1,4 @@
-package thistlefall.node.zones;
+package edgegateway.node.zones;
 
 import java.nio.charset.StandardCharsets;
 import java.util.ArrayDeque;
--- a/edge/src/main/java/thistlefall/node/zones/ZoneAgreement.java
+++ b/edge/src/main/java/edgegateway/node/zones/ZoneAgreement.java
@@ -1,13 +1,13 @@
-package thistlefall.node.zones;
+package edgegateway.node.zones;
 
+import edgegateway.policy.api.Course;
+import edgegateway.policy.api.ZoneEvidence;
 import java.util.HashMap;
 import java.util.HashSet;
 import java.util.List;
 import java.util.Map;
 import java.util.Set;
 import java.util.SplittableRandom;
-import thistlefall.Ports.Course;
-import thistlefall.Ports.ZoneEvidence;
 
 /**
  * Which zones a fleet leaves, and how it comes back to them ({@code docs/design/zones.md}): a plain
--- a/edge/src/main/java/thistlefall/node/zones/ZoneMachine.java
+++ b/edge/src/main/java/edgegateway/node/zones/ZoneMachine.java
@@ -1,12 +1,12 @@
-package thistlefall.node.zones;
+package edgegateway.node.zones;
 
+import edgegateway.node.zones.Ballot.Question;
+import edgegateway.node.zones.ZoneVerdict.State;
+import edgegateway.node.zones.ZoneVerdict.Why;
+import edgegateway.policy.api.Course;
+import edgegateway.policy.api.ZoneEvidence;
 import java.util.Locale;
 import java.util.SplittableRandom;
-import thistlefall.Ports.Course;
-import thistlefall.Ports.ZoneEvidence;
-import thistlefall.node.zones.Ballot.Question;
-import thistlefall.node.zones.ZoneVerdict.State;
-import thistlefall.node.zones.ZoneVerdict.Why;
 
 /** One zone's way out and back, as one node sees it. */
 final class ZoneMachine {
--- a/edge/src/main/java/thistlefall/node/zones/ZoneSettings.java
+++ b/edge/src/main/java/edgegateway/node/zones/ZoneSettings.java
@@ -1,4 +1,4 @@
-package thistlefall.node.zones;
+package edgegateway.node.zones;
 
 /**
  * How zones are left and come back: the configuration's object {@code zones}.
--- a/edge/src/main/java/thistlefall/node/zones/ZoneVerdict.java
+++ b/edge/src/main/java/edgegateway/node/zones/ZoneVerdict.java
@@ -1,4 +1,4 @@
-package thistlefall.node.zones;
+package edgegateway.node.zones;
 
 /**
  * How a zone stands by verdict, for people.
--- a/edge/src/main/java/thistlefall/node/zones/ZoneVerdicts.java
+++ b/edge/src/main/java/edgegateway/node/zones/ZoneVerdicts.java
@@ -1,12 +1,12 @@
-package thistlefall.node.zones;
+package edgegateway.node.zones;
 
+import edgegateway.policy.Gateway;
+import edgegateway.policy.api.Actions;
+import edgegateway.policy.api.Course;
+import edgegateway.policy.api.Outcome;
+import edgegateway.policy.api.Rules;
+import edgegateway.policy.api.Settings;
 import java.util.List;
-import thistlefall.Gateway;
-import thistlefall.Ports;
-import thistlefall.Ports.Course;
-import thistlefall.Ports.Outcome;
-import thistlefall.Ports.Rules;
-import thistlefall.Ports.Settings;
 
 /**
  * Joins the agreement on zones to a node's module and to its shared counter; its host calls it as
@@ -26,7 +26,7 @@
   private static final long WARM_RAMP = 2_000_000_000L;
 
   private final Gateway gateway;
-  private final Ports.Actions host;
+  private final Actions host;
   private final CounterBallots ballots;
   private final ZoneAgreement agreement;
 
@@ -41,7 +41,7 @@
       long seed,
       long now,
       Gateway gateway,
-      Ports.Actions host) {
+      Actions host) {
     this.gateway = gateway;
     this.host = host;
     ballots = new CounterBallots(host::count, zones, ZoneAgreement.WINDOW);
--- a/edge/src/main/java/thistlefall/Gateway.java
+++ b/edge/src/main/java/edgegateway/policy/Gateway.java
@@ -1,16 +1,33 @@
-package thistlefall;
-
+package edgegateway.policy;
+
+import edgegateway.policy.api.Actions;
+import edgegateway.policy.api.Course;
+import edgegateway.policy.api.Events;
+import edgegateway.policy.api.Group;
+import edgegateway.policy.api.Handover;
+import edgegateway.policy.api.ListKind;
+import edgegateway.policy.api.Outcome;
+import edgegateway.policy.api.Plan;
+import edgegateway.policy.api.Readiness;
+import edgegateway.policy.api.Repeat;
+import edgegateway.policy.api.Request;
+import edgegateway.policy.api.RequestClass;
+import edgegateway.policy.api.Result;
+import edgegateway.policy.api.Server;
+import edgegateway.policy.api.Settings;
+import edgegateway.policy.api.Use;
+import edgegateway.policy.api.ZoneEvidence;
+import edgegateway.policy.api.ZoneState;
 import java.util.*;
 import java.util.stream.*;
 import org.ejml.simple.SimpleMatrix;
-import thistlefall.Ports.*;
 
 /**
  * All decisions of one gateway: quotas, fair queue, controllers, choice of server, attempts, final
  * answers. Its types, events and actions stand in {@code Ports.java}. The mechanism is that of the
  * Proteus paper (see PAPER and DESIGN); each departure says at its place what it guards against.
  */
-public final class Gateway implements Ports.Events {
+public final class Gateway implements Events {
   private static final long MS = 1_000_000L;
   private static final long SECOND = 1_000 * MS;
   private static final double NANO = 1e-9;
--- /dev/null
+++ b/edge/src/main/java/edgegateway/policy/api/Group.java
@@ -0,0 +1,11 @@
+package edgegateway.policy.api;
+
+/** The servers that drop repeats of a {@link Repeat#KEYED} request. */
+public enum Group {
+  /** Every server. */
+  ALL,
+  /** The servers of the zone first sent to. */
+  ZONE,
+  /** The servers of the cell first sent to. */
+  CELL
+}
--- a/edge/src/main/java/thistlefall/SettingsReader.java
+++ b/edge/src/main/java/edgegateway/protocol/SettingsReader.java
@@ -1,17 +1,17 @@
-package thistlefall;
+package edgegateway.protocol;
 
+import edgegateway.policy.api.Counter;
+import edgegateway.policy.api.Group;
+import edgegateway.policy.api.Limits;
+import edgegateway.policy.api.Plan;
+import edgegateway.policy.api.Repeat;
+import edgegateway.policy.api.RequestClass;
+import edgegateway.policy.api.Rules;
+import edgegateway.policy.api.Settings;
 import java.util.ArrayList;
 import java.util.HashMap;
 import java.util.List;
 import java.util.Map;
-import thistlefall.Ports.Counter;
-import thistlefall.Ports.Group;
-import thistlefall.Ports.Limits;
-import thistlefall.Ports.Plan;
-import thistlefall.Ports.Repeat;
-import thistlefall.Ports.RequestClass;
-import thistlefall.Ports.Rules;
-import thistlefall.Ports.Settings;
 
 /**
  * Turns path=value pairs into {@link Settings}; unknown paths are ignored. The simulator's wire and
--- a/edge/src/main/java/thistlefall/drill/Drill.java
+++ b/edge/src/main/java/edgegateway/simulator/Drill.java
@@ -1,4 +1,4 @@
-package thistlefall.drill;
+package edgegateway.simulator;
 
 import java.io.BufferedReader;
 import java.io.BufferedWriter;
@@ -14,7 +14,7 @@
   /** Runs the drill; the only argument is the word {@code drill}. */
   public static void main(String[] args) {
     if (args.length != 1 || !args[0].equals("drill")) {
-      System.err.println("usage: thistlefall.jar drill");
+      System.err.println("usage: edge-gateway.jar drill");
       System.exit(2);
     }
     var in = new BufferedReader(new InputStreamReader(System.in, StandardCharsets.UTF_8), 1 << 16);
--- a/edge/src/main/java/thistlefall/drill/MalformedInput.java
+++ b/edge/src/main/java/edgegateway/simulator/MalformedInput.java
@@ -1,4 +1,4 @@
-package thistlefall.drill;
+package edgegateway.simulator;
 
 /** Input that is not of the wire; the message names the line and what is wrong with it. */
 final class MalformedInput extends Exception {
--- a/edge/src/main/java/thistlefall/drill/WireReader.java
+++ b/edge/src/main/java/edgegateway/simulator/WireReader.java
@@ -1,19 +1,19 @@
-package thistlefall.drill;
-
+package edgegateway.simulator;
+
+import edgegateway.policy.Gateway;
+import edgegateway.policy.api.ListKind;
+import edgegateway.policy.api.Outcome;
+import edgegateway.policy.api.Readiness;
+import edgegateway.policy.api.Request;
+import edgegateway.policy.api.Result;
+import edgegateway.policy.api.Server;
+import edgegateway.protocol.SettingsReader;
 import java.io.BufferedReader;
 import java.io.IOException;
 import java.util.ArrayList;
 import java.util.HashMap;
 import java.util.List;
 import java.util.Map;
-import thistlefall.Gateway;
-import thistlefall.Ports.ListKind;
-import thistlefall.Ports.Outcome;
-import thistlefall.Ports.Readiness;
-import thistlefall.Ports.Request;
-import thistlefall.Ports.Result;
-import thistlefall.Ports.Server;
-import thistlefall.SettingsReader;
 
 /**
  * Reads batches of the wire, hands each event to the gateway concerned and has the reply written.
--- a/edge/src/main/java/thistlefall/drill/WireWriter.java
+++ b/edge/src/main/java/edgegateway/simulator/WireWriter.java
@@ -1,8 +1,8 @@
-package thistlefall.drill;
+package edgegateway.simulator;
 
+import edgegateway.policy.api.Actions;
 import java.io.IOException;
 import java.io.Writer;
-import thistlefall.Ports.Actions;
 
 /** Writes actions as lines of the wire. */
 final class WireWriter {
--- a/edge/src/test/java/thistlefall/node/ConnectionsMeasure.java
+++ b/edge/src/test/java/edgegateway/node/ConnectionsMeasure.java
@@ -1,4 +1,4 @@
-package thistlefall.node;
+package edgegateway.node;
 
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
@@ -98,7 +98,7 @@
   }
 
   private static String[] jars() {
-    String jars = System.getProperty("jars", "target/thistlefall.jar");
+    String jars = System.getProperty("jars", "target/edge-gateway.jar");
     return jars.split(",");
   }
 
--- a/edge/src/test/java/thistlefall/node/LeftClientsTest.java
+++ b/edge/src/test/java/edgegateway/node/LeftClientsTest.java
@@ -1,4 +1,4 @@
-package thistlefall.node;
+package edgegateway.node;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
--- a/edge/src/test/java/thistlefall/node/NodeTest.java
+++ b/edge/src/test/java/edgegateway/node/NodeTest.java
@@ -1,4 +1,4 @@
-package thistlefall.node;
+package edgegateway.node;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertNotNull;
@@ -91,7 +91,7 @@
             Path.of(System.getProperty("java.home"), "bin", "java").toString(),
             "-cp",
             System.getProperty("java.class.path"),
-            "thistlefall.node.Main",
+            "edgegateway.node.Main",
             "serve"));
     ProcessBuilder builder = new ProcessBuilder(words);
     builder.environment().put("GW_CONFIG", config.toString());
--- a/edge/src/test/java/thistlefall/node/SignalsTest.java
+++ b/edge/src/test/java/edgegateway/node/SignalsTest.java
@@ -1,4 +1,4 @@
-package thistlefall.node;
+package edgegateway.node;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
@@ -181,6 +181,6 @@
     assertFalse(ClassArchive.mapped(base, "/jdk"));
     assertTrue(
         ClassArchive.mapped(
-            base + "8000-9000 r--p 0 00:00 2 /srv/target/thistlefall.jsa\n", "/jdk"));
+            base + "8000-9000 r--p 0 00:00 2 /srv/target/edge-gateway.jsa\n", "/jdk"));
   }
 }
--- a/edge/src/test/java/thistlefall/node/UpgradeTest.java
+++ b/edge/src/test/java/edgegateway/node/UpgradeTest.java
@@ -1,10 +1,12 @@
-package thistlefall.node;
+package edgegateway.node;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
 import static org.junit.jupiter.api.Assertions.assertNull;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
+import edgegateway.policy.api.Handover;
+import edgegateway.policy.api.Use;
 import java.io.IOException;
 import java.net.Socket;
 import java.nio.file.Files;
@@ -18,8 +20,6 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
 import org.junit.jupiter.api.io.TempDir;
-import thistlefall.Ports.Handover;
-import thistlefall.Ports.Use;
 
 /** Two processes of one edge node, here two nodes with one folder, at one clients' address. */
 @Timeout(60)
--- a/edge/src/test/java/thistlefall/node/connections/BudgetTest.java
+++ b/edge/src/test/java/edgegateway/node/connections/BudgetTest.java
@@ -1,4 +1,4 @@
-package thistlefall.node.connections;
+package edgegateway.node.connections;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
--- a/edge/src/test/java/thistlefall/node/connections/ServersTest.java
+++ b/edge/src/test/java/edgegateway/node/connections/ServersTest.java
@@ -1,4 +1,4 @@
-package thistlefall.node.connections;
+package edgegateway.node.connections;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
@@ -7,6 +7,9 @@
 import static org.junit.jupiter.api.Assertions.assertSame;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
+import edgegateway.node.connections.Servers.Failure;
+import edgegateway.node.connections.Servers.Link;
+import edgegateway.node.connections.Servers.Target;
 import java.util.ArrayList;
 import java.util.HashMap;
 import java.util.List;
@@ -14,9 +17,6 @@
 import java.util.PriorityQueue;
 import java.util.SplittableRandom;
 import org.junit.jupiter.api.Test;
-import thistlefall.node.connections.Servers.Failure;
-import thistlefall.node.connections.Servers.Link;
-import thistlefall.node.connections.Servers.Target;
 
 /** Connections to archive servers, on a clock and a network of the test's own. */
 class ServersTest {
--- a/edge/src/test/java/thistlefall/node/discovery/JsonObjectsTest.java
+++ b/edge/src/test/java/edgegateway/node/discovery/JsonObjectsTest.java
@@ -1,4 +1,4 @@
-package thistlefall.node.discovery;
+package edgegateway.node.discovery;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertThrows;
--- a/edge/src/test/java/thistlefall/node/zones/ZoneAgreementTest.java
+++ b/edge/src/test/java/edgegateway/node/zones/ZoneAgreementTest.java
@@ -1,13 +1,18 @@
-package thistlefall.node.zones;
+package edgegateway.node.zones;
 
+import static edgegateway.node.zones.ZoneFleet.BEGIN;
+import static edgegateway.node.zones.ZoneFleet.MS;
+import static edgegateway.node.zones.ZoneFleet.RAMP;
+import static edgegateway.node.zones.ZoneFleet.SECOND;
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
 import static org.junit.jupiter.api.Assertions.assertTrue;
-import static thistlefall.node.zones.ZoneFleet.BEGIN;
-import static thistlefall.node.zones.ZoneFleet.MS;
-import static thistlefall.node.zones.ZoneFleet.RAMP;
-import static thistlefall.node.zones.ZoneFleet.SECOND;
 
+import edgegateway.node.zones.ZoneSettings.Verdicts;
+import edgegateway.node.zones.ZoneVerdict.State;
+import edgegateway.node.zones.ZoneVerdict.Why;
+import edgegateway.policy.api.Course;
+import edgegateway.policy.api.Rules;
 import java.util.HashSet;
 import java.util.List;
 import java.util.Set;
@@ -15,11 +20,6 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
-import thistlefall.Ports.Course;
-import thistlefall.Ports.Rules;
-import thistlefall.node.zones.ZoneSettings.Verdicts;
-import thistlefall.node.zones.ZoneVerdict.State;
-import thistlefall.node.zones.ZoneVerdict.Why;
 
 /** Whole fleets of agreements on a given clock, over many seeds; a failure tells its seed. */
 class ZoneAgreementTest {
--- a/edge/src/test/java/thistlefall/node/zones/ZoneFleet.java
+++ b/edge/src/test/java/edgegateway/node/zones/ZoneFleet.java
@@ -1,13 +1,13 @@
-package thistlefall.node.zones;
+package edgegateway.node.zones;
 
+import edgegateway.policy.api.Course;
+import edgegateway.policy.api.ZoneEvidence;
 import java.util.ArrayList;
 import java.util.HashMap;
 import java.util.List;
 import java.util.Map;
 import java.util.PriorityQueue;
 import java.util.SplittableRandom;
-import thistlefall.Ports.Course;
-import thistlefall.Ports.ZoneEvidence;
 
 /**
  * Many agreements on one clock with a counter between them; what their attempts meet is made up.
--- a/edge/src/test/java/thistlefall/ColdFleetTest.java
+++ b/edge/src/test/java/edgegateway/policy/ColdFleetTest.java
@@ -1,7 +1,12 @@
-package thistlefall;
+package edgegateway.policy;
 
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
+import edgegateway.policy.api.ListKind;
+import edgegateway.policy.api.Outcome;
+import edgegateway.policy.api.Readiness;
+import edgegateway.policy.api.Result;
+import edgegateway.policy.api.Server;
 import java.util.ArrayDeque;
 import java.util.ArrayList;
 import java.util.Comparator;
@@ -11,11 +16,6 @@
 import java.util.PriorityQueue;
 import java.util.SplittableRandom;
 import org.junit.jupiter.api.Test;
-import thistlefall.Ports.ListKind;
-import thistlefall.Ports.Outcome;
-import thistlefall.Ports.Readiness;
-import thistlefall.Ports.Result;
-import thistlefall.Ports.Server;
 
 /**
  * What all gateways of a fleet together send to servers that are cold, against what these may be
--- a/edge/src/test/java/thistlefall/CounterFleetTest.java
+++ b/edge/src/test/java/edgegateway/policy/CounterFleetTest.java
@@ -1,7 +1,10 @@
-package thistlefall;
+package edgegateway.policy;
 
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
+import edgegateway.policy.api.Outcome;
+import edgegateway.policy.api.Plan;
+import edgegateway.policy.api.Request;
 import java.util.ArrayList;
 import java.util.Comparator;
 import java.util.HashMap;
@@ -11,9 +14,6 @@
 import java.util.PriorityQueue;
 import java.util.SplittableRandom;
 import org.junit.jupiter.api.Test;
-import thistlefall.Ports.Outcome;
-import thistlefall.Ports.Plan;
-import thistlefall.Ports.Request;
 
 /**
  * A fleet before a counter that bears far fewer calls than its gateways have requests
--- a/edge/src/test/java/thistlefall/Host.java
+++ b/edge/src/test/java/edgegateway/policy/Host.java
@@ -1,24 +1,24 @@
-package thistlefall;
+package edgegateway.policy;
 
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
+import edgegateway.policy.api.Actions;
+import edgegateway.policy.api.Counter;
+import edgegateway.policy.api.Group;
+import edgegateway.policy.api.Limits;
+import edgegateway.policy.api.ListKind;
+import edgegateway.policy.api.Outcome;
+import edgegateway.policy.api.Plan;
+import edgegateway.policy.api.Readiness;
+import edgegateway.policy.api.Repeat;
+import edgegateway.policy.api.Request;
+import edgegateway.policy.api.RequestClass;
+import edgegateway.policy.api.Result;
+import edgegateway.policy.api.Rules;
+import edgegateway.policy.api.Server;
+import edgegateway.policy.api.Settings;
 import java.util.ArrayList;
 import java.util.List;
-import thistlefall.Ports.Actions;
-import thistlefall.Ports.Counter;
-import thistlefall.Ports.Group;
-import thistlefall.Ports.Limits;
-import thistlefall.Ports.ListKind;
-import thistlefall.Ports.Outcome;
-import thistlefall.Ports.Plan;
-import thistlefall.Ports.Readiness;
-import thistlefall.Ports.Repeat;
-import thistlefall.Ports.Request;
-import thistlefall.Ports.RequestClass;
-import thistlefall.Ports.Result;
-import thistlefall.Ports.Rules;
-import thistlefall.Ports.Server;
-import thistlefall.Ports.Settings;
 
 /** A host under the test's control: writes down what one gateway asks for and calls its events. */
 final class Host implements Actions {
--- a/edge/src/test/java/thistlefall/ListsTest.java
+++ b/edge/src/test/java/edgegateway/policy/ListsTest.java
@@ -1,17 +1,17 @@
-package thistlefall;
+package edgegateway.policy;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
+import edgegateway.policy.api.ListKind;
+import edgegateway.policy.api.Outcome;
+import edgegateway.policy.api.Readiness;
+import edgegateway.policy.api.Server;
 import java.util.ArrayList;
 import java.util.List;
 import java.util.Set;
 import java.util.stream.Collectors;
 import org.junit.jupiter.api.Test;
-import thistlefall.Ports.ListKind;
-import thistlefall.Ports.Outcome;
-import thistlefall.Ports.Readiness;
-import thistlefall.Ports.Server;
 
 /**
  * Lists as they should not be: the module goes on with what they say, and its memory follows what
--- a/edge/src/test/java/thistlefall/MechanismTest.java
+++ b/edge/src/test/java/edgegateway/policy/MechanismTest.java
@@ -1,11 +1,15 @@
-package thistlefall;
+package edgegateway.policy;
 
+import static edgegateway.policy.Host.MS;
+import static edgegateway.policy.Host.SAFE;
+import static edgegateway.policy.Host.UNSAFE;
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
-import static thistlefall.Host.MS;
-import static thistlefall.Host.SAFE;
-import static thistlefall.Host.UNSAFE;
 
+import edgegateway.policy.api.Outcome;
+import edgegateway.policy.api.Plan;
+import edgegateway.policy.api.Readiness;
+import edgegateway.policy.api.Result;
 import java.util.ArrayList;
 import java.util.Arrays;
 import java.util.HashMap;
@@ -16,8 +20,6 @@
 import java.util.SplittableRandom;
 import org.ejml.simple.SimpleMatrix;
 import org.junit.jupiter.api.Test;
-import thistlefall.Ports.Outcome;
-import thistlefall.Ports.Plan;
 
 /** The laws and the counter rule on their own terms. */
 class MechanismTest {
@@ -114,7 +116,7 @@
       Host host = new Host(Host.FREE, 1, 0, false).servers(2);
       host.pass(20_000 * MS);
       for (int i = 0; i < 6; i++) {
-        host.server("new-" + i, 0, Ports.Readiness.READY, host.now - age);
+        host.server("new-" + i, 0, Readiness.READY, host.now - age);
       }
       for (int i = 0; i < 100; i++) {
         host.request(SAFE, 1);
@@ -449,7 +451,7 @@
     host.request(SAFE, 5, 1, 1, host.now + 3000 * MS);
     assertEquals(2, host.refused.size());
     host.gateway.attemptEnded(
-        host.now, new Ports.Result("nobody", Outcome.OK, 1, "x", true, 0, 0, List.of()));
+        host.now, new Result("nobody", Outcome.OK, 1, "x", true, 0, 0, List.of()));
     host.gateway.clientGone(host.now, "nobody");
     host.gateway.counted(host.now, 5, Outcome.OK, 3);
     host.gateway.probed(host.now, "nobody", Outcome.TIMEOUT, 1, List.of(1.0, 2.0));
--- a/edge/src/test/java/thistlefall/RulesTest.java
+++ b/edge/src/test/java/edgegateway/policy/RulesTest.java
@@ -1,15 +1,23 @@
-package thistlefall;
+package edgegateway.policy;
 
+import static edgegateway.policy.Host.KEYED_ALL;
+import static edgegateway.policy.Host.KEYED_CELL;
+import static edgegateway.policy.Host.MS;
+import static edgegateway.policy.Host.SAFE;
+import static edgegateway.policy.Host.UNSAFE;
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
 import static org.junit.jupiter.api.Assertions.assertNotEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
-import static thistlefall.Host.KEYED_ALL;
-import static thistlefall.Host.KEYED_CELL;
-import static thistlefall.Host.MS;
-import static thistlefall.Host.SAFE;
-import static thistlefall.Host.UNSAFE;
 
+import edgegateway.policy.api.Course;
+import edgegateway.policy.api.ListKind;
+import edgegateway.policy.api.Outcome;
+import edgegateway.policy.api.Plan;
+import edgegateway.policy.api.Readiness;
+import edgegateway.policy.api.Server;
+import edgegateway.policy.api.ZoneEvidence;
+import edgegateway.policy.api.ZoneState;
 import java.util.ArrayList;
 import java.util.Arrays;
 import java.util.HashMap;
@@ -19,14 +27,6 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.EnumSource;
-import thistlefall.Ports.Course;
-import thistlefall.Ports.ListKind;
-import thistlefall.Ports.Outcome;
-import thistlefall.Ports.Plan;
-import thistlefall.Ports.Readiness;
-import thistlefall.Ports.Server;
-import thistlefall.Ports.ZoneEvidence;
-import thistlefall.Ports.ZoneState;
 
 /** The five rules at their edges. */
 class RulesTest {
--- a/edge/src/test/java/thistlefall/ScaleMeasure.java
+++ b/edge/src/test/java/edgegateway/policy/ScaleMeasure.java
@@ -1,9 +1,17 @@
-package thistlefall;
+package edgegateway.policy;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import com.sun.management.ThreadMXBean;
+import edgegateway.policy.api.Actions;
+import edgegateway.policy.api.ListKind;
+import edgegateway.policy.api.Outcome;
+import edgegateway.policy.api.Plan;
+import edgegateway.policy.api.Readiness;
+import edgegateway.policy.api.Request;
+import edgegateway.policy.api.Result;
+import edgegateway.policy.api.Server;
 import java.lang.management.ManagementFactory;
 import java.util.ArrayDeque;
 import java.util.ArrayList;
@@ -14,14 +22,6 @@
 import org.junit.jupiter.api.Tag;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
-import thistlefall.Ports.Actions;
-import thistlefall.Ports.ListKind;
-import thistlefall.Ports.Outcome;
-import thistlefall.Ports.Plan;
-import thistlefall.Ports.Readiness;
-import thistlefall.Ports.Request;
-import thistlefall.Ports.Result;
-import thistlefall.Ports.Server;
 
 /**
  * What the list, a request and a customer cost the module, by the size of the fleet, on a clock of
--- a/edge/src/test/java/thistlefall/DrillTest.java
+++ b/edge/src/test/java/edgegateway/simulator/DrillTest.java
@@ -1,4 +1,4 @@
-package thistlefall;
+package edgegateway.simulator;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
@@ -19,7 +19,7 @@
                 System.getProperty("java.home") + File.separator + "bin" + File.separator + "java",
                 "-cp",
                 System.getProperty("java.class.path"),
-                "thistlefall.drill.Drill",
+                "edgegateway.simulator.Drill",
                 "drill")
             .start();
     try (var in = process.getOutputStream()) {
--- a/lab/src/main/java/thistlefall/lab/cli/package-info.java
+++ /dev/null
@@ -1,2 +0,0 @@
-/** The lab's command line. */
-package thistlefall.lab.cli;
--- a/lab/src/main/java/thistlefall/lab/cli/Compare.java
+++ b/testbed/src/main/java/edgegateway/testbed/cli/Compare.java
@@ -1,5 +1,9 @@
-package thistlefall.lab.cli;
+package edgegateway.testbed.cli;
 
+import edgegateway.testbed.process.DeployFile;
+import edgegateway.testbed.scenario.Play;
+import edgegateway.testbed.scenario.Result;
+import edgegateway.testbed.scenario.Scenario;
 import java.io.IOException;
 import java.nio.file.Files;
 import java.nio.file.Path;
@@ -9,10 +13,6 @@
 import picocli.CommandLine.Command;
 import picocli.CommandLine.Option;
 import picocli.CommandLine.Parameters;
-import thistlefall.lab.process.DeployFile;
-import thistlefall.lab.scenario.Play;
-import thistlefall.lab.scenario.Result;
-import thistlefall.lab.scenario.Scenario;
 
 /** Several programs on real processes, by turns. */
 @Command(
@@ -42,7 +42,7 @@
   @Option(
       names = "--out",
       paramLabel = "DIR",
-      defaultValue = "target/lab/compare",
+      defaultValue = "target/testbed/compare",
       description = "where the results go (${DEFAULT-VALUE})")
   private Path out;
 
--- a/lab/src/main/java/thistlefall/lab/cli/Lab.java
+++ b/testbed/src/main/java/edgegateway/testbed/cli/Lab.java
@@ -1,4 +1,4 @@
-package thistlefall.lab.cli;
+package edgegateway.testbed.cli;
 
 import picocli.CommandLine;
 import picocli.CommandLine.Command;
--- a/lab/src/main/java/thistlefall/lab/cli/ListScenarios.java
+++ b/testbed/src/main/java/edgegateway/testbed/cli/ListScenarios.java
@@ -1,5 +1,6 @@
-package thistlefall.lab.cli;
+package edgegateway.testbed.cli;
 
+import edgegateway.testbed.scenario.Scenario;
 import java.io.IOException;
 import java.nio.file.Files;
 import java.nio.file.Path;
@@ -9,7 +10,6 @@
 import java.util.stream.Stream;
 import picocli.CommandLine.Command;
 import picocli.CommandLine.Parameters;
-import thistlefall.lab.scenario.Scenario;
 
 /** The scenarios of a folder. */
 @Command(
@@ -19,7 +19,7 @@
 final class ListScenarios implements Callable<Integer> {
   @Parameters(
       paramLabel = "DIR",
-      defaultValue = "lab/scenarios",
+      defaultValue = "testbed/scenarios",
       description = "the folder (${DEFAULT-VALUE})")
   private Path folder;
 
--- a/lab/src/main/java/thistlefall/lab/cli/ModelRuns.java
+++ b/testbed/src/main/java/edgegateway/testbed/cli/ModelRuns.java
@@ -1,5 +1,9 @@
-package thistlefall.lab.cli;
+package edgegateway.testbed.cli;
 
+import edgegateway.testbed.judge.Finding;
+import edgegateway.testbed.model.Model;
+import edgegateway.testbed.scenario.Result;
+import edgegateway.testbed.scenario.Scenario;
 import java.io.IOException;
 import java.nio.file.Files;
 import java.nio.file.Path;
@@ -13,10 +17,6 @@
 import picocli.CommandLine.Command;
 import picocli.CommandLine.Option;
 import picocli.CommandLine.Parameters;
-import thistlefall.lab.judge.Finding;
-import thistlefall.lab.model.Model;
-import thistlefall.lab.scenario.Result;
-import thistlefall.lab.scenario.Scenario;
 
 /** Plays of the model. */
 @Command(
--- a/lab/src/main/java/thistlefall/lab/cli/Report.java
+++ b/testbed/src/main/java/edgegateway/testbed/cli/Report.java
@@ -1,13 +1,13 @@
-package thistlefall.lab.cli;
+package edgegateway.testbed.cli;
 
 import com.fasterxml.jackson.databind.ObjectMapper;
+import edgegateway.testbed.report.Page;
+import edgegateway.testbed.scenario.Result;
 import java.io.IOException;
 import java.nio.file.Path;
 import java.util.concurrent.Callable;
 import picocli.CommandLine.Command;
 import picocli.CommandLine.Parameters;
-import thistlefall.lab.report.Page;
-import thistlefall.lab.scenario.Result;
 
 /** The page of a play that was played before. */
 @Command(
--- a/lab/src/main/java/thistlefall/lab/cli/Run.java
+++ b/testbed/src/main/java/edgegateway/testbed/cli/Run.java
@@ -1,7 +1,13 @@
-package thistlefall.lab.cli;
+package edgegateway.testbed.cli;
 
 import com.fasterxml.jackson.databind.ObjectMapper;
 import com.fasterxml.jackson.databind.SerializationFeature;
+import edgegateway.testbed.judge.Finding;
+import edgegateway.testbed.process.DeployFile;
+import edgegateway.testbed.report.Page;
+import edgegateway.testbed.scenario.Play;
+import edgegateway.testbed.scenario.Result;
+import edgegateway.testbed.scenario.Scenario;
 import java.io.IOException;
 import java.nio.file.Files;
 import java.nio.file.Path;
@@ -10,12 +16,6 @@
 import picocli.CommandLine.Command;
 import picocli.CommandLine.Option;
 import picocli.CommandLine.Parameters;
-import thistlefall.lab.judge.Finding;
-import thistlefall.lab.process.DeployFile;
-import thistlefall.lab.report.Page;
-import thistlefall.lab.scenario.Play;
-import thistlefall.lab.scenario.Result;
-import thistlefall.lab.scenario.Scenario;
 
 /** One play on real processes. */
 @Command(
@@ -43,7 +43,7 @@
       names = "--out",
       paramLabel = "DIR",
       description =
-          "where index.html, result.json, history.jsonl and the nodes' folders go; target/lab/NAME-SEED if left out")
+          "where index.html, result.json, history.jsonl and the nodes' folders go; target/testbed/NAME-SEED if left out")
   private Path out;
 
   @Override
--- a/lab/src/main/java/thistlefall/lab/cli/Scale.java
+++ b/testbed/src/main/java/edgegateway/testbed/cli/Scale.java
@@ -1,5 +1,11 @@
-package thistlefall.lab.cli;
+package edgegateway.testbed.cli;
 
+import edgegateway.testbed.scale.ModelScale;
+import edgegateway.testbed.scale.Point;
+import edgegateway.testbed.scale.ScaleFile;
+import edgegateway.testbed.scale.ScaleResult;
+import edgegateway.testbed.scale.sockets.SocketsScale;
+import edgegateway.testbed.scenario.Scenario;
 import java.io.IOException;
 import java.nio.file.Path;
 import java.time.LocalDate;
@@ -15,12 +21,6 @@
 import picocli.CommandLine.Option;
 import picocli.CommandLine.Parameters;
 import picocli.CommandLine.Spec;
-import thistlefall.lab.scale.ModelScale;
-import thistlefall.lab.scale.Point;
-import thistlefall.lab.scale.ScaleFile;
-import thistlefall.lab.scale.ScaleResult;
-import thistlefall.lab.scale.sockets.SocketsScale;
-import thistlefall.lab.scenario.Scenario;
 
 /** Fleets of several sizes, one after the other, and what each measured. */
 @Command(
--- a/lab/src/main/java/thistlefall/lab/cli/ScaleReport.java
+++ b/testbed/src/main/java/edgegateway/testbed/cli/ScaleReport.java
@@ -1,5 +1,11 @@
-package thistlefall.lab.cli;
+package edgegateway.testbed.cli;
 
+import edgegateway.testbed.report.ScalePage;
+import edgegateway.testbed.scale.CapacityFile;
+import edgegateway.testbed.scale.CapacityTables;
+import edgegateway.testbed.scale.Curve;
+import edgegateway.testbed.scale.ScaleResult;
+import edgegateway.testbed.scale.ScaleTables;
 import java.io.IOException;
 import java.nio.file.Files;
 import java.nio.file.Path;
@@ -9,12 +15,6 @@
 import picocli.CommandLine.Command;
 import picocli.CommandLine.Option;
 import picocli.CommandLine.Parameters;
-import thistlefall.lab.report.ScalePage;
-import thistlefall.lab.scale.CapacityFile;
-import thistlefall.lab.scale.CapacityTables;
-import thistlefall.lab.scale.Curve;
-import thistlefall.lab.scale.ScaleResult;
-import thistlefall.lab.scale.ScaleTables;
 
 /** The tables of plays that were played before. */
 @Command(
--- a/lab/src/main/java/thistlefall/lab/cli/Seeds.java
+++ b/testbed/src/main/java/edgegateway/testbed/cli/Seeds.java
@@ -1,4 +1,4 @@
-package thistlefall.lab.cli;
+package edgegateway.testbed.cli;
 
 import java.util.stream.LongStream;
 
--- a/lab/src/main/java/thistlefall/lab/cli/Summary.java
+++ b/testbed/src/main/java/edgegateway/testbed/cli/Summary.java
@@ -1,5 +1,6 @@
-package thistlefall.lab.cli;
+package edgegateway.testbed.cli;
 
+import edgegateway.testbed.scenario.Result;
 import java.io.PrintStream;
 import java.util.ArrayList;
 import java.util.LinkedHashMap;
@@ -7,7 +8,6 @@
 import java.util.Locale;
 import java.util.Map;
 import java.util.function.ToDoubleFunction;
-import thistlefall.lab.scenario.Result;
 
 /** Figures of several plays side by side: for each the median, the least and the most. */
 final class Summary {
--- a/lab/src/main/java/thistlefall/lab/cli/Trace.java
+++ b/testbed/src/main/java/edgegateway/testbed/cli/Trace.java
@@ -1,7 +1,8 @@
-package thistlefall.lab.cli;
+package edgegateway.testbed.cli;
 
 import com.fasterxml.jackson.databind.JsonNode;
 import com.fasterxml.jackson.databind.ObjectMapper;
+import edgegateway.testbed.scenario.HistoryFile;
 import java.io.IOException;
 import java.nio.file.Files;
 import java.nio.file.Path;
@@ -14,7 +15,6 @@
 import java.util.stream.Stream;
 import picocli.CommandLine.Command;
 import picocli.CommandLine.Parameters;
-import thistlefall.lab.scenario.HistoryFile;
 
 /** What happened to one request, and what its nodes said meanwhile. */
 @Command(
--- /dev/null
+++ b/testbed/src/main/java/edgegateway/testbed/cli/package-info.java
@@ -0,0 +1,2 @@
+/** The lab's command line. */
+package edgegateway.testbed.cli;
--- a/lab/src/main/java/thistlefall/lab/fleet/Fleet.java
+++ b/testbed/src/main/java/edgegateway/testbed/fleet/Fleet.java
@@ -1,5 +1,25 @@
-package thistlefall.lab.fleet;
-
+package edgegateway.testbed.fleet;
+
+import edgegateway.testbed.net.Conditions;
+import edgegateway.testbed.net.Faults;
+import edgegateway.testbed.net.Party;
+import edgegateway.testbed.net.Selector;
+import edgegateway.testbed.net.TcpLink;
+import edgegateway.testbed.process.DeployFile;
+import edgegateway.testbed.process.Guard;
+import edgegateway.testbed.process.NodeProcess;
+import edgegateway.testbed.process.NodeProcess.Line;
+import edgegateway.testbed.process.NodeProcess.Signal;
+import edgegateway.testbed.process.Operators;
+import edgegateway.testbed.stand.ArchiveServer;
+import edgegateway.testbed.stand.CounterTerms;
+import edgegateway.testbed.stand.Member;
+import edgegateway.testbed.stand.Member.Phase;
+import edgegateway.testbed.stand.Roll;
+import edgegateway.testbed.stand.ServerTerms;
+import edgegateway.testbed.stand.http.ArchiveServerPort;
+import edgegateway.testbed.stand.http.CounterPort;
+import edgegateway.testbed.stand.http.DiscoveryPort;
 import io.netty.channel.EventLoopGroup;
 import io.netty.channel.MultiThreadIoEventLoopGroup;
 import io.netty.channel.nio.NioIoHandler;
@@ -23,26 +43,6 @@
 import java.util.concurrent.TimeUnit;
 import java.util.function.Consumer;
 import java.util.function.ToDoubleFunction;
-import thistlefall.lab.net.Conditions;
-import thistlefall.lab.net.Faults;
-import thistlefall.lab.net.Party;
-import thistlefall.lab.net.Selector;
-import thistlefall.lab.net.TcpLink;
-import thistlefall.lab.process.DeployFile;
-import thistlefall.lab.process.Guard;
-import thistlefall.lab.process.NodeProcess;
-import thistlefall.lab.process.NodeProcess.Line;
-import thistlefall.lab.process.NodeProcess.Signal;
-import thistlefall.lab.process.Operators;
-import thistlefall.lab.stand.ArchiveServer;
-import thistlefall.lab.stand.CounterTerms;
-import thistlefall.lab.stand.Member;
-import thistlefall.lab.stand.Member.Phase;
-import thistlefall.lab.stand.Roll;
-import thistlefall.lab.stand.ServerTerms;
-import thistlefall.lab.stand.http.ArchiveServerPort;
-import thistlefall.lab.stand.http.CounterPort;
-import thistlefall.lab.stand.http.DiscoveryPort;
 
 /**
  * Edge nodes as processes, their stand-ins, and a link between every two that speak. Faults and
--- a/lab/src/main/java/thistlefall/lab/fleet/Load.java
+++ b/testbed/src/main/java/edgegateway/testbed/fleet/Load.java
@@ -1,9 +1,9 @@
-package thistlefall.lab.fleet;
+package edgegateway.testbed.fleet;
 
+import edgegateway.node.zones.ZoneSettings;
+import edgegateway.testbed.load.Plan;
+import edgegateway.testbed.load.RequestClass;
 import java.util.List;
-import thistlefall.lab.load.Plan;
-import thistlefall.lab.load.RequestClass;
-import thistlefall.node.zones.ZoneSettings;
 
 /**
  * What edge nodes are told of what will be asked, and how they are to judge zones.
--- a/lab/src/main/java/thistlefall/lab/fleet/NodeConfig.java
+++ b/testbed/src/main/java/edgegateway/testbed/fleet/NodeConfig.java
@@ -1,16 +1,16 @@
-package thistlefall.lab.fleet;
+package edgegateway.testbed.fleet;
 
 import com.fasterxml.jackson.databind.ObjectMapper;
 import com.fasterxml.jackson.databind.node.ArrayNode;
 import com.fasterxml.jackson.databind.node.ObjectNode;
+import edgegateway.testbed.load.Plan;
+import edgegateway.testbed.load.RequestClass;
+import edgegateway.testbed.net.Party;
+import edgegateway.testbed.stand.Roll;
 import java.io.IOException;
 import java.io.InputStream;
 import java.net.InetSocketAddress;
 import java.util.Locale;
-import thistlefall.lab.load.Plan;
-import thistlefall.lab.load.RequestClass;
-import thistlefall.lab.net.Party;
-import thistlefall.lab.stand.Roll;
 
 /**
  * The configuration of one edge node (deployment page), written from the topology and one set of
--- a/lab/src/main/java/thistlefall/lab/fleet/Topology.java
+++ b/testbed/src/main/java/edgegateway/testbed/fleet/Topology.java
@@ -1,11 +1,11 @@
-package thistlefall.lab.fleet;
+package edgegateway.testbed.fleet;
 
+import edgegateway.testbed.net.Party;
+import edgegateway.testbed.net.Party.Role;
 import java.util.ArrayList;
 import java.util.HashMap;
 import java.util.List;
 import java.util.Map;
-import thistlefall.lab.net.Party;
-import thistlefall.lab.net.Party.Role;
 
 /**
  * Who there is and where.
--- a/lab/src/main/java/thistlefall/lab/fleet/package-info.java
+++ b/testbed/src/main/java/edgegateway/testbed/fleet/package-info.java
@@ -2,4 +2,4 @@
  * A fleet of real edge nodes among stand-ins, with a link between every two that speak ({@code
  * docs/design/lab.md}).
  */
-package thistlefall.lab.fleet;
+package edgegateway.testbed.fleet;
--- a/lab/src/main/java/thistlefall/lab/judge/Event.java
+++ b/testbed/src/main/java/edgegateway/testbed/judge/Event.java
@@ -1,4 +1,4 @@
-package thistlefall.lab.judge;
+package edgegateway.testbed.judge;
 
 /**
  * Something seen at the edge of a fleet, by the clients, the archive servers or the lab itself;
--- a/lab/src/main/java/thistlefall/lab/judge/Finding.java
+++ b/testbed/src/main/java/edgegateway/testbed/judge/Finding.java
@@ -1,4 +1,4 @@
-package thistlefall.lab.judge;
+package edgegateway.testbed.judge;
 
 /**
  * A broken rule.
--- a/lab/src/main/java/thistlefall/lab/judge/Judge.java
+++ b/testbed/src/main/java/edgegateway/testbed/judge/Judge.java
@@ -1,5 +1,20 @@
-package thistlefall.lab.judge;
+package edgegateway.testbed.judge;
 
+import edgegateway.testbed.judge.Event.Answered;
+import edgegateway.testbed.judge.Event.Asked;
+import edgegateway.testbed.judge.Event.Broken;
+import edgegateway.testbed.judge.Event.Crashed;
+import edgegateway.testbed.judge.Event.Fell;
+import edgegateway.testbed.judge.Event.Learned;
+import edgegateway.testbed.judge.Event.Left;
+import edgegateway.testbed.judge.Event.Lost;
+import edgegateway.testbed.judge.Event.Sent;
+import edgegateway.testbed.judge.Event.Started;
+import edgegateway.testbed.judge.Event.Told;
+import edgegateway.testbed.judge.Event.TurnedAway;
+import edgegateway.testbed.judge.Finding.Rule;
+import edgegateway.testbed.judge.Terms.Ceiling;
+import edgegateway.testbed.judge.Terms.Repeat;
 import java.util.ArrayDeque;
 import java.util.ArrayList;
 import java.util.Comparator;
@@ -9,21 +24,6 @@
 import java.util.Locale;
 import java.util.Map;
 import java.util.Set;
-import thistlefall.lab.judge.Event.Answered;
-import thistlefall.lab.judge.Event.Asked;
-import thistlefall.lab.judge.Event.Broken;
-import thistlefall.lab.judge.Event.Crashed;
-import thistlefall.lab.judge.Event.Fell;
-import thistlefall.lab.judge.Event.Learned;
-import thistlefall.lab.judge.Event.Left;
-import thistlefall.lab.judge.Event.Lost;
-import thistlefall.lab.judge.Event.Sent;
-import thistlefall.lab.judge.Event.Started;
-import thistlefall.lab.judge.Event.Told;
-import thistlefall.lab.judge.Event.TurnedAway;
-import thistlefall.lab.judge.Finding.Rule;
-import thistlefall.lab.judge.Terms.Ceiling;
-import thistlefall.lab.judge.Terms.Repeat;
 
 /**
  * Finds the broken rules in a history. It knows nothing of the program: only who asked, what
--- a/lab/src/main/java/thistlefall/lab/judge/Terms.java
+++ b/testbed/src/main/java/edgegateway/testbed/judge/Terms.java
@@ -1,4 +1,4 @@
-package thistlefall.lab.judge;
+package edgegateway.testbed.judge;
 
 import java.util.List;
 
--- a/lab/src/main/java/thistlefall/lab/judge/package-info.java
+++ b/testbed/src/main/java/edgegateway/testbed/judge/package-info.java
@@ -1,4 +1,4 @@
 /**
  * Judges a play by the rules, from what was seen at its edges alone ({@code docs/design/lab.md}).
  */
-package thistlefall.lab.judge;
+package edgegateway.testbed.judge;
--- a/lab/src/main/java/thistlefall/lab/load/Arrival.java
+++ b/testbed/src/main/java/edgegateway/testbed/load/Arrival.java
@@ -1,4 +1,4 @@
-package thistlefall.lab.load;
+package edgegateway.testbed.load;
 
 /**
  * A request that a client will send.
--- a/lab/src/main/java/thistlefall/lab/load/Arrivals.java
+++ b/testbed/src/main/java/edgegateway/testbed/load/Arrivals.java
@@ -1,4 +1,4 @@
-package thistlefall.lab.load;
+package edgegateway.testbed.load;
 
 import java.nio.charset.StandardCharsets;
 import java.security.MessageDigest;
--- a/lab/src/main/java/thistlefall/lab/load/Asking.java
+++ b/testbed/src/main/java/edgegateway/testbed/load/Asking.java
@@ -1,7 +1,7 @@
-package thistlefall.lab.load;
+package edgegateway.testbed.load;
 
+import edgegateway.testbed.judge.Event;
 import java.util.List;
-import thistlefall.lab.judge.Event;
 
 /**
  * How clients ask, whatever carries their requests: by which edge node, under which id, until when,
--- a/lab/src/main/java/thistlefall/lab/load/Clients.java
+++ b/testbed/src/main/java/edgegateway/testbed/load/Clients.java
@@ -1,5 +1,7 @@
-package thistlefall.lab.load;
+package edgegateway.testbed.load;
 
+import edgegateway.testbed.judge.Event;
+import edgegateway.testbed.load.Asking.Ask;
 import io.netty.bootstrap.Bootstrap;
 import io.netty.buffer.Unpooled;
 import io.netty.channel.Channel;
@@ -28,8 +30,6 @@
 import java.util.concurrent.TimeUnit;
 import java.util.function.Consumer;
 import java.util.function.IntFunction;
-import thistlefall.lab.judge.Event;
-import thistlefall.lab.load.Asking.Ask;
 
 /**
  * Sends arrivals to edge nodes as {@link Asking} says (protocol, Clients to edge nodes), all on one
--- a/lab/src/main/java/thistlefall/lab/load/Front.java
+++ b/testbed/src/main/java/edgegateway/testbed/load/Front.java
@@ -1,4 +1,4 @@
-package thistlefall.lab.load;
+package edgegateway.testbed.load;
 
 import java.util.Arrays;
 
--- a/lab/src/main/java/thistlefall/lab/load/Plan.java
+++ b/testbed/src/main/java/edgegateway/testbed/load/Plan.java
@@ -1,4 +1,4 @@
-package thistlefall.lab.load;
+package edgegateway.testbed.load;
 
 /**
  * A plan, as the settings name it, and the customers who have it.
--- a/lab/src/main/java/thistlefall/lab/load/RequestClass.java
+++ b/testbed/src/main/java/edgegateway/testbed/load/RequestClass.java
@@ -1,4 +1,4 @@
-package thistlefall.lab.load;
+package edgegateway.testbed.load;
 
 /**
  * A class of requests, as the settings name it.
--- a/lab/src/main/java/thistlefall/lab/model/ClientsHost.java
+++ b/testbed/src/main/java/edgegateway/testbed/model/ClientsHost.java
@@ -1,15 +1,15 @@
-package thistlefall.lab.model;
-
+package edgegateway.testbed.model;
+
+import edgegateway.policy.api.Request;
+import edgegateway.testbed.judge.Event;
+import edgegateway.testbed.load.Arrival;
+import edgegateway.testbed.load.Asking;
+import edgegateway.testbed.load.Asking.Ask;
+import edgegateway.testbed.net.Party;
 import java.util.ArrayList;
 import java.util.Iterator;
 import java.util.List;
 import java.util.function.Consumer;
-import thistlefall.Ports.Request;
-import thistlefall.lab.judge.Event;
-import thistlefall.lab.load.Arrival;
-import thistlefall.lab.load.Asking;
-import thistlefall.lab.load.Asking.Ask;
-import thistlefall.lab.net.Party;
 
 /** The front and the clients behind it, as {@code Clients} plays them on sockets. */
 final class ClientsHost {
--- a/lab/src/main/java/thistlefall/lab/model/CounterHost.java
+++ b/testbed/src/main/java/edgegateway/testbed/model/CounterHost.java
@@ -1,10 +1,10 @@
-package thistlefall.lab.model;
+package edgegateway.testbed.model;
 
+import edgegateway.testbed.net.Party;
+import edgegateway.testbed.stand.Counter;
+import edgegateway.testbed.stand.Counter.Answer;
+import edgegateway.testbed.stand.CounterTerms;
 import java.util.function.Consumer;
-import thistlefall.lab.net.Party;
-import thistlefall.lab.stand.Counter;
-import thistlefall.lab.stand.Counter.Answer;
-import thistlefall.lab.stand.CounterTerms;
 
 /** The shared counter's machine. */
 final class CounterHost {
--- a/lab/src/main/java/thistlefall/lab/model/Meter.java
+++ b/testbed/src/main/java/edgegateway/testbed/model/Meter.java
@@ -1,9 +1,9 @@
-package thistlefall.lab.model;
+package edgegateway.testbed.model;
 
+import edgegateway.policy.api.Outcome;
 import java.util.EnumMap;
 import java.util.Map;
 import org.HdrHistogram.Histogram;
-import thistlefall.Ports.Outcome;
 
 /**
  * What the edge nodes of a modelled fleet did, all together, while it was on: connections to
--- a/lab/src/main/java/thistlefall/lab/model/Model.java
+++ b/testbed/src/main/java/edgegateway/testbed/model/Model.java
@@ -1,5 +1,26 @@
-package thistlefall.lab.model;
-
+package edgegateway.testbed.model;
+
+import edgegateway.node.SettingsPairs;
+import edgegateway.policy.api.Readiness;
+import edgegateway.policy.api.Server;
+import edgegateway.policy.api.Settings;
+import edgegateway.protocol.SettingsReader;
+import edgegateway.testbed.fleet.NodeConfig;
+import edgegateway.testbed.fleet.Topology;
+import edgegateway.testbed.judge.Event;
+import edgegateway.testbed.load.Arrival;
+import edgegateway.testbed.load.Arrivals;
+import edgegateway.testbed.net.Conditions;
+import edgegateway.testbed.net.Faults;
+import edgegateway.testbed.net.Party;
+import edgegateway.testbed.net.Selector;
+import edgegateway.testbed.scenario.CounterFaults;
+import edgegateway.testbed.scenario.Result;
+import edgegateway.testbed.scenario.Scenario;
+import edgegateway.testbed.scenario.Scenario.Trouble;
+import edgegateway.testbed.scenario.Script;
+import edgegateway.testbed.scenario.ServerFaults;
+import edgegateway.testbed.scenario.Stage;
 import java.io.IOException;
 import java.util.ArrayDeque;
 import java.util.ArrayList;
@@ -10,27 +31,6 @@
 import java.util.Map;
 import java.util.SplittableRandom;
 import java.util.function.Consumer;
-import thistlefall.Ports.Readiness;
-import thistlefall.Ports.Server;
-import thistlefall.Ports.Settings;
-import thistlefall.SettingsReader;
-import thistlefall.lab.fleet.NodeConfig;
-import thistlefall.lab.fleet.Topology;
-import thistlefall.lab.judge.Event;
-import thistlefall.lab.load.Arrival;
-import thistlefall.lab.load.Arrivals;
-import thistlefall.lab.net.Conditions;
-import thistlefall.lab.net.Faults;
-import thistlefall.lab.net.Party;
-import thistlefall.lab.net.Selector;
-import thistlefall.lab.scenario.CounterFaults;
-import thistlefall.lab.scenario.Result;
-import thistlefall.lab.scenario.Scenario;
-import thistlefall.lab.scenario.Scenario.Trouble;
-import thistlefall.lab.scenario.Script;
-import thistlefall.lab.scenario.ServerFaults;
-import thistlefall.lab.scenario.Stage;
-import thistlefall.node.SettingsPairs;
 
 /**
  * One play of a scenario on a clock of its own: the program's module in each node, the lab's
--- a/lab/src/main/java/thistlefall/lab/model/Network.java
+++ b/testbed/src/main/java/edgegateway/testbed/model/Network.java
@@ -1,10 +1,10 @@
-package thistlefall.lab.model;
+package edgegateway.testbed.model;
 
+import edgegateway.testbed.net.Conditions;
+import edgegateway.testbed.net.Faults;
+import edgegateway.testbed.net.Party;
+import edgegateway.testbed.net.Stream;
 import java.util.SplittableRandom;
-import thistlefall.lab.net.Conditions;
-import thistlefall.lab.net.Faults;
-import thistlefall.lab.net.Party;
-import thistlefall.lab.net.Stream;
 
 /**
  * The links of a modelled fleet: each message is a part of a stream of its own, with the lab's
--- a/lab/src/main/java/thistlefall/lab/model/NodeHost.java
+++ b/testbed/src/main/java/edgegateway/testbed/model/NodeHost.java
@@ -1,5 +1,18 @@
-package thistlefall.lab.model;
-
+package edgegateway.testbed.model;
+
+import edgegateway.node.zones.ZoneSettings;
+import edgegateway.node.zones.ZoneVerdicts;
+import edgegateway.policy.Gateway;
+import edgegateway.policy.api.Actions;
+import edgegateway.policy.api.ListKind;
+import edgegateway.policy.api.Outcome;
+import edgegateway.policy.api.Request;
+import edgegateway.policy.api.Result;
+import edgegateway.policy.api.Server;
+import edgegateway.policy.api.Settings;
+import edgegateway.testbed.model.Meter.Activity;
+import edgegateway.testbed.net.Party;
+import edgegateway.testbed.stand.ArchiveServer.Ending;
 import java.util.ArrayList;
 import java.util.LinkedHashMap;
 import java.util.List;
@@ -8,25 +21,12 @@
 import java.util.function.BiConsumer;
 import java.util.function.Supplier;
 import java.util.function.ToLongFunction;
-import thistlefall.Gateway;
-import thistlefall.Ports;
-import thistlefall.Ports.ListKind;
-import thistlefall.Ports.Outcome;
-import thistlefall.Ports.Request;
-import thistlefall.Ports.Result;
-import thistlefall.Ports.Server;
-import thistlefall.Ports.Settings;
-import thistlefall.lab.model.Meter.Activity;
-import thistlefall.lab.net.Party;
-import thistlefall.lab.stand.ArchiveServer.Ending;
-import thistlefall.node.zones.ZoneSettings;
-import thistlefall.node.zones.ZoneVerdicts;
 
 /**
  * An edge node's machine: the program's module, and around it what the real node does on sockets,
  * without them.
  */
-final class NodeHost implements Ports.Actions, Peer {
+final class NodeHost implements Actions, Peer {
   /** Whoever waits for an answer. */
   interface Client {
     /**
--- a/lab/src/main/java/thistlefall/lab/model/Peer.java
+++ b/testbed/src/main/java/edgegateway/testbed/model/Peer.java
@@ -1,6 +1,6 @@
-package thistlefall.lab.model;
+package edgegateway.testbed.model;
 
-import thistlefall.lab.net.Party;
+import edgegateway.testbed.net.Party;
 
 /** A process that others connect to. */
 interface Peer {
--- a/lab/src/main/java/thistlefall/lab/model/Pool.java
+++ b/testbed/src/main/java/edgegateway/testbed/model/Pool.java
@@ -1,7 +1,7 @@
-package thistlefall.lab.model;
+package edgegateway.testbed.model;
 
+import edgegateway.testbed.net.Party;
 import java.util.Arrays;
-import thistlefall.lab.net.Party;
 
 /**
  * One party's connections to another, each with one request at a time; idle ones are used again
--- a/lab/src/main/java/thistlefall/lab/model/ServerHost.java
+++ b/testbed/src/main/java/edgegateway/testbed/model/ServerHost.java
@@ -1,14 +1,14 @@
-package thistlefall.lab.model;
-
+package edgegateway.testbed.model;
+
+import edgegateway.testbed.judge.Event;
+import edgegateway.testbed.net.Party;
+import edgegateway.testbed.stand.ArchiveServer;
+import edgegateway.testbed.stand.ArchiveServer.Ended;
+import edgegateway.testbed.stand.ArchiveServer.Ending;
+import edgegateway.testbed.stand.ServerTerms;
 import java.util.LinkedHashSet;
 import java.util.Set;
 import java.util.function.Consumer;
-import thistlefall.lab.judge.Event;
-import thistlefall.lab.net.Party;
-import thistlefall.lab.stand.ArchiveServer;
-import thistlefall.lab.stand.ArchiveServer.Ended;
-import thistlefall.lab.stand.ArchiveServer.Ending;
-import thistlefall.lab.stand.ServerTerms;
 
 /** An archive server's machine: its process, which may die and start again, cold. */
 final class ServerHost implements Peer {
--- a/lab/src/main/java/thistlefall/lab/model/Timeline.java
+++ b/testbed/src/main/java/edgegateway/testbed/model/Timeline.java
@@ -1,4 +1,4 @@
-package thistlefall.lab.model;
+package edgegateway.testbed.model;
 
 import java.util.Comparator;
 import java.util.PriorityQueue;
--- a/lab/src/main/java/thistlefall/lab/net/Conditions.java
+++ b/testbed/src/main/java/edgegateway/testbed/net/Conditions.java
@@ -1,4 +1,4 @@
-package thistlefall.lab.net;
+package edgegateway.testbed.net;
 
 /**
  * How one direction of a link is.
--- a/lab/src/main/java/thistlefall/lab/net/DeafListener.java
+++ b/testbed/src/main/java/edgegateway/testbed/net/DeafListener.java
@@ -1,4 +1,4 @@
-package thistlefall.lab.net;
+package edgegateway.testbed.net;
 
 import java.io.IOException;
 import java.net.InetSocketAddress;
--- a/lab/src/main/java/thistlefall/lab/net/Door.java
+++ b/testbed/src/main/java/edgegateway/testbed/net/Door.java
@@ -1,4 +1,4 @@
-package thistlefall.lab.net;
+package edgegateway.testbed.net;
 
 import io.netty.bootstrap.ServerBootstrap;
 import io.netty.channel.Channel;
--- a/lab/src/main/java/thistlefall/lab/net/Faults.java
+++ b/testbed/src/main/java/edgegateway/testbed/net/Faults.java
@@ -1,4 +1,4 @@
-package thistlefall.lab.net;
+package edgegateway.testbed.net;
 
 import java.util.LinkedHashMap;
 import java.util.Map;
--- a/lab/src/main/java/thistlefall/lab/net/Party.java
+++ b/testbed/src/main/java/edgegateway/testbed/net/Party.java
@@ -1,4 +1,4 @@
-package thistlefall.lab.net;
+package edgegateway.testbed.net;
 
 /**
  * Whoever speaks over the lab's network.
--- a/lab/src/main/java/thistlefall/lab/net/Selector.java
+++ b/testbed/src/main/java/edgegateway/testbed/net/Selector.java
@@ -1,7 +1,7 @@
-package thistlefall.lab.net;
+package edgegateway.testbed.net;
 
+import edgegateway.testbed.net.Party.Role;
 import java.util.Locale;
-import thistlefall.lab.net.Party.Role;
 
 /**
  * Which parties a fault is about: {@code *}, {@code node:NAME}, {@code zone:NAME} or {@code
--- a/lab/src/main/java/thistlefall/lab/net/package-info.java
+++ b/testbed/src/main/java/edgegateway/testbed/net/package-info.java
@@ -2,4 +2,4 @@
  * The links between the parties of a fleet, and what is wrong with them ({@code
  * docs/design/lab.md}).
  */
-package thistlefall.lab.net;
+package edgegateway.testbed.net;
--- a/lab/src/main/java/thistlefall/lab/process/DeployFile.java
+++ b/testbed/src/main/java/edgegateway/testbed/process/DeployFile.java
@@ -1,4 +1,4 @@
-package thistlefall.lab.process;
+package edgegateway.testbed.process;
 
 import com.fasterxml.jackson.databind.JsonNode;
 import com.fasterxml.jackson.dataformat.toml.TomlMapper;
--- a/lab/src/main/java/thistlefall/lab/process/Guard.java
+++ b/testbed/src/main/java/edgegateway/testbed/process/Guard.java
@@ -1,4 +1,4 @@
-package thistlefall.lab.process;
+package edgegateway.testbed.process;
 
 import java.io.IOException;
 import java.io.OutputStream;
--- a/lab/src/main/java/thistlefall/lab/process/package-info.java
+++ b/testbed/src/main/java/edgegateway/testbed/process/package-info.java
@@ -1,4 +1,4 @@
 /**
  * Edge nodes as processes of their own, begun as the deploy file says ({@code docs/design/lab.md}).
  */
-package thistlefall.lab.process;
+package edgegateway.testbed.process;
--- a/lab/src/main/java/thistlefall/lab/report/Page.java
+++ b/testbed/src/main/java/edgegateway/testbed/report/Page.java
@@ -1,5 +1,9 @@
-package thistlefall.lab.report;
+package edgegateway.testbed.report;
 
+import edgegateway.testbed.judge.Finding;
+import edgegateway.testbed.scenario.Mark;
+import edgegateway.testbed.scenario.Result;
+import edgegateway.testbed.scenario.Second;
 import java.io.IOException;
 import java.nio.charset.StandardCharsets;
 import java.nio.file.Files;
@@ -19,10 +23,6 @@
 import org.knowm.xchart.XYChartBuilder;
 import org.knowm.xchart.style.Styler;
 import org.knowm.xchart.style.markers.SeriesMarkers;
-import thistlefall.lab.judge.Finding;
-import thistlefall.lab.scenario.Mark;
-import thistlefall.lab.scenario.Result;
-import thistlefall.lab.scenario.Second;
 
 /**
  * A result as one HTML page that needs no network: its figures, its findings, and how it went
--- a/lab/src/main/java/thistlefall/lab/report/ScalePage.java
+++ b/testbed/src/main/java/edgegateway/testbed/report/ScalePage.java
@@ -1,5 +1,6 @@
-package thistlefall.lab.report;
+package edgegateway.testbed.report;
 
+import edgegateway.testbed.scale.Curve;
 import java.io.IOException;
 import java.nio.charset.StandardCharsets;
 import java.nio.file.Files;
@@ -9,7 +10,6 @@
 import org.knowm.xchart.XYChartBuilder;
 import org.knowm.xchart.style.Styler;
 import org.knowm.xchart.style.markers.SeriesMarkers;
-import thistlefall.lab.scale.Curve;
 
 /**
  * What was measured over size, each with its budget's line, as one HTML page that needs no network.
--- a/lab/src/main/java/thistlefall/lab/report/package-info.java
+++ b/testbed/src/main/java/edgegateway/testbed/report/package-info.java
@@ -1,2 +1,2 @@
 /** What a play came to, for people. */
-package thistlefall.lab.report;
+package edgegateway.testbed.report;
--- a/lab/src/main/java/thistlefall/lab/scale/CapacityFile.java
+++ b/testbed/src/main/java/edgegateway/testbed/scale/CapacityFile.java
@@ -1,13 +1,13 @@
-package thistlefall.lab.scale;
+package edgegateway.testbed.scale;
 
+import edgegateway.testbed.scenario.Scenario;
+import edgegateway.testbed.scenario.YamlFile;
 import java.io.IOException;
 import java.io.InputStream;
 import java.nio.charset.StandardCharsets;
 import java.util.List;
 import java.util.Map;
 import java.util.Set;
-import thistlefall.lab.scenario.Scenario;
-import thistlefall.lab.scenario.YamlFile;
 
 /**
  * What the capacity tables have a line for, and from which figures each follows.
--- a/lab/src/main/java/thistlefall/lab/scale/CapacityTables.java
+++ b/testbed/src/main/java/edgegateway/testbed/scale/CapacityTables.java
@@ -1,5 +1,6 @@
-package thistlefall.lab.scale;
+package edgegateway.testbed.scale;
 
+import edgegateway.testbed.scale.CapacityFile.Line;
 import java.util.ArrayList;
 import java.util.Comparator;
 import java.util.LinkedHashMap;
@@ -9,7 +10,6 @@
 import java.util.TreeMap;
 import java.util.TreeSet;
 import java.util.stream.Collectors;
-import thistlefall.lab.scale.CapacityFile.Line;
 
 /**
  * The capacity tables in Markdown: what each line comes to at the target, in what order budgets
--- a/lab/src/main/java/thistlefall/lab/scale/Curve.java
+++ b/testbed/src/main/java/edgegateway/testbed/scale/Curve.java
@@ -1,4 +1,4 @@
-package thistlefall.lab.scale;
+package edgegateway.testbed.scale;
 
 import java.util.ArrayList;
 import java.util.List;
--- a/lab/src/main/java/thistlefall/lab/scale/ModelScale.java
+++ b/testbed/src/main/java/edgegateway/testbed/scale/ModelScale.java
@@ -1,5 +1,12 @@
-package thistlefall.lab.scale;
+package edgegateway.testbed.scale;
 
+import edgegateway.node.connections.Servers;
+import edgegateway.policy.api.Outcome;
+import edgegateway.testbed.model.Meter;
+import edgegateway.testbed.model.Meter.Activity;
+import edgegateway.testbed.model.Model;
+import edgegateway.testbed.scale.ScaleFile.ModelSize;
+import edgegateway.testbed.scenario.Scenario;
 import java.io.IOException;
 import java.util.Locale;
 import java.util.Map;
@@ -7,13 +14,6 @@
 import java.util.TreeMap;
 import java.util.function.Consumer;
 import org.HdrHistogram.Histogram;
-import thistlefall.Ports.Outcome;
-import thistlefall.lab.model.Meter;
-import thistlefall.lab.model.Meter.Activity;
-import thistlefall.lab.model.Model;
-import thistlefall.lab.scale.ScaleFile.ModelSize;
-import thistlefall.lab.scenario.Scenario;
-import thistlefall.node.connections.Servers;
 
 /** Plays a size on virtual time. */
 public final class ModelScale {
--- a/lab/src/main/java/thistlefall/lab/scale/Quotas.java
+++ b/testbed/src/main/java/edgegateway/testbed/scale/Quotas.java
@@ -1,9 +1,9 @@
-package thistlefall.lab.scale;
+package edgegateway.testbed.scale;
 
+import edgegateway.testbed.load.Plan;
 import java.util.HashMap;
 import java.util.List;
 import java.util.Map;
-import thistlefall.lab.load.Plan;
 
 /**
  * Each customer's quota as one who sees all edge nodes would keep it: a store that starts full,
--- a/lab/src/main/java/thistlefall/lab/scale/ScaleFile.java
+++ b/testbed/src/main/java/edgegateway/testbed/scale/ScaleFile.java
@@ -1,6 +1,8 @@
-package thistlefall.lab.scale;
+package edgegateway.testbed.scale;
 
 import com.fasterxml.jackson.annotation.JsonProperty;
+import edgegateway.testbed.scenario.Scenario;
+import edgegateway.testbed.scenario.YamlFile;
 import java.nio.file.Path;
 import java.util.ArrayList;
 import java.util.List;
@@ -9,8 +11,6 @@
 import java.util.SortedMap;
 import java.util.TreeMap;
 import java.util.stream.IntStream;
-import thistlefall.lab.scenario.Scenario;
-import thistlefall.lab.scenario.YamlFile;
 
 /**
  * The file of {@code lab scale}, in YAML: what fleets are made of, and the sizes at which they are
--- a/lab/src/main/java/thistlefall/lab/scale/ScaleResult.java
+++ b/testbed/src/main/java/edgegateway/testbed/scale/ScaleResult.java
@@ -1,4 +1,4 @@
-package thistlefall.lab.scale;
+package edgegateway.testbed.scale;
 
 import com.fasterxml.jackson.databind.ObjectMapper;
 import com.fasterxml.jackson.databind.PropertyNamingStrategies;
--- a/lab/src/main/java/thistlefall/lab/scale/Slope.java
+++ b/testbed/src/main/java/edgegateway/testbed/scale/Slope.java
@@ -1,11 +1,11 @@
-package thistlefall.lab.scale;
+package edgegateway.testbed.scale;
 
+import edgegateway.testbed.scale.CapacityFile.Line;
 import java.util.List;
 import java.util.Map;
 import java.util.SortedMap;
 import java.util.TreeMap;
 import java.util.stream.Collectors;
-import thistlefall.lab.scale.CapacityFile.Line;
 
 /**
  * What measured points say of a line of the capacity tables: its slope over size, and the figure
--- a/lab/src/main/java/thistlefall/lab/scale/Tally.java
+++ b/testbed/src/main/java/edgegateway/testbed/scale/Tally.java
@@ -1,12 +1,12 @@
-package thistlefall.lab.scale;
+package edgegateway.testbed.scale;
 
+import edgegateway.testbed.judge.Event;
+import edgegateway.testbed.scenario.Scenario;
 import java.util.Arrays;
 import java.util.HashMap;
 import java.util.Map;
 import java.util.function.Consumer;
 import java.util.stream.IntStream;
-import thistlefall.lab.judge.Event;
-import thistlefall.lab.scenario.Scenario;
 
 /**
  * Adds up what is seen at the edges of a fleet while it happens, and forgets each try when it is
--- a/lab/src/main/java/thistlefall/lab/scale/package-info.java
+++ b/testbed/src/main/java/edgegateway/testbed/scale/package-info.java
@@ -2,4 +2,4 @@
  * How figures grow with the fleet: the file of sizes, the points measured, their result, and the
  * capacity tables made of them.
  */
-package thistlefall.lab.scale;
+package edgegateway.testbed.scale;
--- a/lab/src/main/java/thistlefall/lab/scale/sockets/Asked.java
+++ b/testbed/src/main/java/edgegateway/testbed/scale/sockets/Asked.java
@@ -1,5 +1,14 @@
-package thistlefall.lab.scale.sockets;
+package edgegateway.testbed.scale.sockets;
 
+import edgegateway.testbed.judge.Event;
+import edgegateway.testbed.load.Arrival;
+import edgegateway.testbed.load.Arrivals;
+import edgegateway.testbed.load.Asking;
+import edgegateway.testbed.load.Clients;
+import edgegateway.testbed.load.Plan;
+import edgegateway.testbed.load.RequestClass;
+import edgegateway.testbed.load.Retries;
+import edgegateway.testbed.scenario.Scenario;
 import io.netty.channel.EventLoop;
 import java.io.IOException;
 import java.net.InetSocketAddress;
@@ -15,15 +24,6 @@
 import java.util.function.IntFunction;
 import java.util.stream.IntStream;
 import org.HdrHistogram.Histogram;
-import thistlefall.lab.judge.Event;
-import thistlefall.lab.load.Arrival;
-import thistlefall.lab.load.Arrivals;
-import thistlefall.lab.load.Asking;
-import thistlefall.lab.load.Clients;
-import thistlefall.lab.load.Plan;
-import thistlefall.lab.load.RequestClass;
-import thistlefall.lab.load.Retries;
-import thistlefall.lab.scenario.Scenario;
 
 /**
  * Requests of the lab's clients to one group of doors, drawn ahead from a seed, and what became of
--- a/lab/src/main/java/thistlefall/lab/scale/sockets/CalmFigures.java
+++ b/testbed/src/main/java/edgegateway/testbed/scale/sockets/CalmFigures.java
@@ -1,9 +1,9 @@
-package thistlefall.lab.scale.sockets;
+package edgegateway.testbed.scale.sockets;
 
+import edgegateway.testbed.process.Usage;
+import edgegateway.testbed.scale.ScaleFile.SocketsSize;
 import java.util.Map;
 import java.util.TreeMap;
-import thistlefall.lab.process.Usage;
-import thistlefall.lab.scale.ScaleFile.SocketsSize;
 
 /**
  * What a calm span came to: differences of two moments by node and second, by the names of a
--- a/lab/src/main/java/thistlefall/lab/scale/sockets/Fit.java
+++ b/testbed/src/main/java/edgegateway/testbed/scale/sockets/Fit.java
@@ -1,10 +1,10 @@
-package thistlefall.lab.scale.sockets;
+package edgegateway.testbed.scale.sockets;
 
 import com.sun.management.OperatingSystemMXBean;
 import com.sun.management.UnixOperatingSystemMXBean;
+import edgegateway.testbed.scale.ScaleFile.SocketsSize;
 import java.lang.management.ManagementFactory;
 import java.util.Locale;
-import thistlefall.lab.scale.ScaleFile.SocketsSize;
 
 /**
  * Whether a size fits this machine, told before anything starts: half of its memory, some hundred
--- a/lab/src/main/java/thistlefall/lab/scale/sockets/HollowMain.java
+++ b/testbed/src/main/java/edgegateway/testbed/scale/sockets/HollowMain.java
@@ -1,5 +1,7 @@
-package thistlefall.lab.scale.sockets;
+package edgegateway.testbed.scale.sockets;
 
+import edgegateway.node.EdgeNode;
+import edgegateway.testbed.process.Operators;
 import io.netty.channel.EventLoop;
 import io.netty.channel.EventLoopGroup;
 import io.netty.channel.MultiThreadIoEventLoopGroup;
@@ -15,8 +17,6 @@
 import java.util.TreeMap;
 import java.util.concurrent.TimeUnit;
 import java.util.stream.Stream;
-import thistlefall.lab.process.Operators;
-import thistlefall.node.EdgeNode;
 
 /**
  * The process of the hollow edge nodes: the program's own, on a few loops and without a warm-up. It
--- a/lab/src/main/java/thistlefall/lab/scale/sockets/HollowNodes.java
+++ b/testbed/src/main/java/edgegateway/testbed/scale/sockets/HollowNodes.java
@@ -1,5 +1,6 @@
-package thistlefall.lab.scale.sockets;
+package edgegateway.testbed.scale.sockets;
 
+import edgegateway.testbed.process.Usage;
 import java.io.BufferedReader;
 import java.io.BufferedWriter;
 import java.io.IOException;
@@ -16,7 +17,6 @@
 import java.util.concurrent.ConcurrentHashMap;
 import java.util.concurrent.LinkedBlockingQueue;
 import java.util.concurrent.TimeUnit;
-import thistlefall.lab.process.Usage;
 
 /**
  * The process of the hollow edge nodes, as its parent sees it. It ends with {@link #close()} or
--- a/lab/src/main/java/thistlefall/lab/scale/sockets/ListChanges.java
+++ b/testbed/src/main/java/edgegateway/testbed/scale/sockets/ListChanges.java
@@ -1,13 +1,13 @@
-package thistlefall.lab.scale.sockets;
+package edgegateway.testbed.scale.sockets;
 
+import edgegateway.testbed.scale.ScaleFile.SocketsSize;
+import edgegateway.testbed.stand.Member.Phase;
 import java.io.IOException;
 import java.util.ArrayList;
 import java.util.List;
 import java.util.Map;
 import java.util.concurrent.TimeUnit;
 import java.util.stream.IntStream;
-import thistlefall.lab.scale.ScaleFile.SocketsSize;
-import thistlefall.lab.stand.Member.Phase;
 
 /**
  * Changes of the list, one after the other, while requests go on, and when each is in force where:
--- a/lab/src/main/java/thistlefall/lab/scale/sockets/Listings.java
+++ b/testbed/src/main/java/edgegateway/testbed/scale/sockets/Listings.java
@@ -1,4 +1,4 @@
-package thistlefall.lab.scale.sockets;
+package edgegateway.testbed.scale.sockets;
 
 import java.util.Arrays;
 import java.util.Map;
--- a/lab/src/main/java/thistlefall/lab/scale/sockets/Moment.java
+++ b/testbed/src/main/java/edgegateway/testbed/scale/sockets/Moment.java
@@ -1,8 +1,8 @@
-package thistlefall.lab.scale.sockets;
+package edgegateway.testbed.scale.sockets;
 
+import edgegateway.testbed.process.Usage;
 import java.util.List;
 import java.util.Map;
-import thistlefall.lab.process.Usage;
 
 /**
  * All that counts up, at one moment.
--- a/lab/src/main/java/thistlefall/lab/scale/sockets/Nodes.java
+++ b/testbed/src/main/java/edgegateway/testbed/scale/sockets/Nodes.java
@@ -1,11 +1,11 @@
-package thistlefall.lab.scale.sockets;
+package edgegateway.testbed.scale.sockets;
 
+import edgegateway.testbed.process.Usage;
+import edgegateway.testbed.scale.ScaleFile.SocketsSize;
 import java.io.IOException;
 import java.util.ArrayList;
 import java.util.List;
 import java.util.Map;
-import thistlefall.lab.process.Usage;
-import thistlefall.lab.scale.ScaleFile.SocketsSize;
 
 /**
  * The nodes of a play, real and hollow, with what they speak with.
--- a/lab/src/main/java/thistlefall/lab/scale/sockets/RealNodes.java
+++ b/testbed/src/main/java/edgegateway/testbed/scale/sockets/RealNodes.java
@@ -1,5 +1,12 @@
-package thistlefall.lab.scale.sockets;
+package edgegateway.testbed.scale.sockets;
 
+import edgegateway.testbed.fleet.NodeConfig;
+import edgegateway.testbed.process.DeployFile;
+import edgegateway.testbed.process.Guard;
+import edgegateway.testbed.process.NodeProcess;
+import edgegateway.testbed.process.NodeProcess.Signal;
+import edgegateway.testbed.process.Operators;
+import edgegateway.testbed.process.Usage;
 import java.io.IOException;
 import java.net.HttpURLConnection;
 import java.net.InetSocketAddress;
@@ -15,13 +22,6 @@
 import java.util.concurrent.TimeUnit;
 import java.util.regex.Matcher;
 import java.util.regex.Pattern;
-import thistlefall.lab.fleet.NodeConfig;
-import thistlefall.lab.process.DeployFile;
-import thistlefall.lab.process.Guard;
-import thistlefall.lab.process.NodeProcess;
-import thistlefall.lab.process.NodeProcess.Signal;
-import thistlefall.lab.process.Operators;
-import thistlefall.lab.process.Usage;
 
 /**
  * Edge nodes as processes of their own, begun as the deploy file says. They end with {@link
--- a/lab/src/main/java/thistlefall/lab/scale/sockets/SocketsScale.java
+++ b/testbed/src/main/java/edgegateway/testbed/scale/sockets/SocketsScale.java
@@ -1,7 +1,17 @@
-package thistlefall.lab.scale.sockets;
+package edgegateway.testbed.scale.sockets;
 
 import com.fasterxml.jackson.databind.ObjectMapper;
 import com.fasterxml.jackson.databind.node.ObjectNode;
+import edgegateway.testbed.fleet.Load;
+import edgegateway.testbed.fleet.NodeConfig;
+import edgegateway.testbed.fleet.Topology;
+import edgegateway.testbed.load.Retries;
+import edgegateway.testbed.process.DeployFile;
+import edgegateway.testbed.scale.Point;
+import edgegateway.testbed.scale.ScaleFile;
+import edgegateway.testbed.scale.ScaleFile.SocketsSize;
+import edgegateway.testbed.scenario.Scenario;
+import edgegateway.testbed.stand.Roll;
 import java.io.IOException;
 import java.net.InetSocketAddress;
 import java.nio.file.Files;
@@ -16,16 +26,6 @@
 import java.util.concurrent.TimeUnit;
 import java.util.function.Consumer;
 import java.util.stream.Stream;
-import thistlefall.lab.fleet.Load;
-import thistlefall.lab.fleet.NodeConfig;
-import thistlefall.lab.fleet.Topology;
-import thistlefall.lab.load.Retries;
-import thistlefall.lab.process.DeployFile;
-import thistlefall.lab.scale.Point;
-import thistlefall.lab.scale.ScaleFile;
-import thistlefall.lab.scale.ScaleFile.SocketsSize;
-import thistlefall.lab.scenario.Scenario;
-import thistlefall.lab.stand.Roll;
 
 /**
  * Plays a size over loopback: real edge nodes as processes, hollow ones in one process, and
--- a/lab/src/main/java/thistlefall/lab/scale/sockets/StandIns.java
+++ b/testbed/src/main/java/edgegateway/testbed/scale/sockets/StandIns.java
@@ -1,5 +1,19 @@
-package thistlefall.lab.scale.sockets;
-
+package edgegateway.testbed.scale.sockets;
+
+import edgegateway.testbed.fleet.Topology;
+import edgegateway.testbed.net.Party;
+import edgegateway.testbed.scale.ScaleFile.ControlTrouble;
+import edgegateway.testbed.scenario.CounterFaults;
+import edgegateway.testbed.scenario.Scenario;
+import edgegateway.testbed.scenario.Scenario.CounterTrouble;
+import edgegateway.testbed.stand.ArchiveServer;
+import edgegateway.testbed.stand.Member;
+import edgegateway.testbed.stand.Member.Phase;
+import edgegateway.testbed.stand.Roll;
+import edgegateway.testbed.stand.http.ArchiveServerPort;
+import edgegateway.testbed.stand.http.ArchiveServersPort;
+import edgegateway.testbed.stand.http.CounterPort;
+import edgegateway.testbed.stand.http.DiscoveryPort;
 import io.netty.channel.EventLoop;
 import io.netty.channel.EventLoopGroup;
 import io.netty.channel.MultiThreadIoEventLoopGroup;
@@ -13,20 +27,6 @@
 import java.util.concurrent.TimeUnit;
 import java.util.concurrent.atomic.AtomicLong;
 import java.util.function.ToDoubleFunction;
-import thistlefall.lab.fleet.Topology;
-import thistlefall.lab.net.Party;
-import thistlefall.lab.scale.ScaleFile.ControlTrouble;
-import thistlefall.lab.scenario.CounterFaults;
-import thistlefall.lab.scenario.Scenario;
-import thistlefall.lab.scenario.Scenario.CounterTrouble;
-import thistlefall.lab.stand.ArchiveServer;
-import thistlefall.lab.stand.Member;
-import thistlefall.lab.stand.Member.Phase;
-import thistlefall.lab.stand.Roll;
-import thistlefall.lab.stand.http.ArchiveServerPort;
-import thistlefall.lab.stand.http.ArchiveServersPort;
-import thistlefall.lab.stand.http.CounterPort;
-import thistlefall.lab.stand.http.DiscoveryPort;
 
 /**
  * What edge nodes speak with, without links: one discovery, one counter, and archive servers at
--- a/lab/src/main/java/thistlefall/lab/scale/sockets/package-info.java
+++ b/testbed/src/main/java/edgegateway/testbed/scale/sockets/package-info.java
@@ -2,4 +2,4 @@
  * The scale run over loopback: hollow edge nodes beside real processes, and stand-ins that bear
  * thousands of addresses.
  */
-package thistlefall.lab.scale.sockets;
+package edgegateway.testbed.scale.sockets;
--- a/lab/src/main/java/thistlefall/lab/scenario/Capacity.java
+++ b/testbed/src/main/java/edgegateway/testbed/scenario/Capacity.java
@@ -1,14 +1,14 @@
-package thistlefall.lab.scenario;
+package edgegateway.testbed.scenario;
 
+import edgegateway.testbed.judge.Event;
+import edgegateway.testbed.load.Arrival;
+import edgegateway.testbed.stand.ArchiveServer;
+import edgegateway.testbed.stand.ServerTerms;
 import java.util.ArrayList;
 import java.util.Comparator;
 import java.util.HashMap;
 import java.util.List;
 import java.util.Map;
-import thistlefall.lab.judge.Event;
-import thistlefall.lab.load.Arrival;
-import thistlefall.lab.stand.ArchiveServer;
-import thistlefall.lab.stand.ServerTerms;
 
 /**
  * What the archive servers that run could do at best, as they die, start and warm up. Links, slow
--- a/lab/src/main/java/thistlefall/lab/scenario/CounterFaults.java
+++ b/testbed/src/main/java/edgegateway/testbed/scenario/CounterFaults.java
@@ -1,9 +1,9 @@
-package thistlefall.lab.scenario;
+package edgegateway.testbed.scenario;
 
+import edgegateway.testbed.scenario.Scenario.CounterTrouble;
+import edgegateway.testbed.stand.Counter;
 import java.util.SplittableRandom;
 import java.util.function.IntConsumer;
-import thistlefall.lab.scenario.Scenario.CounterTrouble;
-import thistlefall.lab.stand.Counter;
 
 /** What a scenario does to the core of a counter. */
 public final class CounterFaults {
--- a/lab/src/main/java/thistlefall/lab/scenario/HistoryFile.java
+++ b/testbed/src/main/java/edgegateway/testbed/scenario/HistoryFile.java
@@ -1,14 +1,14 @@
-package thistlefall.lab.scenario;
+package edgegateway.testbed.scenario;
 
 import com.fasterxml.jackson.databind.ObjectMapper;
 import com.fasterxml.jackson.databind.node.ObjectNode;
+import edgegateway.testbed.judge.Event;
 import java.io.BufferedWriter;
 import java.io.IOException;
 import java.nio.file.Files;
 import java.nio.file.Path;
 import java.util.Comparator;
 import java.util.List;
-import thistlefall.lab.judge.Event;
 
 /**
  * A play's history on disk: a JSON object on each line, in the order of their times, {@code atS}
--- a/lab/src/main/java/thistlefall/lab/scenario/Mark.java
+++ b/testbed/src/main/java/edgegateway/testbed/scenario/Mark.java
@@ -1,4 +1,4 @@
-package thistlefall.lab.scenario;
+package edgegateway.testbed.scenario;
 
 /**
  * A fault of a play: when it began and was mended, in seconds from the first arrival, and what it
--- a/lab/src/main/java/thistlefall/lab/scenario/Play.java
+++ b/testbed/src/main/java/edgegateway/testbed/scenario/Play.java
@@ -1,5 +1,22 @@
-package thistlefall.lab.scenario;
+package edgegateway.testbed.scenario;
 
+import edgegateway.testbed.fleet.Fleet;
+import edgegateway.testbed.fleet.Topology;
+import edgegateway.testbed.judge.Event;
+import edgegateway.testbed.load.Arrival;
+import edgegateway.testbed.load.Clients;
+import edgegateway.testbed.load.Retries;
+import edgegateway.testbed.net.Conditions;
+import edgegateway.testbed.net.Party;
+import edgegateway.testbed.net.Selector;
+import edgegateway.testbed.process.DeployFile;
+import edgegateway.testbed.process.NodeProcess.Signal;
+import edgegateway.testbed.scenario.Scenario.Trouble;
+import edgegateway.testbed.stand.ArchiveServer;
+import edgegateway.testbed.stand.Member;
+import edgegateway.testbed.stand.Member.Phase;
+import edgegateway.testbed.stand.Roll;
+import edgegateway.testbed.stand.http.ArchiveServerPort;
 import io.netty.channel.EventLoopGroup;
 import io.netty.channel.MultiThreadIoEventLoopGroup;
 import io.netty.channel.nio.NioIoHandler;
@@ -18,23 +35,6 @@
 import java.util.concurrent.TimeUnit;
 import java.util.concurrent.TimeoutException;
 import java.util.function.Consumer;
-import thistlefall.lab.fleet.Fleet;
-import thistlefall.lab.fleet.Topology;
-import thistlefall.lab.judge.Event;
-import thistlefall.lab.load.Arrival;
-import thistlefall.lab.load.Clients;
-import thistlefall.lab.load.Retries;
-import thistlefall.lab.net.Conditions;
-import thistlefall.lab.net.Party;
-import thistlefall.lab.net.Selector;
-import thistlefall.lab.process.DeployFile;
-import thistlefall.lab.process.NodeProcess.Signal;
-import thistlefall.lab.scenario.Scenario.Trouble;
-import thistlefall.lab.stand.ArchiveServer;
-import thistlefall.lab.stand.Member;
-import thistlefall.lab.stand.Member.Phase;
-import thistlefall.lab.stand.Roll;
-import thistlefall.lab.stand.http.ArchiveServerPort;
 
 /** One play of a scenario with real processes. */
 public final class Play implements Stage, Fleet.History {
--- a/lab/src/main/java/thistlefall/lab/scenario/Recovery.java
+++ b/testbed/src/main/java/edgegateway/testbed/scenario/Recovery.java
@@ -1,4 +1,4 @@
-package thistlefall.lab.scenario;
+package edgegateway.testbed.scenario;
 
 import java.util.List;
 import java.util.function.ToDoubleFunction;
--- a/lab/src/main/java/thistlefall/lab/scenario/Result.java
+++ b/testbed/src/main/java/edgegateway/testbed/scenario/Result.java
@@ -1,5 +1,13 @@
-package thistlefall.lab.scenario;
+package edgegateway.testbed.scenario;
 
+import edgegateway.testbed.judge.Event;
+import edgegateway.testbed.judge.Finding;
+import edgegateway.testbed.judge.Judge;
+import edgegateway.testbed.load.Arrival;
+import edgegateway.testbed.load.Arrivals;
+import edgegateway.testbed.load.RequestClass;
+import edgegateway.testbed.load.Retries;
+import edgegateway.testbed.net.Party;
 import java.util.ArrayList;
 import java.util.Comparator;
 import java.util.HashMap;
@@ -9,14 +17,6 @@
 import java.util.Set;
 import java.util.TreeMap;
 import org.HdrHistogram.Histogram;
-import thistlefall.lab.judge.Event;
-import thistlefall.lab.judge.Finding;
-import thistlefall.lab.judge.Judge;
-import thistlefall.lab.load.Arrival;
-import thistlefall.lab.load.Arrivals;
-import thistlefall.lab.load.RequestClass;
-import thistlefall.lab.load.Retries;
-import thistlefall.lab.net.Party;
 
 /**
  * What a play came to.
--- a/lab/src/main/java/thistlefall/lab/scenario/Scenario.java
+++ b/testbed/src/main/java/edgegateway/testbed/scenario/Scenario.java
@@ -1,26 +1,26 @@
-package thistlefall.lab.scenario;
+package edgegateway.testbed.scenario;
 
 import com.fasterxml.jackson.annotation.JsonProperty;
+import edgegateway.node.zones.ZoneSettings;
+import edgegateway.testbed.fleet.Load;
+import edgegateway.testbed.fleet.Topology;
+import edgegateway.testbed.judge.Terms;
+import edgegateway.testbed.load.Arrival;
+import edgegateway.testbed.load.Arrivals;
+import edgegateway.testbed.load.Asking;
+import edgegateway.testbed.load.Plan;
+import edgegateway.testbed.load.RequestClass;
+import edgegateway.testbed.load.Retries;
+import edgegateway.testbed.net.Conditions;
+import edgegateway.testbed.net.Party;
+import edgegateway.testbed.net.Selector;
+import edgegateway.testbed.stand.CounterTerms;
+import edgegateway.testbed.stand.ServerTerms;
 import java.nio.file.Path;
 import java.util.List;
 import java.util.Map;
 import java.util.Objects;
 import java.util.stream.Stream;
-import thistlefall.lab.fleet.Load;
-import thistlefall.lab.fleet.Topology;
-import thistlefall.lab.judge.Terms;
-import thistlefall.lab.load.Arrival;
-import thistlefall.lab.load.Arrivals;
-import thistlefall.lab.load.Asking;
-import thistlefall.lab.load.Plan;
-import thistlefall.lab.load.RequestClass;
-import thistlefall.lab.load.Retries;
-import thistlefall.lab.net.Conditions;
-import thistlefall.lab.net.Party;
-import thistlefall.lab.net.Selector;
-import thistlefall.lab.stand.CounterTerms;
-import thistlefall.lab.stand.ServerTerms;
-import thistlefall.node.zones.ZoneSettings;
 
 /**
  * A scenario file, in YAML: who there is, what is asked, what goes wrong when, and what must hold.
--- a/lab/src/main/java/thistlefall/lab/scenario/Script.java
+++ b/testbed/src/main/java/edgegateway/testbed/scenario/Script.java
@@ -1,14 +1,14 @@
-package thistlefall.lab.scenario;
+package edgegateway.testbed.scenario;
 
+import edgegateway.testbed.fleet.Topology;
+import edgegateway.testbed.judge.Event;
+import edgegateway.testbed.net.Party;
+import edgegateway.testbed.net.Selector;
 import java.io.IOException;
 import java.util.ArrayList;
 import java.util.Comparator;
 import java.util.List;
 import java.util.Locale;
-import thistlefall.lab.fleet.Topology;
-import thistlefall.lab.judge.Event;
-import thistlefall.lab.net.Party;
-import thistlefall.lab.net.Selector;
 
 /** A scenario's faults as steps in the order of their times. */
 public final class Script {
--- a/lab/src/main/java/thistlefall/lab/scenario/ServerFaults.java
+++ b/testbed/src/main/java/edgegateway/testbed/scenario/ServerFaults.java
@@ -1,8 +1,8 @@
-package thistlefall.lab.scenario;
+package edgegateway.testbed.scenario;
 
+import edgegateway.testbed.scenario.Scenario.Trouble;
+import edgegateway.testbed.stand.ArchiveServer;
 import java.util.SplittableRandom;
-import thistlefall.lab.scenario.Scenario.Trouble;
-import thistlefall.lab.stand.ArchiveServer;
 
 /** What a scenario does to the core of an archive server that goes on running. */
 public final class ServerFaults {
--- a/lab/src/main/java/thistlefall/lab/scenario/Stage.java
+++ b/testbed/src/main/java/edgegateway/testbed/scenario/Stage.java
@@ -1,10 +1,10 @@
-package thistlefall.lab.scenario;
+package edgegateway.testbed.scenario;
 
+import edgegateway.testbed.judge.Event;
+import edgegateway.testbed.net.Conditions;
+import edgegateway.testbed.net.Party;
+import edgegateway.testbed.net.Selector;
 import java.io.IOException;
-import thistlefall.lab.judge.Event;
-import thistlefall.lab.net.Conditions;
-import thistlefall.lab.net.Party;
-import thistlefall.lab.net.Selector;
 
 /** What a scenario's faults act on: real processes, or a model of them. */
 public interface Stage {
--- a/lab/src/main/java/thistlefall/lab/scenario/YamlFile.java
+++ b/testbed/src/main/java/edgegateway/testbed/scenario/YamlFile.java
@@ -1,4 +1,4 @@
-package thistlefall.lab.scenario;
+package edgegateway.testbed.scenario;
 
 import com.fasterxml.jackson.core.JsonLocation;
 import com.fasterxml.jackson.core.JsonProcessingException;
--- a/lab/src/main/java/thistlefall/lab/scenario/package-info.java
+++ b/testbed/src/main/java/edgegateway/testbed/scenario/package-info.java
@@ -1,2 +1,2 @@
 /** Scenarios: what is played, and playing it ({@code docs/design/lab.md}). */
-package thistlefall.lab.scenario;
+package edgegateway.testbed.scenario;
--- a/lab/src/main/java/thistlefall/lab/stand/Agent.java
+++ b/testbed/src/main/java/edgegateway/testbed/stand/Agent.java
@@ -1,12 +1,12 @@
-package thistlefall.lab.stand;
+package edgegateway.testbed.stand;
 
+import edgegateway.testbed.stand.Member.Phase;
 import java.util.ArrayDeque;
 import java.util.ArrayList;
 import java.util.LinkedHashMap;
 import java.util.List;
 import java.util.Map;
 import java.util.TreeMap;
-import thistlefall.lab.stand.Member.Phase;
 
 /**
  * Discovery's agent on one edge node's machine: changes reach it late and in their order, and it
--- a/lab/src/main/java/thistlefall/lab/stand/ArchiveServer.java
+++ b/testbed/src/main/java/edgegateway/testbed/stand/ArchiveServer.java
@@ -1,4 +1,4 @@
-package thistlefall.lab.stand;
+package edgegateway.testbed.stand;
 
 import java.util.ArrayDeque;
 import java.util.ArrayList;
--- a/lab/src/main/java/thistlefall/lab/stand/CounterTerms.java
+++ b/testbed/src/main/java/edgegateway/testbed/stand/CounterTerms.java
@@ -1,4 +1,4 @@
-package thistlefall.lab.stand;
+package edgegateway.testbed.stand;
 
 /**
  * What the counter is made of. Spans are nanoseconds.
--- a/lab/src/main/java/thistlefall/lab/stand/Member.java
+++ b/testbed/src/main/java/edgegateway/testbed/stand/Member.java
@@ -1,4 +1,4 @@
-package thistlefall.lab.stand;
+package edgegateway.testbed.stand;
 
 /**
  * An archive server as discovery lists it.
--- a/lab/src/main/java/thistlefall/lab/stand/Roll.java
+++ b/testbed/src/main/java/edgegateway/testbed/stand/Roll.java
@@ -1,4 +1,4 @@
-package thistlefall.lab.stand;
+package edgegateway.testbed.stand;
 
 import com.fasterxml.jackson.databind.node.ArrayNode;
 import com.fasterxml.jackson.databind.node.JsonNodeFactory;
--- a/lab/src/main/java/thistlefall/lab/stand/ServerTerms.java
+++ b/testbed/src/main/java/edgegateway/testbed/stand/ServerTerms.java
@@ -1,4 +1,4 @@
-package thistlefall.lab.stand;
+package edgegateway.testbed.stand;
 
 /**
  * What an archive server is made of. Spans are nanoseconds.
--- a/lab/src/main/java/thistlefall/lab/stand/Watch.java
+++ b/testbed/src/main/java/edgegateway/testbed/stand/Watch.java
@@ -1,4 +1,4 @@
-package thistlefall.lab.stand;
+package edgegateway.testbed.stand;
 
 /**
  * One watch of an {@link Agent}'s list: what to write to its connection, and when. Not thread-safe.
--- a/lab/src/main/java/thistlefall/lab/stand/http/ArchiveServerPort.java
+++ b/testbed/src/main/java/edgegateway/testbed/stand/http/ArchiveServerPort.java
@@ -1,5 +1,8 @@
-package thistlefall.lab.stand.http;
+package edgegateway.testbed.stand.http;
 
+import edgegateway.testbed.stand.ArchiveServer;
+import edgegateway.testbed.stand.ArchiveServer.Ended;
+import edgegateway.testbed.stand.ServerTerms;
 import io.netty.channel.EventLoop;
 import io.netty.handler.codec.http.FullHttpRequest;
 import io.netty.handler.codec.http.HttpResponseStatus;
@@ -7,9 +10,6 @@
 import java.net.InetSocketAddress;
 import java.util.function.Consumer;
 import java.util.function.ToDoubleFunction;
-import thistlefall.lab.stand.ArchiveServer;
-import thistlefall.lab.stand.ArchiveServer.Ended;
-import thistlefall.lab.stand.ServerTerms;
 
 /**
  * An archive server on sockets (protocol, Edge nodes to archive servers). Each instance is one run
--- a/lab/src/main/java/thistlefall/lab/stand/http/ArchiveServersPort.java
+++ b/testbed/src/main/java/edgegateway/testbed/stand/http/ArchiveServersPort.java
@@ -1,5 +1,10 @@
-package thistlefall.lab.stand.http;
+package edgegateway.testbed.stand.http;
 
+import edgegateway.testbed.stand.ArchiveServer;
+import edgegateway.testbed.stand.ArchiveServer.Ended;
+import edgegateway.testbed.stand.ServerTerms;
+import edgegateway.testbed.stand.http.ArchiveServerPort.Call;
+import edgegateway.testbed.stand.http.ArchiveServerPort.History;
 import io.netty.channel.EventLoop;
 import io.netty.handler.codec.http.FullHttpRequest;
 import io.netty.handler.codec.http.HttpResponseStatus;
@@ -11,11 +16,6 @@
 import java.util.Map;
 import java.util.TreeSet;
 import java.util.function.ToDoubleFunction;
-import thistlefall.lab.stand.ArchiveServer;
-import thistlefall.lab.stand.ArchiveServer.Ended;
-import thistlefall.lab.stand.ServerTerms;
-import thistlefall.lab.stand.http.ArchiveServerPort.Call;
-import thistlefall.lab.stand.http.ArchiveServerPort.History;
 
 /**
  * Thousands of archive servers behind one listening socket: each address of 127.0.0.0/8 that a
--- a/lab/src/main/java/thistlefall/lab/stand/http/CounterPort.java
+++ b/testbed/src/main/java/edgegateway/testbed/stand/http/CounterPort.java
@@ -1,5 +1,8 @@
-package thistlefall.lab.stand.http;
+package edgegateway.testbed.stand.http;
 
+import edgegateway.testbed.stand.Counter;
+import edgegateway.testbed.stand.Counter.Answer;
+import edgegateway.testbed.stand.CounterTerms;
 import io.netty.channel.EventLoop;
 import io.netty.handler.codec.http.FullHttpRequest;
 import io.netty.handler.codec.http.HttpMethod;
@@ -12,9 +15,6 @@
 import java.util.List;
 import java.util.concurrent.atomic.AtomicLong;
 import java.util.function.Consumer;
-import thistlefall.lab.stand.Counter;
-import thistlefall.lab.stand.Counter.Answer;
-import thistlefall.lab.stand.CounterTerms;
 
 /** The shared counter on sockets (protocol, The counter). */
 public final class CounterPort extends Port {
--- a/lab/src/main/java/thistlefall/lab/stand/http/DiscoveryPort.java
+++ b/testbed/src/main/java/edgegateway/testbed/stand/http/DiscoveryPort.java
@@ -1,5 +1,8 @@
-package thistlefall.lab.stand.http;
+package edgegateway.testbed.stand.http;
 
+import edgegateway.testbed.stand.Agent;
+import edgegateway.testbed.stand.Roll;
+import edgegateway.testbed.stand.Watch;
 import io.netty.buffer.ByteBuf;
 import io.netty.buffer.Unpooled;
 import io.netty.channel.Channel;
@@ -18,9 +21,6 @@
 import java.util.LinkedHashMap;
 import java.util.List;
 import java.util.Map;
-import thistlefall.lab.stand.Agent;
-import thistlefall.lab.stand.Roll;
-import thistlefall.lab.stand.Watch;
 
 /** Discovery's agent of one edge node on sockets (protocol, Discovery). */
 public final class DiscoveryPort extends Port {
--- a/lab/src/main/java/thistlefall/lab/stand/http/Port.java
+++ b/testbed/src/main/java/edgegateway/testbed/stand/http/Port.java
@@ -1,4 +1,4 @@
-package thistlefall.lab.stand.http;
+package edgegateway.testbed.stand.http;
 
 import io.netty.bootstrap.ServerBootstrap;
 import io.netty.channel.Channel;
--- a/lab/src/main/java/thistlefall/lab/stand/http/Reply.java
+++ b/testbed/src/main/java/edgegateway/testbed/stand/http/Reply.java
@@ -1,4 +1,4 @@
-package thistlefall.lab.stand.http;
+package edgegateway.testbed.stand.http;
 
 import io.netty.buffer.Unpooled;
 import io.netty.channel.Channel;
--- a/lab/src/main/java/thistlefall/lab/stand/http/package-info.java
+++ b/testbed/src/main/java/edgegateway/testbed/stand/http/package-info.java
@@ -1,5 +1,5 @@
 /**
  * The stand-ins on sockets: thin adapters that carry HTTP/1.1 to the cores of {@code
- * thistlefall.lab.stand}.
+ * edgegateway.testbed.stand}.
  */
-package thistlefall.lab.stand.http;
+package edgegateway.testbed.stand.http;
--- a/lab/src/test/java/thistlefall/lab/cli/CapacityPageTest.java
+++ b/testbed/src/test/java/edgegateway/testbed/cli/CapacityPageTest.java
@@ -1,4 +1,4 @@
-package thistlefall.lab.cli;
+package edgegateway.testbed.cli;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
@@ -37,7 +37,7 @@
     assertEquals(
         Files.readString(copy),
         Files.readString(PAGE),
-        "write the page anew: lab scale report lab/scale/results/* --page docs/CAPACITY.md");
+        "write the page anew: lab scale report testbed/scale/results/* --page docs/CAPACITY.md");
   }
 
   @Test
--- a/lab/src/test/java/thistlefall/lab/cli/LabTest.java
+++ b/testbed/src/test/java/edgegateway/testbed/cli/LabTest.java
@@ -1,9 +1,11 @@
-package thistlefall.lab.cli;
+package edgegateway.testbed.cli;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertThrows;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
+import edgegateway.testbed.judge.Event;
+import edgegateway.testbed.scenario.HistoryFile;
 import java.io.ByteArrayOutputStream;
 import java.io.PrintStream;
 import java.nio.charset.StandardCharsets;
@@ -12,8 +14,6 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
-import thistlefall.lab.judge.Event;
-import thistlefall.lab.scenario.HistoryFile;
 
 /** The command line, where it starts no process. */
 class LabTest {
--- a/lab/src/test/java/thistlefall/lab/fleet/FleetTest.java
+++ b/testbed/src/test/java/edgegateway/testbed/fleet/FleetTest.java
@@ -1,9 +1,20 @@
-package thistlefall.lab.fleet;
+package edgegateway.testbed.fleet;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertThrows;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
+import edgegateway.testbed.load.Plan;
+import edgegateway.testbed.load.RequestClass;
+import edgegateway.testbed.net.Conditions;
+import edgegateway.testbed.net.Party;
+import edgegateway.testbed.net.Selector;
+import edgegateway.testbed.process.DeployFile;
+import edgegateway.testbed.process.NodeProcess.Signal;
+import edgegateway.testbed.stand.ArchiveServer;
+import edgegateway.testbed.stand.CounterTerms;
+import edgegateway.testbed.stand.ServerTerms;
+import edgegateway.testbed.stand.http.ArchiveServerPort;
 import java.io.IOException;
 import java.net.ConnectException;
 import java.net.HttpURLConnection;
@@ -19,17 +30,6 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
 import org.junit.jupiter.api.io.TempDir;
-import thistlefall.lab.load.Plan;
-import thistlefall.lab.load.RequestClass;
-import thistlefall.lab.net.Conditions;
-import thistlefall.lab.net.Party;
-import thistlefall.lab.net.Selector;
-import thistlefall.lab.process.DeployFile;
-import thistlefall.lab.process.NodeProcess.Signal;
-import thistlefall.lab.stand.ArchiveServer;
-import thistlefall.lab.stand.CounterTerms;
-import thistlefall.lab.stand.ServerTerms;
-import thistlefall.lab.stand.http.ArchiveServerPort;
 
 /** Three processes of the program among stand-ins, with faults between them. */
 @Timeout(value = 120, threadMode = Timeout.ThreadMode.SEPARATE_THREAD)
--- a/lab/src/test/java/thistlefall/lab/judge/JudgeTest.java
+++ b/testbed/src/test/java/edgegateway/testbed/judge/JudgeTest.java
@@ -1,28 +1,28 @@
-package thistlefall.lab.judge;
+package edgegateway.testbed.judge;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 
+import edgegateway.testbed.judge.Event.Answered;
+import edgegateway.testbed.judge.Event.Asked;
+import edgegateway.testbed.judge.Event.Broken;
+import edgegateway.testbed.judge.Event.Crashed;
+import edgegateway.testbed.judge.Event.Fell;
+import edgegateway.testbed.judge.Event.Learned;
+import edgegateway.testbed.judge.Event.Left;
+import edgegateway.testbed.judge.Event.Lost;
+import edgegateway.testbed.judge.Event.Sent;
+import edgegateway.testbed.judge.Event.Started;
+import edgegateway.testbed.judge.Event.Told;
+import edgegateway.testbed.judge.Event.TurnedAway;
+import edgegateway.testbed.judge.Finding.Rule;
+import edgegateway.testbed.judge.Terms.Ceiling;
+import edgegateway.testbed.judge.Terms.Repeat;
 import java.util.ArrayList;
 import java.util.Arrays;
 import java.util.Collections;
 import java.util.List;
 import java.util.Random;
 import org.junit.jupiter.api.Test;
-import thistlefall.lab.judge.Event.Answered;
-import thistlefall.lab.judge.Event.Asked;
-import thistlefall.lab.judge.Event.Broken;
-import thistlefall.lab.judge.Event.Crashed;
-import thistlefall.lab.judge.Event.Fell;
-import thistlefall.lab.judge.Event.Learned;
-import thistlefall.lab.judge.Event.Left;
-import thistlefall.lab.judge.Event.Lost;
-import thistlefall.lab.judge.Event.Sent;
-import thistlefall.lab.judge.Event.Started;
-import thistlefall.lab.judge.Event.Told;
-import thistlefall.lab.judge.Event.TurnedAway;
-import thistlefall.lab.judge.Finding.Rule;
-import thistlefall.lab.judge.Terms.Ceiling;
-import thistlefall.lab.judge.Terms.Repeat;
 
 /** Made-up histories: each breaks one rule once, beside one that is like it and breaks none. */
 class JudgeTest {
--- a/lab/src/test/java/thistlefall/lab/load/FrontTest.java
+++ b/testbed/src/test/java/edgegateway/testbed/load/FrontTest.java
@@ -1,4 +1,4 @@
-package thistlefall.lab.load;
+package edgegateway.testbed.load;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
--- a/lab/src/test/java/thistlefall/lab/model/ModelTest.java
+++ b/testbed/src/test/java/edgegateway/testbed/model/ModelTest.java
@@ -1,15 +1,15 @@
-package thistlefall.lab.model;
+package edgegateway.testbed.model;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
+import edgegateway.testbed.scenario.Result;
+import edgegateway.testbed.scenario.Scenario;
 import java.nio.file.Path;
 import java.util.ArrayList;
 import java.util.List;
 import java.util.Map;
 import org.junit.jupiter.api.Test;
-import thistlefall.lab.scenario.Result;
-import thistlefall.lab.scenario.Scenario;
 
 /** The program's module in fleets of twelve, over many seeds. */
 class ModelTest {
--- a/lab/src/test/java/thistlefall/lab/net/WaysTest.java
+++ b/testbed/src/test/java/edgegateway/testbed/net/WaysTest.java
@@ -1,4 +1,4 @@
-package thistlefall.lab.net;
+package edgegateway.testbed.net;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
--- a/lab/src/test/java/thistlefall/lab/process/NodeProcessTest.java
+++ b/testbed/src/test/java/edgegateway/testbed/process/NodeProcessTest.java
@@ -1,10 +1,11 @@
-package thistlefall.lab.process;
+package edgegateway.testbed.process;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
 import static org.junit.jupiter.api.Assertions.assertThrows;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
+import edgegateway.testbed.process.NodeProcess.Signal;
 import java.io.IOException;
 import java.nio.file.Files;
 import java.nio.file.Path;
@@ -19,7 +20,6 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
 import org.junit.jupiter.api.io.TempDir;
-import thistlefall.lab.process.NodeProcess.Signal;
 
 /** Processes of the shell's in the place of edge nodes. */
 @Timeout(value = 60, threadMode = Timeout.ThreadMode.SEPARATE_THREAD)
--- a/lab/src/test/java/thistlefall/lab/process/UsageTest.java
+++ b/testbed/src/test/java/edgegateway/testbed/process/UsageTest.java
@@ -1,4 +1,4 @@
-package thistlefall.lab.process;
+package edgegateway.testbed.process;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertThrows;
--- a/lab/src/test/java/thistlefall/lab/scale/CapacityTest.java
+++ b/testbed/src/test/java/edgegateway/testbed/scale/CapacityTest.java
@@ -1,9 +1,11 @@
-package thistlefall.lab.scale;
+package edgegateway.testbed.scale;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertThrows;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
+import edgegateway.testbed.scale.CapacityFile.Line;
+import edgegateway.testbed.scenario.Scenario;
 import java.util.ArrayList;
 import java.util.List;
 import java.util.Map;
@@ -11,8 +13,6 @@
 import java.util.regex.Matcher;
 import java.util.regex.Pattern;
 import org.junit.jupiter.api.Test;
-import thistlefall.lab.scale.CapacityFile.Line;
-import thistlefall.lab.scenario.Scenario;
 
 /** The arithmetic of the capacity tables, on a result made by hand. */
 class CapacityTest {
--- a/lab/src/test/java/thistlefall/lab/scale/ModelScaleTest.java
+++ b/testbed/src/test/java/edgegateway/testbed/scale/ModelScaleTest.java
@@ -1,8 +1,10 @@
-package thistlefall.lab.scale;
+package edgegateway.testbed.scale;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
+import edgegateway.testbed.judge.Event;
+import edgegateway.testbed.scenario.YamlFile;
 import java.nio.file.Files;
 import java.nio.file.Path;
 import java.util.ArrayList;
@@ -11,8 +13,6 @@
 import java.util.SortedMap;
 import java.util.TreeMap;
 import org.junit.jupiter.api.Test;
-import thistlefall.lab.judge.Event;
-import thistlefall.lab.scenario.YamlFile;
 
 /** A small play on virtual time: the same verdict every time. */
 class ModelScaleTest {
--- a/lab/src/test/java/thistlefall/lab/scale/ScaleFileTest.java
+++ b/testbed/src/test/java/edgegateway/testbed/scale/ScaleFileTest.java
@@ -1,9 +1,13 @@
-package thistlefall.lab.scale;
+package edgegateway.testbed.scale;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertThrows;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
+import edgegateway.testbed.load.RequestClass;
+import edgegateway.testbed.scale.ScaleFile.ModelSize;
+import edgegateway.testbed.scenario.Scenario;
+import edgegateway.testbed.scenario.YamlFile;
 import java.nio.file.Files;
 import java.nio.file.Path;
 import java.util.List;
@@ -11,10 +15,6 @@
 import java.util.TreeMap;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
-import thistlefall.lab.load.RequestClass;
-import thistlefall.lab.scale.ScaleFile.ModelSize;
-import thistlefall.lab.scenario.Scenario;
-import thistlefall.lab.scenario.YamlFile;
 
 class ScaleFileTest {
   private static final Path FILE = Path.of("scale", "target.yaml");
@@ -116,7 +116,7 @@
             file.model().sizes().get(0).key(),
             new TreeMap<>(Map.of("x-per-s", 0.1)));
     ScaleResult result =
-        new ScaleResult(file, "2026-12-02", "scale lab/scale/target.yaml", List.of(point));
+        new ScaleResult(file, "2026-12-02", "scale testbed/scale/target.yaml", List.of(point));
     result.write(folder.resolve("made"));
     assertEquals(result, ScaleResult.read(folder.resolve("made")));
   }
--- a/lab/src/test/java/thistlefall/lab/scale/sockets/SocketsScaleTest.java
+++ b/testbed/src/test/java/edgegateway/testbed/scale/sockets/SocketsScaleTest.java
@@ -1,9 +1,14 @@
-package thistlefall.lab.scale.sockets;
+package edgegateway.testbed.scale.sockets;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertThrows;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
+import edgegateway.testbed.process.DeployFile;
+import edgegateway.testbed.scale.ScaleFile;
+import edgegateway.testbed.scale.ScaleFile.ControlTrouble;
+import edgegateway.testbed.scale.ScaleFile.SocketsSize;
+import edgegateway.testbed.scale.ScaleFile.SocketsSizes;
 import java.io.IOException;
 import java.nio.file.Path;
 import java.util.List;
@@ -15,11 +20,6 @@
 import org.junit.jupiter.api.io.TempDir;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.EnumSource;
-import thistlefall.lab.process.DeployFile;
-import thistlefall.lab.scale.ScaleFile;
-import thistlefall.lab.scale.ScaleFile.ControlTrouble;
-import thistlefall.lab.scale.ScaleFile.SocketsSize;
-import thistlefall.lab.scale.ScaleFile.SocketsSizes;
 
 /** Small plays over loopback. */
 @Timeout(value = 240, threadMode = Timeout.ThreadMode.SEPARATE_THREAD)
--- a/lab/src/test/java/thistlefall/lab/scenario/PlayTest.java
+++ b/testbed/src/test/java/edgegateway/testbed/scenario/PlayTest.java
@@ -1,15 +1,15 @@
-package thistlefall.lab.scenario;
+package edgegateway.testbed.scenario;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
+import edgegateway.testbed.process.DeployFile;
 import java.nio.file.Files;
 import java.nio.file.Path;
 import java.util.List;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
 import org.junit.jupiter.api.io.TempDir;
-import thistlefall.lab.process.DeployFile;
 
 /** Short scenarios on three processes of the program: every rule holds. */
 @Timeout(value = 120, threadMode = Timeout.ThreadMode.SEPARATE_THREAD)
--- a/lab/src/test/java/thistlefall/lab/scenario/ScenarioTest.java
+++ b/testbed/src/test/java/edgegateway/testbed/scenario/ScenarioTest.java
@@ -1,10 +1,12 @@
-package thistlefall.lab.scenario;
+package edgegateway.testbed.scenario;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
 import static org.junit.jupiter.api.Assertions.assertThrows;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
+import edgegateway.testbed.judge.Event;
+import edgegateway.testbed.load.Arrival;
 import java.nio.file.Files;
 import java.nio.file.Path;
 import java.util.List;
@@ -12,8 +14,6 @@
 import java.util.TreeMap;
 import java.util.stream.Stream;
 import org.junit.jupiter.api.Test;
-import thistlefall.lab.judge.Event;
-import thistlefall.lab.load.Arrival;
 
 class ScenarioTest {
   private static final Path FOLDER = Path.of("scenarios");
--- a/lab/src/test/java/thistlefall/lab/stand/AgentTest.java
+++ b/testbed/src/test/java/edgegateway/testbed/stand/AgentTest.java
@@ -1,10 +1,11 @@
-package thistlefall.lab.stand;
+package edgegateway.testbed.stand;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
 import static org.junit.jupiter.api.Assertions.assertNull;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
+import edgegateway.testbed.stand.Member.Phase;
 import java.util.List;
 import java.util.Map;
 import java.util.SplittableRandom;
@@ -12,7 +13,6 @@
 import java.util.function.Function;
 import java.util.stream.Collectors;
 import org.junit.jupiter.api.Test;
-import thistlefall.lab.stand.Member.Phase;
 
 class AgentTest {
   private static final long MS = 1_000_000L;
--- a/lab/src/test/java/thistlefall/lab/stand/ArchiveServerTest.java
+++ b/testbed/src/test/java/edgegateway/testbed/stand/ArchiveServerTest.java
@@ -1,18 +1,18 @@
-package thistlefall.lab.stand;
+package edgegateway.testbed.stand;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertNull;
 import static org.junit.jupiter.api.Assertions.assertThrows;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
+import edgegateway.testbed.stand.ArchiveServer.Ended;
+import edgegateway.testbed.stand.ArchiveServer.Ending;
 import java.util.EnumMap;
 import java.util.HashSet;
 import java.util.Map;
 import java.util.Set;
 import java.util.SplittableRandom;
 import org.junit.jupiter.api.Test;
-import thistlefall.lab.stand.ArchiveServer.Ended;
-import thistlefall.lab.stand.ArchiveServer.Ending;
 
 class ArchiveServerTest {
   private static final long MS = 1_000_000L;
--- a/lab/src/test/java/thistlefall/lab/stand/CounterTest.java
+++ b/testbed/src/test/java/edgegateway/testbed/stand/CounterTest.java
@@ -1,15 +1,15 @@
-package thistlefall.lab.stand;
+package edgegateway.testbed.stand;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertNull;
 import static org.junit.jupiter.api.Assertions.assertThrows;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
+import edgegateway.testbed.stand.Counter.Answer;
 import java.util.HashMap;
 import java.util.Map;
 import java.util.SplittableRandom;
 import org.junit.jupiter.api.Test;
-import thistlefall.lab.stand.Counter.Answer;
 
 class CounterTest {
   private static final long MS = 1_000_000L;
--- a/lab/src/test/java/thistlefall/lab/stand/http/PortsTest.java
+++ b/testbed/src/test/java/edgegateway/testbed/stand/http/PortsTest.java
@@ -1,9 +1,14 @@
-package thistlefall.lab.stand.http;
+package edgegateway.testbed.stand.http;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertThrows;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
+import edgegateway.testbed.stand.ArchiveServer;
+import edgegateway.testbed.stand.CounterTerms;
+import edgegateway.testbed.stand.Member;
+import edgegateway.testbed.stand.Roll;
+import edgegateway.testbed.stand.ServerTerms;
 import io.netty.channel.EventLoopGroup;
 import io.netty.channel.MultiThreadIoEventLoopGroup;
 import io.netty.channel.nio.NioIoHandler;
@@ -20,11 +25,6 @@
 import org.junit.jupiter.api.AfterEach;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
-import thistlefall.lab.stand.ArchiveServer;
-import thistlefall.lab.stand.CounterTerms;
-import thistlefall.lab.stand.Member;
-import thistlefall.lab.stand.Roll;
-import thistlefall.lab.stand.ServerTerms;
 
 /** The stand-ins as an edge node meets them: on sockets. */
 @Timeout(value = 60, threadMode = Timeout.ThreadMode.SEPARATE_THREAD)
