--- a/edge/src/main/java/edgegateway/node/ClientServer.java
+++ b/edge/src/main/java/edgegateway/node/ClientServer.java
@@ -7,7 +7,7 @@
 import edgegateway.node.connections.HeldBytes;
 import edgegateway.node.connections.Listener;
 import edgegateway.node.connections.Tls;
-import edgegateway.policy.api.Repeat;
+import edgegateway.policy.api.Idempotency;
 import edgegateway.policy.api.Request;
 import io.netty.buffer.ByteBuf;
 import io.netty.buffer.Unpooled;
@@ -313,8 +313,8 @@
     }
     int requestClass = index(config.names().classes(), headers, "X-Qos");
     int plan = index(config.names().plans(), headers, "X-Plan");
-    Repeat repeat = config.settings().classes().get(requestClass).repeat();
-    HttpMethod method = repeat == Repeat.SAFE ? HttpMethod.GET : HttpMethod.POST;
+    Idempotency repeat = config.settings().requestClasses().get(requestClass).idempotency();
+    HttpMethod method = repeat == Idempotency.IDEMPOTENT ? HttpMethod.GET : HttpMethod.POST;
     if (!message.method().equals(method)) {
       throw new Refusal(HttpResponseStatus.METHOD_NOT_ALLOWED, "this class goes by " + method);
     }
@@ -322,10 +322,12 @@
       throw bad("a GET has no body");
     }
     String key =
-        repeat == Repeat.KEYED ? need(headers, "Idempotency-Key") : headers.get("Idempotency-Key");
+        repeat == Idempotency.KEYED
+            ? need(headers, "Idempotency-Key")
+            : headers.get("Idempotency-Key");
     long span = whole(need(headers, "X-Expires-In-Ms"), "X-Expires-In-Ms", 1, 3_600_000);
     Map<String, String> quota = quota(need(headers, "X-Quota"));
-    int siblings = config.settings().siblings();
+    int siblings = config.settings().nodeCount();
     Request request =
         new Request(
             id,
@@ -697,7 +699,7 @@
       current = taken;
       if (rest != null) {
         rest.of = taken;
-        rest.span = taken.request.deadline() - node.now();
+        rest.span = taken.request.deadlineNanos() - node.now();
       }
       if (!node.take(taken)) {
         current = null;
--- a/edge/src/main/java/edgegateway/node/Config.java
+++ b/edge/src/main/java/edgegateway/node/Config.java
@@ -5,9 +5,9 @@
 import edgegateway.node.connections.Limits;
 import edgegateway.node.connections.Tls;
 import edgegateway.node.zones.ZoneSettings;
-import edgegateway.policy.api.Readiness;
-import edgegateway.policy.api.Server;
-import edgegateway.policy.api.Settings;
+import edgegateway.policy.api.Endpoint;
+import edgegateway.policy.api.EndpointState;
+import edgegateway.policy.api.PolicySettings;
 import edgegateway.protocol.SettingsReader;
 import java.io.IOException;
 import java.net.InetSocketAddress;
@@ -47,7 +47,7 @@
     long connectTimeout,
     long keepAlive,
     Names names,
-    Settings settings) {
+    PolicySettings settings) {
 
   private static final int HANDSHAKES = 8;
 
@@ -64,7 +64,7 @@
   record Names(List<String> classes, List<String> plans, List<String> zones, List<String> kinds) {}
 
   /** An app server and where this edge node reaches it. */
-  record Member(Server server, InetSocketAddress address) {}
+  record Member(Endpoint server, InetSocketAddress address) {}
 
   /** A message of discovery: the whole list if {@code complete}, else changed entries. */
   record Roll(long revision, boolean complete, List<Member> members) {}
@@ -136,7 +136,7 @@
       }
       number(pairs, key);
     }
-    Settings read;
+    PolicySettings read;
     try {
       read = SettingsReader.read(pairs);
     } catch (IllegalArgumentException e) {
@@ -267,17 +267,17 @@
 
   private static Member member(JsonNode entry, Names names) throws Invalid {
     String id = present(entry, "id").asText();
-    Readiness readiness =
+    EndpointState readiness =
         switch (present(entry, "phase").asText()) {
-          case "Ready" -> Readiness.READY;
-          case "Gone" -> Readiness.GONE;
-          default -> Readiness.DRAINING;
+          case "Ready" -> EndpointState.READY;
+          case "Gone" -> EndpointState.REMOVED;
+          default -> EndpointState.DRAINING;
         };
     // The module's clock starts at the wall clock's time, so a start needs no more than a new unit;
     // it compares starts to tell a restart, so the same start must give the same number every time.
     long started = Math.max(0, entry.path("up_since_ms").asLong(0)) * 1_000_000L;
     return new Member(
-        new Server(
+        new Endpoint(
             id,
             entry.path("size").asDouble(1),
             names.zones.indexOf(entry.path("locality").asText()),
--- a/edge/src/main/java/edgegateway/node/CounterClient.java
+++ b/edge/src/main/java/edgegateway/node/CounterClient.java
@@ -58,7 +58,7 @@
     this.listener = listener;
     this.loop = loop;
     address = config.counter();
-    timeout = Math.max(MS, config.settings().counter().timeout());
+    timeout = Math.max(MS, config.settings().counter().timeoutNanos());
     bootstrap =
         new Bootstrap()
             .group(loop)
@@ -259,7 +259,7 @@
       if (call == null || answer.decoderResult().isFailure()) {
         die();
       } else if (status == 503 || status == 400 || status == 404) {
-        pending.poll().end(Outcome.FULL, 0);
+        pending.poll().end(Outcome.REJECTED, 0);
       } else {
         String text = answer.content().toString(StandardCharsets.US_ASCII).trim();
         if (status != 200 || !TOTAL.matcher(text).matches()) {
--- a/edge/src/main/java/edgegateway/node/DiscoveryClient.java
+++ b/edge/src/main/java/edgegateway/node/DiscoveryClient.java
@@ -3,7 +3,7 @@
 import edgegateway.node.connections.Dial;
 import edgegateway.node.discovery.JsonObjects;
 import edgegateway.node.discovery.Watches;
-import edgegateway.policy.api.ListKind;
+import edgegateway.policy.api.EndpointListKind;
 import io.netty.bootstrap.Bootstrap;
 import io.netty.buffer.ByteBufUtil;
 import io.netty.channel.Channel;
@@ -249,7 +249,7 @@
       }
       if (watches.takes(System.nanoTime(), watch, roll.revision(), roll.complete())) {
         heardAgain();
-        node.list(roll, roll.complete() ? ListKind.FULL : ListKind.DELTA);
+        node.list(roll, roll.complete() ? EndpointListKind.FULL : EndpointListKind.DELTA);
         first.complete(null);
       } else if (!watch.isOpen()) {
         System.out.println(
--- a/edge/src/main/java/edgegateway/node/EdgeNode.java
+++ b/edge/src/main/java/edgegateway/node/EdgeNode.java
@@ -6,13 +6,13 @@
 import edgegateway.node.connections.HeldBytes;
 import edgegateway.node.zones.ZoneVerdict;
 import edgegateway.node.zones.ZoneVerdicts;
-import edgegateway.policy.Gateway;
-import edgegateway.policy.api.Actions;
-import edgegateway.policy.api.Handover;
-import edgegateway.policy.api.ListKind;
+import edgegateway.policy.GatewayPolicy;
+import edgegateway.policy.api.AttemptResult;
+import edgegateway.policy.api.EndpointListKind;
 import edgegateway.policy.api.Outcome;
-import edgegateway.policy.api.Result;
-import edgegateway.policy.api.ZoneState;
+import edgegateway.policy.api.PolicyActions;
+import edgegateway.policy.api.StateTransfer;
+import edgegateway.policy.api.ZoneStatus;
 import io.netty.buffer.ByteBuf;
 import io.netty.channel.Channel;
 import io.netty.channel.EventLoop;
@@ -40,7 +40,7 @@
  * contract of one caller holds. A process has one with a loop of its own; many may share loops
  * where that is measured.
  */
-public final class EdgeNode implements Actions, AutoCloseable {
+public final class EdgeNode implements PolicyActions, AutoCloseable {
   private static final long MS = 1_000_000L;
 
   /**
@@ -90,7 +90,7 @@
   private final HandoverFile handover;
   private Config config;
   private volatile Budget budget;
-  private Gateway gateway;
+  private GatewayPolicy gateway;
 
   /** Null where zones are left by hand alone. */
   private ZoneVerdicts verdicts;
@@ -167,9 +167,9 @@
   /** Waits for what the other process knows of its customers; that comes when it is told to end. */
   void takeOver() throws InterruptedException {
     for (long waited = 0; waited < HANDOVER_MS; waited += POLL_MS) {
-      Handover from = handover.read();
+      StateTransfer from = handover.read();
       if (from != null) {
-        loop.execute(() -> event(null, now -> gateway.takeOver(now, from)));
+        loop.execute(() -> event(null, now -> gateway.importState(now, from)));
         return;
       }
       Thread.sleep(POLL_MS);
@@ -180,8 +180,8 @@
   void decide() throws Exception {
     loop.submit(
             () -> {
-              gateway = new Gateway(config.settings(), config.seed(), now(), this);
-              list(config.known(), ListKind.CACHED);
+              gateway = new GatewayPolicy(config.settings(), config.seed(), now(), this);
+              list(config.known(), EndpointListKind.CACHED);
               look();
               loop.scheduleAtFixedRate(this::look, LOOK, LOOK, TimeUnit.NANOSECONDS);
               if (config.zones() != null) {
@@ -231,7 +231,7 @@
   /** Answers all that was taken and completes when no client's connection is open any more. */
   CompletableFuture<Void> stop() throws Exception {
     CompletableFuture<Void> done = new CompletableFuture<>();
-    Handover told =
+    StateTransfer told =
         loop.submit(
                 () -> {
                   boolean succeeded = slots.otherTakes();
@@ -240,7 +240,7 @@
                     verdicts.agreement().abstain();
                   }
                   clients.stop(done, succeeded);
-                  return succeeded ? gateway.handOver(now()) : null;
+                  return succeeded ? gateway.exportState(now()) : null;
                 })
             .get();
     // Not on the loop: it has clients to see to.
@@ -268,7 +268,7 @@
           if (gateway != null) {
             // As an event: it may let requests go, and the sockets must not enter the module again
             // meanwhile.
-            event(null, now -> listed[0] = gateway.leaveOut(now, server, out));
+            event(null, now -> listed[0] = gateway.setEndpointEjected(now, server, out));
           }
           if (!listed[0]) {
             return "never listed";
@@ -276,7 +276,7 @@
           if (out) {
             pool.leaveOut(server);
           }
-          leftOut.write(gateway.leftOut());
+          leftOut.write(gateway.operatorEjectedEndpoints());
           tell();
           return null;
         });
@@ -297,13 +297,15 @@
           long ramp =
               seconds > 0
                   ? TimeUnit.SECONDS.toNanos(seconds)
-                  : config.settings().rules().coldSpan();
-          event(null, now -> left[0] = gateway != null && gateway.leaveZone(now, zone, out, ramp));
+                  : config.settings().rules().slowStartNanos();
+          event(
+              null,
+              now -> left[0] = gateway != null && gateway.setZoneEjected(now, zone, out, ramp));
           if (!left[0]) {
             return "no server of another zone could be sent to";
           }
           zonesOut.write(
-              gateway.zonesOut().stream()
+              gateway.ejectedZones().stream()
                   .map(config.names().zones()::get)
                   .collect(Collectors.toSet()));
           log(
@@ -324,24 +326,27 @@
           StringBuilder text = new StringBuilder();
           long now = now();
           for (int i = 0; i < config.names().zones().size() && gateway != null; i++) {
-            ZoneState zone = gateway.zone(i);
+            ZoneStatus zone = gateway.zoneStatus(i);
             ZoneVerdict verdict =
-                verdicts == null || zone.byHand() ? null : verdicts.agreement().verdict(i);
-            String state = zone.share() == 0 ? "out" : zone.share() < 1 ? "returning" : "in";
+                verdicts == null || zone.byOperator() ? null : verdicts.agreement().verdict(i);
+            String state =
+                zone.trafficFraction() == 0
+                    ? "out"
+                    : zone.trafficFraction() < 1 ? "returning" : "in";
             text.append(
                 String.format(
                     Locale.ROOT,
                     "%s state=%s share=%.2f servers=%d usable=%d",
                     config.names().zones().get(i),
                     verdict == null ? state : verdict.state().name().toLowerCase(Locale.ROOT),
-                    zone.share(),
-                    zone.listed(),
-                    zone.usable()));
-            long since = verdict == null ? zone.since() : verdict.since();
+                    zone.trafficFraction(),
+                    zone.listedEndpoints(),
+                    zone.usableEndpoints()));
+            long since = verdict == null ? zone.sinceNanos() : verdict.since();
             text.append(
                 since == 0 ? "" : " since_s=" + TimeUnit.NANOSECONDS.toSeconds(now - since));
             text.append(
-                zone.byHand()
+                zone.byOperator()
                     ? " why=hand"
                     : verdict == null || verdict.why() == ZoneVerdict.Why.NONE
                         ? ""
@@ -388,7 +393,7 @@
   private void look() {
     Set<String> out = leftOut.changed();
     if (out != null) {
-      event(null, now -> gateway.stillOut(now, out));
+      event(null, now -> gateway.restoreEjectedEndpoints(now, out));
       out.forEach(pool::leaveOut);
     }
     Set<String> zones = zonesOut.changed();
@@ -398,7 +403,7 @@
               .map(config.names().zones()::indexOf)
               .filter(zone -> zone >= 0)
               .collect(Collectors.toSet());
-      event(null, now -> gateway.zonesStillOut(now, numbers));
+      event(null, now -> gateway.restoreEjectedZones(now, numbers));
     }
     bound(slots.otherLives() ? 2 : 1);
     tell();
@@ -427,7 +432,7 @@
   }
 
   private void tell() {
-    figures.servers(pool.listed(), gateway.avoided().size());
+    figures.servers(pool.listed(), gateway.avoidedEndpoints().size());
     if (verdicts != null) {
       figures.zones(
           verdicts.agreement().zonesAway(),
@@ -477,14 +482,15 @@
   }
 
   /** The list of app servers, or changes to it. */
-  void list(Config.Roll roll, ListKind kind) {
+  void list(Config.Roll roll, EndpointListKind kind) {
     long read = System.nanoTime();
-    pool.update(roll, kind != ListKind.DELTA);
+    pool.update(roll, kind != EndpointListKind.DELTA);
     event(
         null,
         now -> {
           figures.worded(System.nanoTime() - read);
-          gateway.list(now, kind, roll.members().stream().map(Config.Member::server).toList());
+          gateway.endpointsUpdated(
+              now, kind, roll.members().stream().map(Config.Member::server).toList());
         });
   }
 
@@ -535,7 +541,7 @@
     if (!enter(away)) {
       return false;
     }
-    event(away, now -> gateway.turnedAway(now, away.request));
+    event(away, now -> gateway.requestOverHostCapacity(now, away.request));
     return true;
   }
 
@@ -554,9 +560,9 @@
     }
     // A client's time counts from its last byte.
     if (taken.upload == null) {
-      backstop(taken, taken.request.deadline() + ANSWER_MARGIN);
+      backstop(taken, taken.request.deadlineNanos() + ANSWER_MARGIN);
     }
-    event(taken, now -> gateway.request(now, taken.request));
+    event(taken, now -> gateway.requestReceived(now, taken.request));
     return true;
   }
 
@@ -575,14 +581,14 @@
 
   /** A part of a long body is no longer held here. */
   void passedOn(OpenRequest of) {
-    event(of, now -> gateway.passedOn(now, of.request.id()));
+    event(of, now -> gateway.bodyForwarded(now, of.request.id()));
   }
 
   /** The last byte of a long body came. */
   void uploaded(OpenRequest of, long left) {
     if (!of.answered) {
       backstop(of, now() + left);
-      event(of, now -> gateway.uploaded(now, of.request.id()));
+      event(of, now -> gateway.uploadCompleted(now, of.request.id()));
     }
   }
 
@@ -616,7 +622,7 @@
   private void overdue(OpenRequest late) {
     if (!late.answered) {
       fail(late);
-      event(null, now -> gateway.clientGone(now, late.request.id()));
+      event(null, now -> gateway.clientDisconnected(now, late.request.id()));
       late.withdraw();
     }
   }
@@ -627,7 +633,7 @@
   void clientGone(OpenRequest gone) {
     if (answerOnce(gone, null) != null) {
       settle(gone);
-      event(gone, now -> gateway.clientGone(now, gone.request.id()));
+      event(gone, now -> gateway.clientDisconnected(now, gone.request.id()));
       gone.withdraw();
     }
   }
@@ -638,7 +644,7 @@
    */
   void clientUnsure(OpenRequest unsure) {
     unsure.lastAttempt = true;
-    event(unsure, now -> gateway.clientGone(now, unsure.request.id()));
+    event(unsure, now -> gateway.clientDisconnected(now, unsure.request.id()));
     unsure.withdraw();
     if (!unsure.attemptOut) {
       endLast(unsure);
@@ -648,7 +654,7 @@
   /** No attempt follows: refused if none may have run. */
   private void endLast(OpenRequest of) {
     if (of.mayHaveRunSince == Long.MIN_VALUE) {
-      refuse(of.request.id(), 0);
+      reject(of.request.id(), 0);
     } else {
       fail(of);
     }
@@ -679,7 +685,7 @@
         now ->
             gateway.attemptEnded(
                 now,
-                new Result(
+                new AttemptResult(
                     of.request.id(), outcome, took, server, complete, attempt, units, List.of())));
   }
 
@@ -701,7 +707,7 @@
           if (ballot) {
             verdicts.counted(now, name, outcome, total);
           } else {
-            gateway.counted(now, name, outcome, total);
+            gateway.counterReplied(now, name, outcome, total);
           }
         });
   }
@@ -715,7 +721,7 @@
   }
 
   @Override
-  public void send(String id, String server, long patience) {
+  public void sendAttempt(String id, String server, long patience) {
     OpenRequest of = open.get(id);
     if (of == null || of.answered || of.attemptOut) {
       if (of != null) {
@@ -729,7 +735,7 @@
   }
 
   @Override
-  public void refuse(String id, long retryAfter) {
+  public void reject(String id, long retryAfter) {
     OpenRequest of = open.get(id);
     OpenRequest.Answers answers = of == null ? null : answerOnce(of, Ending.DROPPED);
     if (answers != null) {
@@ -755,31 +761,31 @@
   }
 
   @Override
-  public void probe(String server) {
+  public void healthCheck(String server) {
     // The site does not allow it, and the module asks only where the settings do.
   }
 
   @Override
-  public void count(long name, double amount, long lifetime) {
+  public void addToCounter(long name, double amount, long lifetime) {
     counter.count(name, amount, lifetime);
   }
 
   @Override
-  public void timer(long token, long span) {
+  public void scheduleTimer(long token, long span) {
     long due = System.nanoTime() + span;
     loop.schedule(
         () -> {
           long came = System.nanoTime();
           standstills.tick(came);
           figures.late(came - due);
-          event(null, now -> gateway.timer(now, token));
+          event(null, now -> gateway.timerFired(now, token));
         },
         span,
         TimeUnit.NANOSECONDS);
   }
 
   @Override
-  public void watchList() {
+  public void subscribeToEndpoints() {
     // Discovery is watched from the start and again whenever a watch ends.
   }
 
--- a/edge/src/main/java/edgegateway/node/HandoverFile.java
+++ b/edge/src/main/java/edgegateway/node/HandoverFile.java
@@ -1,7 +1,7 @@
 package edgegateway.node;
 
-import edgegateway.policy.api.Handover;
-import edgegateway.policy.api.Use;
+import edgegateway.policy.api.QuotaUsage;
+import edgegateway.policy.api.StateTransfer;
 import java.io.ByteArrayInputStream;
 import java.io.ByteArrayOutputStream;
 import java.io.DataInputStream;
@@ -39,7 +39,7 @@
    * Without it the other process begins with nothing: a failure must not keep this one from its
    * end.
    */
-  void write(Handover from) {
+  void write(StateTransfer from) {
     try {
       Path draft = file.resolveSibling("handover.draft");
       Files.write(draft, bytes(from));
@@ -49,40 +49,40 @@
     }
   }
 
-  private static byte[] bytes(Handover from) throws IOException {
+  private static byte[] bytes(StateTransfer from) throws IOException {
     ByteArrayOutputStream bytes = new ByteArrayOutputStream();
     DataOutputStream out = new DataOutputStream(bytes);
     out.writeInt(FORM);
-    out.writeDouble(from.callRate());
-    out.writeInt(from.service().size());
-    for (double one : from.service()) {
+    out.writeDouble(from.counterCallsPerSecond());
+    out.writeInt(from.serviceTimesSeconds().size());
+    for (double one : from.serviceTimesSeconds()) {
       out.writeDouble(one);
     }
-    out.writeInt(from.uses().size());
-    for (Use use : from.uses()) {
+    out.writeInt(from.quotaUsages().size());
+    for (QuotaUsage use : from.quotaUsages()) {
       out.writeLong(use.customer());
       out.writeInt(use.plan());
-      out.writeInt(use.gateways());
+      out.writeInt(use.gatewayCount());
       out.writeLong(use.window());
       for (double one :
           new double[] {
-            use.mine(),
-            use.others(),
-            use.store(),
-            use.othersRate(),
-            use.foreseen(),
-            use.unpushed(),
-            use.ceiling()
+            use.localUsage(),
+            use.remoteUsage(),
+            use.tokens(),
+            use.remoteUnitsPerSecond(),
+            use.predictedRemoteUsage(),
+            use.unreportedUnits(),
+            use.ceilingTokens()
           }) {
         out.writeDouble(one);
       }
-      out.writeLong(use.heard());
+      out.writeLong(use.lastUpdateNanos());
     }
     return bytes.toByteArray();
   }
 
   /** What the other process has told, once; null if nothing, or nothing that can be read. */
-  Handover read() {
+  StateTransfer read() {
     try {
       if (file == null || !Files.exists(file)) {
         return null;
@@ -97,10 +97,10 @@
       for (int left = in.readInt(); left > 0; left--) {
         service.add(in.readDouble());
       }
-      List<Use> uses = new ArrayList<>();
+      List<QuotaUsage> uses = new ArrayList<>();
       for (int left = in.readInt(); left > 0; left--) {
         uses.add(
-            new Use(
+            new QuotaUsage(
                 in.readLong(),
                 in.readInt(),
                 in.readInt(),
@@ -114,7 +114,7 @@
                 in.readDouble(),
                 in.readLong()));
       }
-      return new Handover(callRate, service, uses);
+      return new StateTransfer(callRate, service, uses);
     } catch (IOException e) {
       EdgeNode.trouble("what the other process told", e);
       return null;
--- a/edge/src/main/java/edgegateway/node/ServerPool.java
+++ b/edge/src/main/java/edgegateway/node/ServerPool.java
@@ -6,9 +6,9 @@
 import edgegateway.node.connections.HeldBytes;
 import edgegateway.node.connections.Servers;
 import edgegateway.node.connections.Servers.Failure;
+import edgegateway.policy.api.EndpointState;
+import edgegateway.policy.api.Idempotency;
 import edgegateway.policy.api.Outcome;
-import edgegateway.policy.api.Readiness;
-import edgegateway.policy.api.Repeat;
 import edgegateway.policy.api.RequestClass;
 import io.netty.bootstrap.Bootstrap;
 import io.netty.buffer.ByteBuf;
@@ -85,8 +85,8 @@
   ServerPool(EdgeNode node, EventLoop loop, Config config) {
     this.node = node;
     this.loop = loop;
-    coldSpan = config.settings().rules().coldSpan();
-    classes = config.settings().classes();
+    coldSpan = config.settings().rules().slowStartNanos();
+    classes = config.settings().requestClasses();
     servers = new Servers(this, node.counts, config.seed(), config.keepAlive());
     bootstrap =
         new Bootstrap()
@@ -175,12 +175,12 @@
   private record Listed(Config.Member member, Servers.Target target) {
     boolean same(Config.Member other) {
       return member.address().equals(other.address())
-          && member.server().startedAt() == other.server().startedAt()
-          && ready() == (other.server().readiness() == Readiness.READY);
+          && member.server().startedAtNanos() == other.server().startedAtNanos()
+          && ready() == (other.server().state() == EndpointState.READY);
     }
 
     boolean ready() {
-      return member.server().readiness() == Readiness.READY;
+      return member.server().state() == EndpointState.READY;
     }
   }
 
@@ -194,14 +194,14 @@
       String id = member.server().id();
       named.add(id);
       Listed known = listed.get(id);
-      boolean gone = member.server().readiness() == Readiness.GONE;
+      boolean gone = member.server().state() == EndpointState.REMOVED;
       boolean same = known != null && known.same(member);
       if (known != null && (gone || !same)) {
         known.target.retire();
         listed.remove(id);
       }
       if (!gone && !same) {
-        long started = member.server().startedAt();
+        long started = member.server().startedAtNanos();
         boolean cold = started > 0 && node.now() - started < coldSpan;
         Listed next = new Listed(member, servers.add(member.address(), cold));
         listed.put(id, next);
@@ -321,11 +321,14 @@
       this.patience = patience;
       this.target = target;
       RequestClass spec = classes.get(of.request.requestClass());
-      boolean repeat = of.mayHaveRunSince != Long.MIN_VALUE && spec.repeat() == Repeat.KEYED;
+      boolean repeat =
+          of.mayHaveRunSince != Long.MIN_VALUE && spec.idempotency() == Idempotency.KEYED;
       lastBegin =
           Math.min(
               sentAt + patience,
-              repeat ? of.mayHaveRunSince + spec.keyWindow() - ON_THE_WAY : Long.MAX_VALUE);
+              repeat
+                  ? of.mayHaveRunSince + spec.idempotencyKeyWindowNanos() - ON_THE_WAY
+                  : Long.MAX_VALUE);
     }
 
     @Override
@@ -390,7 +393,7 @@
       }
       over = true;
       of.withdrawal = null;
-      if (!outcome.provesNeverRan() && of.mayHaveRunSince == Long.MIN_VALUE) {
+      if (!outcome.provesNotExecuted() && of.mayHaveRunSince == Long.MIN_VALUE) {
         of.mayHaveRunSince = sentAt;
       }
       if (expiry != null) {
@@ -667,7 +670,7 @@
       }
       boolean neverRan =
           (status == 503 || status == 504) && "1".equals(answer.headers().get("X-Never-Ran"));
-      return neverRan ? Outcome.FULL : Outcome.ERROR;
+      return neverRan ? Outcome.REJECTED : Outcome.ERROR;
     }
 
     private double units(HttpResponse answer) {
--- a/edge/src/main/java/edgegateway/node/WarmUp.java
+++ b/edge/src/main/java/edgegateway/node/WarmUp.java
@@ -1,11 +1,11 @@
 package edgegateway.node;
 
-import edgegateway.policy.api.Counter;
-import edgegateway.policy.api.Readiness;
-import edgegateway.policy.api.Repeat;
+import edgegateway.policy.api.CounterSettings;
+import edgegateway.policy.api.Endpoint;
+import edgegateway.policy.api.EndpointState;
+import edgegateway.policy.api.Idempotency;
+import edgegateway.policy.api.PolicySettings;
 import edgegateway.policy.api.RequestClass;
-import edgegateway.policy.api.Server;
-import edgegateway.policy.api.Settings;
 import io.netty.buffer.ByteBuf;
 import io.netty.buffer.Unpooled;
 import io.netty.channel.embedded.EmbeddedChannel;
@@ -75,25 +75,37 @@
    * The same settings with no counter, and a list in which every server is ready and leads nowhere.
    */
   private static Config alone(Config real) {
-    Settings s = real.settings();
-    Settings settings =
-        new Settings(
-            s.me(),
-            s.siblings(),
-            s.zone(),
-            s.tick(),
-            s.sizesTell(),
-            s.reports(),
-            s.classes(),
-            s.plans(),
+    PolicySettings s = real.settings();
+    PolicySettings settings =
+        new PolicySettings(
+            s.nodeIndex(),
+            s.nodeCount(),
+            s.localZone(),
+            s.tickNanos(),
+            s.endpointWeightsUsed(),
+            s.loadReportNames(),
+            s.requestClasses(),
+            s.quotaPlans(),
             s.limits(),
-            new Counter(false, s.counter().timeout(), s.counter().settles(), s.counter().largest()),
+            new CounterSettings(
+                false,
+                s.counter().timeoutNanos(),
+                s.counter().reportsTrueUnits(),
+                s.counter().maxRequestUnits()),
             s.rules());
     List<Config.Member> members =
         real.known().members().stream()
             .map(Config.Member::server)
             .map(
-                e -> new Server(e.id(), e.size(), e.zone(), e.cell(), e.kind(), Readiness.READY, 0))
+                e ->
+                    new Endpoint(
+                        e.id(),
+                        e.weight(),
+                        e.zone(),
+                        e.cell(),
+                        e.machineType(),
+                        EndpointState.READY,
+                        0))
             .map(e -> new Config.Member(e, real.listen()))
             .toList();
     return new Config(
@@ -143,8 +155,8 @@
 
   private String request(int i) {
     int at = i % config.names().classes().size();
-    RequestClass kind = config.settings().classes().get(at);
-    boolean safe = kind.repeat() == Repeat.SAFE;
+    RequestClass kind = config.settings().requestClasses().get(at);
+    boolean safe = kind.idempotency() == Idempotency.IDEMPOTENT;
     return (safe ? "GET" : "POST")
         + " /api HTTP/1.1\r\nHost: app.svc\r\nX-Trace-Id: warm-up-"
         + i
@@ -155,9 +167,9 @@
         + "\r\nCookie: customer=00000000000000"
         + (10 + i % 90)
         + "\r\nX-Expires-In-Ms: "
-        + TimeUnit.NANOSECONDS.toMillis(kind.deadline())
+        + TimeUnit.NANOSECONDS.toMillis(kind.deadlineNanos())
         + "\r\nX-Quota: units=1,spread="
-        + config.settings().siblings()
+        + config.settings().nodeCount()
         + ",first=0"
         + (safe ? "" : "\r\nIdempotency-Key: warm-up-" + i + "\r\nContent-Length: 512")
         + "\r\n\r\n"
--- a/edge/src/main/java/edgegateway/node/zones/ZoneAgreement.java
+++ b/edge/src/main/java/edgegateway/node/zones/ZoneAgreement.java
@@ -1,7 +1,7 @@
 package edgegateway.node.zones;
 
-import edgegateway.policy.api.Course;
-import edgegateway.policy.api.ZoneEvidence;
+import edgegateway.policy.api.TrafficRamp;
+import edgegateway.policy.api.ZoneHealth;
 import java.util.HashMap;
 import java.util.HashSet;
 import java.util.List;
@@ -18,7 +18,7 @@
   /** What it asks for. */
   public interface Actions {
     /** From now on a zone's part of the work is so; null: as ever. */
-    void course(int zone, Course course);
+    void course(int zone, TrafficRamp course);
 
     /** The next request that may be repeated freely goes to a zone that is out. */
     void trial(int zone);
@@ -90,7 +90,7 @@
   private final SplittableRandom chance;
   private final long born;
   private final Map<Integer, ZoneMachine> machines = new HashMap<>();
-  private Map<Integer, ZoneEvidence> evidence = Map.of();
+  private Map<Integer, ZoneHealth> evidence = Map.of();
   private int unanswered;
   private long calls;
   private long trials;
@@ -112,7 +112,7 @@
    *
    * @param told whether discovery speaks, so that a server that began anew would be known
    */
-  public void tick(long now, List<ZoneEvidence> all, boolean told) {
+  public void tick(long now, List<ZoneHealth> all, boolean told) {
     this.told = told;
     evidence = new HashMap<>();
     all.forEach(one -> evidence.put(one.zone(), one));
@@ -122,7 +122,7 @@
     double more =
         accused.stream()
             .filter(zone -> !machine(zone).away())
-            .mapToDouble(zone -> evidence.get(zone).share())
+            .mapToDouble(zone -> evidence.get(zone).endpointFraction())
             .sum();
     boolean tooMuch = more > 0 && !bearable(away + more);
     if (tooMuch) {
@@ -140,33 +140,36 @@
             machine(one.zone()).tick(now, one, accused.contains(one.zone()), goodElsewhere(one)));
   }
 
-  private boolean bad(ZoneEvidence of) {
+  private boolean bad(ZoneHealth of) {
     boolean much =
-        of.excess() >= (terms.siblings() < MANY ? EXCESS : EXCESS_OF_MANY)
-            && of.bad() >= Math.min(2, of.servers())
-            && 2 * of.bad() >= of.heard();
+        of.failureExcess() >= (terms.siblings() < MANY ? EXCESS : EXCESS_OF_MANY)
+            && of.failingEndpoints() >= Math.min(2, of.endpoints())
+            && 2 * of.failingEndpoints() >= of.observedEndpoints();
     // A node that avoids each silent server at once has no more to tell than that none of them
     // answers.
-    boolean all = of.servers() > 1 && of.silent() == of.servers() && of.excess() >= ALL_EXCESS;
+    boolean all =
+        of.endpoints() > 1
+            && of.unresponsiveEndpoints() == of.endpoints()
+            && of.failureExcess() >= ALL_EXCESS;
     return (much || all) && goodElsewhere(of);
   }
 
   /** Who reaches nobody accuses nobody, and a load too high for all is no zone's fault. */
-  private boolean goodElsewhere(ZoneEvidence of) {
+  private boolean goodElsewhere(ZoneHealth of) {
     return evidence.values().stream()
         .anyMatch(
             other ->
                 other.zone() != of.zone()
-                    && other.ended() - other.missed() >= ELSEWHERE_GOOD
-                    && other.missed() <= ELSEWHERE_PART * other.ended()
-                    && other.excess() <= ELSEWHERE_EXCESS);
+                    && other.recentAttempts() - other.recentFailures() >= ELSEWHERE_GOOD
+                    && other.recentFailures() <= ELSEWHERE_PART * other.recentAttempts()
+                    && other.failureExcess() <= ELSEWHERE_EXCESS);
   }
 
   /** The part of the listed servers in zones that are away, without one zone. */
   private double away(int without) {
     return evidence.values().stream()
         .filter(one -> one.zone() != without && machine(one.zone()).away())
-        .mapToDouble(ZoneEvidence::share)
+        .mapToDouble(ZoneHealth::endpointFraction)
         .sum();
   }
 
@@ -176,8 +179,8 @@
 
   /** Whether a zone may be left beside those that are away. */
   boolean mayLeave(int zone) {
-    ZoneEvidence of = evidence.get(zone);
-    return of != null && bearable(away(zone) + of.share());
+    ZoneHealth of = evidence.get(zone);
+    return of != null && bearable(away(zone) + of.endpointFraction());
   }
 
   private ZoneMachine machine(int zone) {
@@ -232,8 +235,8 @@
 
   /** For how long a zone's part grows on its way back. */
   long ramp(int zone) {
-    ZoneEvidence of = evidence.get(zone);
-    return told && of != null && of.cold() == 0 ? terms.ramp() : terms.coldRamp();
+    ZoneHealth of = evidence.get(zone);
+    return told && of != null && of.warmingEndpoints() == 0 ? terms.ramp() : terms.coldRamp();
   }
 
   static long window(long now) {
--- a/edge/src/main/java/edgegateway/node/zones/ZoneMachine.java
+++ b/edge/src/main/java/edgegateway/node/zones/ZoneMachine.java
@@ -3,8 +3,8 @@
 import edgegateway.node.zones.Ballot.Question;
 import edgegateway.node.zones.ZoneVerdict.State;
 import edgegateway.node.zones.ZoneVerdict.Why;
-import edgegateway.policy.api.Course;
-import edgegateway.policy.api.ZoneEvidence;
+import edgegateway.policy.api.TrafficRamp;
+import edgegateway.policy.api.ZoneHealth;
 import java.util.Locale;
 import java.util.SplittableRandom;
 
@@ -104,14 +104,14 @@
   }
 
   /** {@code comparable} is whether some other zone is well. */
-  void tick(long now, ZoneEvidence of, boolean accused, boolean comparable) {
+  void tick(long now, ZoneHealth of, boolean accused, boolean comparable) {
     switch (state) {
       case IN, SUSPECT -> watch(now, of, accused, comparable);
       case LEAVING -> {
         affirm(now, Question.FAILING);
         if (now - since >= LEAVE) {
           state = State.OUT;
-          out.course(zone, new Course(0, 0, now, 1));
+          out.course(zone, new TrafficRamp(0, 0, now, 1));
         }
       }
       case OUT -> tryOut(now, of);
@@ -119,7 +119,7 @@
     }
   }
 
-  private void watch(long now, ZoneEvidence of, boolean accused, boolean comparable) {
+  private void watch(long now, ZoneHealth of, boolean accused, boolean comparable) {
     if (accused) {
       accusedSince = accusedAt == NEVER || now - accusedAt > BREAK ? now : accusedSince;
       accusedAt = now;
@@ -132,10 +132,10 @@
       enter(now, State.IN, Why.NONE, 0);
       out.log(name() + " is not accused any more");
     }
-    if (state == State.SUSPECT || of.excess() >= SUSPICION && comparable) {
+    if (state == State.SUSPECT || of.failureExcess() >= SUSPICION && comparable) {
       ask(now, Question.FAILING, state == State.SUSPECT);
     }
-    long silent = now - Math.max(accusedSince, of.answered());
+    long silent = now - Math.max(accusedSince, of.lastAnswerNanos());
     if (accused && silent >= terms.settings().aloneAfter() && agreement.mayLeave(zone)) {
       leave(now, Why.ALONE, 1);
     }
@@ -194,7 +194,7 @@
     failed = 0;
     accusedAt = NEVER;
     enter(now, relapse ? State.OUT : State.LEAVING, by, votes);
-    out.course(zone, relapse ? new Course(0, 0, now, 1) : new Course(1, 0, now, LEAVE));
+    out.course(zone, relapse ? new TrafficRamp(0, 0, now, 1) : new TrafficRamp(1, 0, now, LEAVE));
     out.log(
         name()
             + (relapse ? " relapses" : " is left")
@@ -209,7 +209,7 @@
             + " relapses");
   }
 
-  private void tryOut(long now, ZoneEvidence of) {
+  private void tryOut(long now, ZoneHealth of) {
     if (now < heldUntil) {
       affirm(now, Question.FAILING);
       return;
@@ -236,19 +236,19 @@
   }
 
   /** Sends trials, one after the other; after one that failed they begin anew, later. */
-  private boolean passed(long now, ZoneEvidence of, int enough) {
+  private boolean passed(long now, ZoneHealth of, int enough) {
     long window = ZoneAgreement.window(now);
     if (triedIn != window) {
       triedIn = window;
       tryAt = Math.max(tryAt, now);
       base(of);
     }
-    if (of.misses() > baseMissed) {
+    if (of.totalFailures() > baseMissed) {
       tryAt = now + Math.min(MOST_TRY_AGAIN, TRY_AGAIN << Math.min(failed++, MOST_DOUBLINGS));
       base(of);
       return false;
     }
-    boolean passed = of.attempts() - baseEnded >= enough;
+    boolean passed = of.totalAttempts() - baseEnded >= enough;
     if (!passed && now >= tryAt) {
       tryAt = now + TRY_EVERY;
       agreement.trial(zone);
@@ -256,9 +256,9 @@
     return passed;
   }
 
-  private void base(ZoneEvidence of) {
-    baseEnded = of.attempts();
-    baseMissed = of.misses();
+  private void base(ZoneHealth of) {
+    baseEnded = of.totalAttempts();
+    baseMissed = of.totalFailures();
   }
 
   private void beginReturn(long now, Why by, int votes) {
@@ -266,7 +266,7 @@
     returnedAt = now;
     baseEnded = NEVER;
     ramp = agreement.ramp(zone);
-    out.course(zone, new Course(terms.begin(), 1, now, ramp));
+    out.course(zone, new TrafficRamp(terms.begin(), 1, now, ramp));
     out.log(
         name()
             + " comes back by "
@@ -276,12 +276,12 @@
             + " nodes find it well");
   }
 
-  private void comeBack(long now, ZoneEvidence of, boolean accused) {
+  private void comeBack(long now, ZoneHealth of, boolean accused) {
     if (baseEnded == NEVER) {
       base(of);
     }
-    long ended = of.attempts() - baseEnded;
-    long missed = of.misses() - baseMissed;
+    long ended = of.totalAttempts() - baseEnded;
+    long missed = of.totalFailures() - baseMissed;
     boolean again = accused && missed >= RELAPSE && 2 * missed >= ended;
     if (again) {
       askAt = now;
--- a/edge/src/main/java/edgegateway/node/zones/ZoneVerdicts.java
+++ b/edge/src/main/java/edgegateway/node/zones/ZoneVerdicts.java
@@ -1,11 +1,11 @@
 package edgegateway.node.zones;
 
-import edgegateway.policy.Gateway;
-import edgegateway.policy.api.Actions;
-import edgegateway.policy.api.Course;
+import edgegateway.policy.GatewayPolicy;
 import edgegateway.policy.api.Outcome;
-import edgegateway.policy.api.Rules;
-import edgegateway.policy.api.Settings;
+import edgegateway.policy.api.PlatformRules;
+import edgegateway.policy.api.PolicyActions;
+import edgegateway.policy.api.PolicySettings;
+import edgegateway.policy.api.TrafficRamp;
 import java.util.List;
 
 /**
@@ -25,8 +25,8 @@
    */
   private static final long WARM_RAMP = 2_000_000_000L;
 
-  private final Gateway gateway;
-  private final Actions host;
+  private final GatewayPolicy gateway;
+  private final PolicyActions host;
   private final CounterBallots ballots;
   private final ZoneAgreement agreement;
 
@@ -36,15 +36,15 @@
   /** {@code zones} are the zones' names in the settings' order. */
   public ZoneVerdicts(
       ZoneSettings of,
-      Settings settings,
+      PolicySettings settings,
       List<String> zones,
       long seed,
       long now,
-      Gateway gateway,
-      Actions host) {
+      GatewayPolicy gateway,
+      PolicyActions host) {
     this.gateway = gateway;
     this.host = host;
-    ballots = new CounterBallots(host::count, zones, ZoneAgreement.WINDOW);
+    ballots = new CounterBallots(host::addToCounter, zones, ZoneAgreement.WINDOW);
     boolean counted = settings.counter().present();
     ZoneSettings able =
         counted ? of : new ZoneSettings(ZoneSettings.Verdicts.ALONE, of.mostOut(), of.aloneAfter());
@@ -52,10 +52,10 @@
         new ZoneAgreement(
             new ZoneAgreement.Terms(
                 able,
-                settings.me(),
-                Math.max(1, settings.siblings()),
+                settings.nodeIndex(),
+                Math.max(1, settings.nodeCount()),
                 zones,
-                Math.min(1, settings.rules().coldFrom()),
+                Math.min(1, settings.rules().slowStartInitialFraction()),
                 WARM_RAMP,
                 Math.max(WARM_RAMP, coldRamp(settings.rules()))),
             ballots,
@@ -69,17 +69,17 @@
    * all, though every server began anew at its begin and nobody knows it: the part stays below
    * {@link #SAFE} of what pushes a server over (design page, returning).
    */
-  static long coldRamp(Rules rules) {
+  static long coldRamp(PlatformRules rules) {
     double part =
-        (1 / (SAFE * Math.max(1, rules.fallMultiple())) - rules.coldFrom())
-            / Math.max(1e-9, 1 - rules.coldFrom());
-    return Math.max(1, (long) (rules.coldSpan() * Math.max(0, Math.min(1, part))));
+        (1 / (SAFE * Math.max(1, rules.overloadFactor())) - rules.slowStartInitialFraction())
+            / Math.max(1e-9, 1 - rules.slowStartInitialFraction());
+    return Math.max(1, (long) (rules.slowStartNanos() * Math.max(0, Math.min(1, part))));
   }
 
   /** As an event of the module's; {@code told} is whether discovery speaks. */
   public void tick(long at, boolean told) {
     now = at;
-    agreement.tick(now, gateway.zoneEvidence(now), told);
+    agreement.tick(now, gateway.zoneHealth(now), told);
   }
 
   /** Whether a name of the counter is this one's. */
@@ -104,13 +104,13 @@
   }
 
   @Override
-  public void course(int zone, Course course) {
-    gateway.zoneCourse(now, zone, course);
+  public void course(int zone, TrafficRamp course) {
+    gateway.setZoneRamp(now, zone, course);
   }
 
   @Override
   public void trial(int zone) {
-    gateway.tryZone(now, zone);
+    gateway.probeZone(now, zone);
   }
 
   @Override
--- a/edge/src/main/java/edgegateway/policy/Gateway.java
+++ b/edge/src/main/java/edgegateway/policy/GatewayPolicy.java
@@ -1,23 +1,23 @@
 package edgegateway.policy;
 
-import edgegateway.policy.api.Actions;
-import edgegateway.policy.api.Course;
-import edgegateway.policy.api.Events;
-import edgegateway.policy.api.Group;
-import edgegateway.policy.api.Handover;
-import edgegateway.policy.api.ListKind;
+import edgegateway.policy.api.AttemptResult;
+import edgegateway.policy.api.DeduplicationScope;
+import edgegateway.policy.api.Endpoint;
+import edgegateway.policy.api.EndpointListKind;
+import edgegateway.policy.api.EndpointState;
+import edgegateway.policy.api.Idempotency;
 import edgegateway.policy.api.Outcome;
-import edgegateway.policy.api.Plan;
-import edgegateway.policy.api.Readiness;
-import edgegateway.policy.api.Repeat;
+import edgegateway.policy.api.PolicyActions;
+import edgegateway.policy.api.PolicyEvents;
+import edgegateway.policy.api.PolicySettings;
+import edgegateway.policy.api.QuotaPlan;
+import edgegateway.policy.api.QuotaUsage;
 import edgegateway.policy.api.Request;
 import edgegateway.policy.api.RequestClass;
-import edgegateway.policy.api.Result;
-import edgegateway.policy.api.Server;
-import edgegateway.policy.api.Settings;
-import edgegateway.policy.api.Use;
-import edgegateway.policy.api.ZoneEvidence;
-import edgegateway.policy.api.ZoneState;
+import edgegateway.policy.api.StateTransfer;
+import edgegateway.policy.api.TrafficRamp;
+import edgegateway.policy.api.ZoneHealth;
+import edgegateway.policy.api.ZoneStatus;
 import java.util.*;
 import java.util.stream.*;
 import org.ejml.simple.SimpleMatrix;
@@ -27,7 +27,7 @@
  * answers. Its types, events and actions stand in {@code Ports.java}. The mechanism is that of the
  * Proteus paper (see PAPER and DESIGN); each departure says at its place what it guards against.
  */
-public final class Gateway implements Events {
+public final class GatewayPolicy implements PolicyEvents {
   private static final long MS = 1_000_000L;
   private static final long SECOND = 1_000 * MS;
   private static final double NANO = 1e-9;
@@ -138,8 +138,8 @@
 
   private static final int REPORT_S = 1;
   private static final int RECENT = 6;
-  private final Settings cfg;
-  private final Actions out;
+  private final PolicySettings cfg;
+  private final PolicyActions out;
   private final SplittableRandom random;
   private final long born;
   private long now;
@@ -163,14 +163,14 @@
   private List<Backend> allowed = List.of();
 
   /** Servers that operators keep out, whatever the list says. */
-  private final Set<String> leftOut = new HashSet<>();
+  private final Set<String> operatorEjectedEndpoints = new HashSet<>();
 
   /**
    * Zones that operators keep out, or have back bit by bit; the same by verdict; those to be tried.
    */
-  private final Map<Integer, Course> zones = new TreeMap<>();
+  private final Map<Integer, TrafficRamp> zones = new TreeMap<>();
 
-  private final Map<Integer, Course> verdicts = new TreeMap<>();
+  private final Map<Integer, TrafficRamp> verdicts = new TreeMap<>();
 
   private final Set<Integer> trials = new TreeSet<>();
   private final Map<Integer, Tally> tallies = new TreeMap<>();
@@ -199,46 +199,46 @@
   private final Map<Long, ArrayDeque<Call>> calls = new LinkedHashMap<>();
 
   /** A gateway that starts now; {@code seed} is its only source of chance. */
-  public Gateway(Settings settings, long seed, long now, Actions actions) {
+  public GatewayPolicy(PolicySettings settings, long seed, long now, PolicyActions actions) {
     cfg = settings;
     out = actions;
     random = new SplittableRandom(seed);
     born = now;
     this.now = now;
-    lanes = new Lane[cfg.classes().size()];
+    lanes = new Lane[cfg.requestClasses().size()];
     for (int i = 0; i < lanes.length; i++) {
-      lanes[i] = new Lane(cfg.classes().get(i));
+      lanes[i] = new Lane(cfg.requestClasses().get(i));
     }
     control = new Control();
     tokensAt = now;
-    leastWait = cfg.counter().timeout();
+    leastWait = cfg.counter().timeoutNanos();
     callTokens = random.nextDouble(CALLS_START);
     nextControl = now + SECOND;
-    out.timer(0, TICK);
-    if (cfg.limits().askForList()) {
-      out.watchList();
+    out.scheduleTimer(0, TICK);
+    if (cfg.limits().subscribesToEndpoints()) {
+      out.subscribeToEndpoints();
     }
   }
 
   @Override
-  public void list(long at, ListKind kind, List<Server> entries) {
+  public void endpointsUpdated(long at, EndpointListKind kind, List<Endpoint> entries) {
     now = at;
-    if (kind == ListKind.FAILED) {
-      out.watchList();
-    } else if (kind != ListKind.DELTA) {
-      Set<String> named = entries.stream().map(Server::id).collect(Collectors.toSet());
+    if (kind == EndpointListKind.FAILED) {
+      out.subscribeToEndpoints();
+    } else if (kind != EndpointListKind.DELTA) {
+      Set<String> named = entries.stream().map(Endpoint::id).collect(Collectors.toSet());
       servers.values().stream().filter(b -> !named.contains(b.id)).forEach(b -> b.named = false);
     }
-    for (Server entry : entries) {
+    for (Endpoint entry : entries) {
       Backend known = servers.get(entry.id());
-      boolean anew = known == null || known.entry.startedAt() != entry.startedAt();
+      boolean anew = known == null || known.entry.startedAtNanos() != entry.startedAtNanos();
       if (known != null) {
         known.ready = false;
       }
       Backend backend = anew ? new Backend(entry) : known;
       servers.put(entry.id(), backend);
       backend.entry = entry;
-      backend.named = entry.readiness() != Readiness.GONE;
+      backend.named = entry.state() != EndpointState.REMOVED;
     }
     relist();
   }
@@ -249,8 +249,8 @@
     for (Backend b : servers.values()) {
       b.ready =
           b.named
-              && b.entry.readiness() == Readiness.READY
-              && !leftOut.contains(b.id)
+              && b.entry.state() == EndpointState.READY
+              && !operatorEjectedEndpoints.contains(b.id)
               && handShare(b.entry.zone()) > 0;
     }
     // A zone out by verdict leaves the operator's limit as it is: the level's loop sees the rest.
@@ -261,14 +261,14 @@
   }
 
   @Override
-  public boolean leaveOut(long at, String id, boolean out) {
+  public boolean setEndpointEjected(long at, String id, boolean out) {
     now = at;
     Backend known = servers.get(id);
-    if (known == null && !leftOut.contains(id)) {
+    if (known == null && !operatorEjectedEndpoints.contains(id)) {
       return false;
     }
     if (out) {
-      leftOut.add(id);
+      operatorEjectedEndpoints.add(id);
     } else {
       readmit(id);
     }
@@ -277,15 +277,17 @@
   }
 
   @Override
-  public void stillOut(long at, Set<String> ids) {
+  public void restoreEjectedEndpoints(long at, Set<String> ids) {
     now = at;
-    List.copyOf(leftOut).stream().filter(id -> !ids.contains(id)).forEach(this::readmit);
-    leftOut.addAll(ids);
+    List.copyOf(operatorEjectedEndpoints).stream()
+        .filter(id -> !ids.contains(id))
+        .forEach(this::readmit);
+    operatorEjectedEndpoints.addAll(ids);
     relist();
   }
 
   private void readmit(String id) {
-    if (leftOut.remove(id) && servers.containsKey(id)) {
+    if (operatorEjectedEndpoints.remove(id) && servers.containsKey(id)) {
       beginAnew(servers.get(id));
     }
   }
@@ -303,16 +305,16 @@
   }
 
   @Override
-  public boolean leaveZone(long at, int zone, boolean out, long ramp) {
+  public boolean setZoneEjected(long at, int zone, boolean out, long ramp) {
     now = at;
-    boolean was = zones.containsKey(zone) && zones.get(zone).to() == 0;
+    boolean was = zones.containsKey(zone) && zones.get(zone).endFraction() == 0;
     if (out && listed.stream().allMatch(b -> in(zone, b))) {
       return false;
     }
     if (out == was) {
       return true;
     }
-    zones.put(zone, new Course(0, out ? 0 : 1, now, Math.max(1, ramp)));
+    zones.put(zone, new TrafficRamp(0, out ? 0 : 1, now, Math.max(1, ramp)));
     if (!out) {
       servers.values().stream().filter(b -> in(zone, b)).toList().forEach(this::beginAnew);
     }
@@ -321,20 +323,20 @@
   }
 
   @Override
-  public void zonesStillOut(long at, Set<Integer> out) {
+  public void restoreEjectedZones(long at, Set<Integer> out) {
     now = at;
     zones.keySet().stream()
         .filter(zone -> !out.contains(zone))
         .toList()
-        .forEach(zone -> leaveZone(at, zone, false, cfg.rules().coldSpan()));
+        .forEach(zone -> setZoneEjected(at, zone, false, cfg.rules().slowStartNanos()));
     out.stream()
-        .filter(zone -> !zonesOut().contains(zone))
-        .forEach(zone -> zones.put(zone, new Course(0, 0, now, 1)));
+        .filter(zone -> !ejectedZones().contains(zone))
+        .forEach(zone -> zones.put(zone, new TrafficRamp(0, 0, now, 1)));
     relist();
   }
 
   @Override
-  public void zoneCourse(long at, int zone, Course course) {
+  public void setZoneRamp(long at, int zone, TrafficRamp course) {
     now = at;
     if (course == null) {
       verdicts.remove(zone);
@@ -346,7 +348,7 @@
   }
 
   @Override
-  public void tryZone(long at, int zone) {
+  public void probeZone(long at, int zone) {
     now = at;
     trials.add(zone);
   }
@@ -358,11 +360,11 @@
   /** Operators go before verdicts until what they had back is back. */
   private double zoneShare(int zone) {
     double share = handShare(zone);
-    return share < 1 || !verdicts.containsKey(zone) ? share : verdicts.get(zone).share(now);
+    return share < 1 || !verdicts.containsKey(zone) ? share : verdicts.get(zone).fractionAt(now);
   }
 
   private double handShare(int zone) {
-    return zones.containsKey(zone) ? zones.get(zone).share(now) : 1;
+    return zones.containsKey(zone) ? zones.get(zone).fractionAt(now) : 1;
   }
 
   /** What attempts in a zone came to, fading, and ever. */
@@ -397,7 +399,7 @@
   }
 
   /** What attempts met in each zone that has servers on the list. */
-  public List<ZoneEvidence> zoneEvidence(long at) {
+  public List<ZoneHealth> zoneHealth(long at) {
     now = at;
     List<Backend> all =
         servers.values().stream().filter(b -> b.named && b.entry.zone() >= 0).toList();
@@ -423,7 +425,7 @@
               int bad = (int) heard.stream().filter(b -> b.missed || lates.get(b) > 0).count();
               int cold = (int) its.stream().filter(Backend::cold).count();
               double share = its.size() / (double) all.size();
-              return new ZoneEvidence(
+              return new ZoneHealth(
                   zone,
                   tally.ended + late,
                   tally.missed + late,
@@ -442,54 +444,56 @@
   }
 
   /** How a zone stands now, as of the last event. */
-  public ZoneState zone(int zone) {
+  public ZoneStatus zoneStatus(int zone) {
     List<Backend> its = servers.values().stream().filter(b -> b.named && in(zone, b)).toList();
     int usable = (int) its.stream().filter(b -> b.ready).count();
-    Course course = zones.getOrDefault(zone, verdicts.get(zone));
-    long since = course == null ? 0 : course.since();
+    TrafficRamp course = zones.getOrDefault(zone, verdicts.get(zone));
+    long since = course == null ? 0 : course.startNanos();
     boolean byHand =
         zones.containsKey(zone) && (handShare(zone) < 1 || !verdicts.containsKey(zone));
-    return new ZoneState(zoneShare(zone), since, its.size(), usable, byHand);
+    return new ZoneStatus(zoneShare(zone), since, its.size(), usable, byHand);
   }
 
   /** The zones that operators keep out. */
-  public Set<Integer> zonesOut() {
+  public Set<Integer> ejectedZones() {
     return zones.keySet().stream()
-        .filter(zone -> zones.get(zone).to() == 0)
+        .filter(zone -> zones.get(zone).endFraction() == 0)
         .collect(Collectors.toSet());
   }
 
   @Override
-  public Handover handOver(long at) {
+  public StateTransfer exportState(long at) {
     now = at;
-    List<Use> uses = customers.values().stream().map(Customer::handOver).toList();
+    List<QuotaUsage> uses = customers.values().stream().map(Customer::handOver).toList();
     succeeded = true;
-    return new Handover(callRate, Arrays.stream(lanes).map(lane -> lane.service).toList(), uses);
+    return new StateTransfer(
+        callRate, Arrays.stream(lanes).map(lane -> lane.service).toList(), uses);
   }
 
   @Override
-  public void takeOver(long at, Handover from) {
+  public void importState(long at, StateTransfer from) {
     now = at;
-    callRate = Math.max(callRate, from.callRate());
-    for (int i = 0; i < Math.min(lanes.length, from.service().size()); i++) {
-      lanes[i].service = from.service().get(i);
+    callRate = Math.max(callRate, from.counterCallsPerSecond());
+    for (int i = 0; i < Math.min(lanes.length, from.serviceTimesSeconds().size()); i++) {
+      lanes[i].service = from.serviceTimesSeconds().get(i);
     }
-    for (Use use : from.uses()) {
-      if (use.plan() >= 0 && use.plan() < cfg.plans().size()) {
+    for (QuotaUsage use : from.quotaUsages()) {
+      if (use.plan() >= 0 && use.plan() < cfg.quotaPlans().size()) {
         customers
-            .computeIfAbsent(use.customer(), key -> new Customer(key, use.plan(), use.gateways()))
+            .computeIfAbsent(
+                use.customer(), key -> new Customer(key, use.plan(), use.gatewayCount()))
             .takeOver(use);
       }
     }
   }
 
   /** The servers that operators keep out, listed or not. */
-  public Set<String> leftOut() {
-    return Set.copyOf(leftOut);
+  public Set<String> operatorEjectedEndpoints() {
+    return Set.copyOf(operatorEjectedEndpoints);
   }
 
   /** The servers of the list that are avoided now: out by hand, draining, or failing too often. */
-  public List<String> avoided() {
+  public List<String> avoidedEndpoints() {
     // A risk lies between a server's own errors and its zone's: hardly any is to be worked out.
     double usual = zoneErrors.values().stream().mapToDouble(errors -> errors).max().orElse(0);
     return servers.values().stream()
@@ -499,22 +503,22 @@
   }
 
   @Override
-  public void request(long at, Request request) {
+  public void requestReceived(long at, Request request) {
     now = at;
     boolean known =
         request.requestClass() >= 0
             && request.requestClass() < lanes.length
             && request.plan() >= 0
-            && request.plan() < cfg.plans().size();
+            && request.plan() < cfg.quotaPlans().size();
     if (!known) {
-      out.refuse(request.id(), 0);
+      out.reject(request.id(), 0);
     }
     if (!known || jobs.containsKey(request.id())) {
       return;
     }
     Customer customer =
         customers.computeIfAbsent(
-            request.customer(), key -> new Customer(key, request.plan(), request.setSize()));
+            request.customer(), key -> new Customer(key, request.plan(), request.gatewayCount()));
     Lane lane = lanes[request.requestClass()];
     lane.arrivals++;
     Job job = new Job(request, customer, lane);
@@ -529,11 +533,11 @@
   }
 
   @Override
-  public void turnedAway(long at, Request request) {
+  public void requestOverHostCapacity(long at, Request request) {
     now = at;
     // All that are turned away in a surge must not come back together.
-    double most = Math.min(2, cfg.limits().maxRetryAfter() * NANO);
-    out.refuse(request.id(), advice(most * (0.5 + random.nextDouble() / 2)));
+    double most = Math.min(2, cfg.limits().maxRetryAfterNanos() * NANO);
+    out.reject(request.id(), advice(most * (0.5 + random.nextDouble() / 2)));
   }
 
   private void enqueue(Job job) {
@@ -543,9 +547,9 @@
   }
 
   @Override
-  public void attemptEnded(long at, Result result) {
+  public void attemptEnded(long at, AttemptResult result) {
     now = at;
-    Job job = jobs.get(result.id());
+    Job job = jobs.get(result.requestId());
     if (job == null || job.backend == null) {
       return;
     }
@@ -554,21 +558,21 @@
     inFlight -= backend.outstanding.contains(job) ? 1 : 0;
     // A level under one is kept over time: hundreds with one out each may be too many for a small
     // fleet.
-    restUntil = now + (long) (result.took() * Math.max(0, 1 / control.level - 1));
+    restUntil = now + (long) (result.durationNanos() * Math.max(0, 1 / control.level - 1));
     backend.ended(job, result);
     job.lane.observe(job, result);
-    boolean told = cfg.counter().settles() && result.trueUnits() > 0;
+    boolean told = cfg.counter().reportsTrueUnits() && result.trueUnits() > 0;
     if (told && result.outcome() == Outcome.OK && job.inQuota) {
       job.customer.take(result.trueUnits() - job.request.units());
     }
-    if (!result.outcome().provesNeverRan() && job.mayHaveRunSince == 0) {
+    if (!result.outcome().provesNotExecuted() && job.mayHaveRunSince == 0) {
       job.mayHaveRunSince = job.sentAt;
       job.anchor = backend;
     }
-    if (result.complete() || job.over) {
+    if (result.requestComplete() || job.over) {
       forget(job);
     } else {
-      again(job, result.outcome().provesNeverRan());
+      again(job, result.outcome().provesNotExecuted());
     }
     dispatch();
   }
@@ -579,7 +583,7 @@
   }
 
   @Override
-  public void passedOn(long at, String id) {
+  public void bodyForwarded(long at, String id) {
     now = at;
     Job job = jobs.get(id);
     if (job == null || job.backend == null || job.passedOn) {
@@ -594,7 +598,7 @@
   }
 
   @Override
-  public void uploaded(long at, String id) {
+  public void uploadCompleted(long at, String id) {
     now = at;
     Job job = jobs.get(id);
     if (job == null || job.backend == null) {
@@ -607,7 +611,7 @@
   }
 
   @Override
-  public void clientGone(long at, String id) {
+  public void clientDisconnected(long at, String id) {
     now = at;
     Job job = jobs.get(id);
     if (job == null) {
@@ -621,7 +625,7 @@
   }
 
   @Override
-  public void counted(long at, long name, Outcome outcome, double total) {
+  public void counterReplied(long at, long name, Outcome outcome, double total) {
     now = at;
     ArrayDeque<Call> pending = calls.get(name);
     Call call = pending == null ? null : pending.poll();
@@ -632,10 +636,10 @@
       calls.remove(name);
     }
     boolean answered = outcome == Outcome.OK;
-    long wait = answered ? now - call.at : cfg.counter().timeout();
+    long wait = answered ? now - call.at : cfg.counter().timeoutNanos();
     // The way there and back is no queue, and creeps up to a longer one.
     leastWait = Math.min(wait, leastWait + (wait - leastWait) / 100);
-    pace(answered ? (wait - leastWait) / (double) cfg.counter().timeout() : 1);
+    pace(answered ? (wait - leastWait) / (double) cfg.counter().timeoutNanos() : 1);
     unansweredSince = answered ? Long.MAX_VALUE : unansweredSince;
     noticeSilence();
     call.customer.counted(call, outcome, total);
@@ -708,7 +712,7 @@
   }
 
   @Override
-  public void probed(long at, String id, Outcome how, long took, List<Double> report) {
+  public void healthChecked(long at, String id, Outcome how, long took, List<Double> report) {
     now = at;
     Backend backend = servers.get(id);
     if (backend == null) {
@@ -716,8 +720,8 @@
     }
     // A server that keeps its load to itself, or does not answer, is not idle.
     double load = report.isEmpty() ? 1 + 2 * usualLoad : 0;
-    for (int i = 0; i < Math.min(report.size(), cfg.reports().size()); i++) {
-      load += LOADS.contains(cfg.reports().get(i)) ? report.get(i) : 0;
+    for (int i = 0; i < Math.min(report.size(), cfg.loadReportNames().size()); i++) {
+      load += LOADS.contains(cfg.loadReportNames().get(i)) ? report.get(i) : 0;
     }
     usualLoad += 0.05 * (load - usualLoad);
     backend.load = load;
@@ -731,21 +735,21 @@
    */
   private void probe(Job job) {
     boolean rare = sentWork < job.cost() * listed.size();
-    if (rare && cfg.limits().probes() && !cfg.reports().isEmpty()) {
-      out.probe(listed.get(random.nextInt(listed.size())).id);
+    if (rare && cfg.limits().healthChecksAllowed() && !cfg.loadReportNames().isEmpty()) {
+      out.healthCheck(listed.get(random.nextInt(listed.size())).id);
     }
   }
 
   @Override
-  public void timer(long at, long token) {
+  public void timerFired(long at, long token) {
     now = at;
-    out.timer(0, TICK);
+    out.scheduleTimer(0, TICK);
     for (Lane lane : lanes) {
       expire(lane.queue);
     }
     noticeSilence();
     // A host that never ends a call must not cost a request its answer.
-    long due = now - 2 * cfg.counter().timeout();
+    long due = now - 2 * cfg.counter().timeoutNanos();
     for (ArrayDeque<Call> line : calls.values()) {
       line.stream()
           .filter(call -> call.at < due)
@@ -772,7 +776,7 @@
     private final long key;
     private final long span;
     private final long phase;
-    private final Plan plan;
+    private final QuotaPlan plan;
     private final int gateways;
     private final int place;
     private final boolean shared;
@@ -806,15 +810,15 @@
     Customer(long key, int place, int setSize) {
       this.key = key;
       this.place = place;
-      plan = cfg.plans().get(place);
-      gateways = Math.max(1, Math.min(setSize, cfg.siblings()));
+      plan = cfg.quotaPlans().get(place);
+      gateways = Math.max(1, Math.min(setSize, cfg.nodeCount()));
       shared = gateways > 1 && cfg.counter().present();
-      store = plan.burst();
+      store = plan.burstUnits();
       part = mostPart(1);
       // In one burst's span a steady customer is given just one burst: the running total alone
       // tells a
       // gateway that never heard of it. Spans of different customers begin at different moments.
-      double full = plan.rate() > 0 ? plan.burst() / plan.rate() : 1;
+      double full = plan.unitsPerSecond() > 0 ? plan.burstUnits() / plan.unitsPerSecond() : 1;
       span = (long) (Math.min(30, Math.max(1, full)) * SECOND);
       phase = Math.floorMod(mix(key), span);
       // A restarted gateway cannot know what it spent under the ceiling: that starts with nothing.
@@ -828,29 +832,29 @@
       double s = (now - refilled) * NANO;
       refilled = now;
       // Totals feed an estimate: between them the others go on as they did.
-      double others = s * Math.min(plan.rate(), othersRate);
+      double others = s * Math.min(plan.unitsPerSecond(), othersRate);
       foreseen += others;
-      store = Math.min(plan.burst(), store + s * plan.rate() - others);
+      store = Math.min(plan.burstUnits(), store + s * plan.unitsPerSecond() - others);
       double uneven = silent ? 1 : UNEVEN;
-      part = Math.min(mostPart(uneven), part + s * uneven * plan.rate() / gateways);
-      double more = succeeded ? 0 : s * plan.ceilingRate() / gateways;
-      ceiling = Math.min(plan.ceilingBurst() / gateways, ceiling + more);
+      part = Math.min(mostPart(uneven), part + s * uneven * plan.unitsPerSecond() / gateways);
+      double more = succeeded ? 0 : s * plan.ceilingUnitsPerSecond() / gateways;
+      ceiling = Math.min(plan.ceilingBurstUnits() / gateways, ceiling + more);
     }
 
     private double mostPart(double uneven) {
-      double share = uneven * plan.burst() / gateways;
-      return Math.min(plan.burst(), Math.max(share, cfg.counter().largest()));
+      double share = uneven * plan.burstUnits() / gateways;
+      return Math.min(plan.burstUnits(), Math.max(share, cfg.counter().maxRequestUnits()));
     }
 
     /**
      * The successor has all of it, and of what the ceiling allows now a half; nothing is told
      * twice.
      */
-    Use handOver() {
+    QuotaUsage handOver() {
       refill();
       ceiling /= 2;
-      Use use =
-          new Use(
+      QuotaUsage use =
+          new QuotaUsage(
               key,
               place,
               gateways,
@@ -868,19 +872,19 @@
     }
 
     /** Some requests may have come already: they were taken from a store that was thought full. */
-    void takeOver(Use use) {
+    void takeOver(QuotaUsage use) {
       refill();
-      store = use.store() - unpushed - mine;
+      store = use.tokens() - unpushed - mine;
       if (use.window() >= window) {
-        mine = use.window() > window ? use.mine() : mine + use.mine();
-        others = use.others();
+        mine = use.window() > window ? use.localUsage() : mine + use.localUsage();
+        others = use.remoteUsage();
         window = use.window();
       }
-      othersRate = use.othersRate();
-      foreseen = use.foreseen();
-      unpushed += use.unpushed();
-      ceiling = Math.min(plan.ceilingBurst() / gateways, ceiling + use.ceiling());
-      heard = Math.max(heard, use.heard());
+      othersRate = use.remoteUnitsPerSecond();
+      foreseen = use.predictedRemoteUsage();
+      unpushed += use.unreportedUnits();
+      ceiling = Math.min(plan.ceilingBurstUnits() / gateways, ceiling + use.ceilingTokens());
+      heard = Math.max(heard, use.lastUpdateNanos());
       usedAt = now;
       active.add(this);
     }
@@ -892,31 +896,33 @@
       refill();
       double units = job.request.units();
       // The ceiling holds whatever the others do: each gateway keeps to its part of rate and burst.
-      if (plan.ceilingRate() > 0 && ceiling < units) {
-        refuse(job, (units - ceiling) * gateways / plan.ceilingRate());
+      if (plan.ceilingUnitsPerSecond() > 0 && ceiling < units) {
+        refuse(job, (units - ceiling) * gateways / plan.ceilingUnitsPerSecond());
         return;
       }
       ceiling -= units;
       take(units);
       job.taken = true;
       job.inQuota = true;
-      boolean dear = plan.rate() > 0 && plan.beyondEarns() <= plan.beyondCosts();
+      boolean dear =
+          plan.unitsPerSecond() > 0
+              && plan.overQuotaValueFraction() <= plan.overQuotaCostFraction();
       boolean old = dear && now - heard > span / 4 && shared && !silent;
       // Scarce calls go where most can be lost and own traffic tells least; repeats follow
       // refusals.
       double stake =
-          job.lane.spec.worth()
-              * plan.price()
-              * plan.beyondCosts()
+          job.lane.spec.priorityWeight()
+              * plan.priceFactor()
+              * plan.overQuotaCostFraction()
               * units
               * gateways
-              / cfg.siblings()
-              * (job.request.repeat() ? 0.3 : 1);
+              / cfg.nodeCount()
+              * (job.request.clientRetry() ? 0.3 : 1);
       usualStake += 0.02 * (stake - usualStake);
       stake /= Math.max(1e-9, usualStake);
       // What fits into this gateway's part is seldom beyond, and should not wait for a call.
       stake *= part >= units ? 0.1 : 1;
-      if (old && now + 2 * cfg.counter().timeout() < job.aimAt() && mayCall(stake)) {
+      if (old && now + 2 * cfg.counter().timeoutNanos() < job.aimAt() && mayCall(stake)) {
         job.asking = true;
         call(job);
       } else {
@@ -932,27 +938,27 @@
       double units = job.request.units();
       boolean deaf = gateways > 1 && now - heard > span;
       job.inQuota =
-          plan.rate() <= 0
+          plan.unitsPerSecond() <= 0
               || (deaf ? part >= units : store >= (told ? 0 : othersRate * PUSH * NANO));
       if (job.inQuota) {
         part = Math.max(0, part - units);
       } else {
         take(-units);
       }
-      if (job.inQuota || plan.beyondEarns() > plan.beyondCosts()) {
+      if (job.inQuota || plan.overQuotaValueFraction() > plan.overQuotaCostFraction()) {
         enqueue(job);
       } else {
-        refuse(job, (units - store) / plan.rate());
+        refuse(job, (units - store) / plan.unitsPerSecond());
       }
     }
 
     private void refuse(Job job, double retryAfter) {
-      out.refuse(job.request.id(), advice(retryAfter));
+      out.reject(job.request.id(), advice(retryAfter));
       forget(job);
     }
 
     void take(double units) {
-      if (plan.rate() > 0) {
+      if (plan.unitsPerSecond() > 0) {
         unpushed += units;
         store -= units;
         usedAt = now;
@@ -965,7 +971,7 @@
      * first.
      */
     double urgency() {
-      return Math.abs(unpushed) * gateways / 2 / Math.max(store, plan.burst() / 8);
+      return Math.abs(unpushed) * gateways / 2 / Math.max(store, plan.burstUnits() / 8);
     }
 
     /** Whether nothing of it is left to tell, or what is left is too old to matter. */
@@ -983,16 +989,16 @@
       window = index;
       double amount = Math.rint(unpushed * 1e6) * 1e-6;
       unansweredSince = Math.min(unansweredSince, now);
-      pushAt = now + (store < plan.burst() / 2 ? PUSH : SECOND);
+      pushAt = now + (store < plan.burstUnits() / 2 ? PUSH : SECOND);
       unpushed = 0;
       long name = mix(mix(key) + index) >>> 1;
       Call call = new Call(this, window, amount, job, now);
       calls.computeIfAbsent(name, n -> new ArrayDeque<>()).add(call);
-      out.count(name, amount, 2 * span);
+      out.addToCounter(name, amount, 2 * span);
     }
 
     void counted(Call call, Outcome outcome, double total) {
-      if (outcome.provesNeverRan()) {
+      if (outcome.provesNotExecuted()) {
         unpushed += call.amount;
         active.add(this);
       } else if (call.window == window) {
@@ -1022,14 +1028,14 @@
     private void learn(Call call, double total) {
       double theirs = total - mine;
       // Lost counts: what is there now is new since the loss, and tells of the others what it can.
-      if (theirs < -1e-3 || theirs < others - plan.burst() / 2) {
+      if (theirs < -1e-3 || theirs < others - plan.burstUnits() / 2) {
         mine = call.amount;
         others = 0;
         theirs = Math.max(0, total - call.amount);
       }
       if (now - heard > span) {
         // The estimate is too old: in one span a full store and this window's total tell more.
-        store = plan.burst() - mine - unpushed;
+        store = plan.burstUnits() - mine - unpushed;
         foreseen = 0;
       }
       double news = theirs - others;
@@ -1037,10 +1043,13 @@
       long since = Math.max(heard, window * span - phase);
       double s = Math.max(0.05, (now - since) * NANO);
       heard = now;
-      double rate = Math.max(0, Math.min(news / s, 2 * plan.rate()));
+      double rate = Math.max(0, Math.min(news / s, 2 * plan.unitsPerSecond()));
       othersRate += (1 - Math.exp(-s / OTHERS_S)) * (rate - othersRate);
       // What was sent beyond the quota took nothing from the store: it cannot be far below nothing.
-      store = Math.max(Math.min(plan.burst(), store - news + foreseen), -cfg.counter().largest());
+      store =
+          Math.max(
+              Math.min(plan.burstUnits(), store - news + foreseen),
+              -cfg.counter().maxRequestUnits());
       foreseen = 0;
     }
   }
@@ -1071,26 +1080,29 @@
     }
 
     double worth() {
-      double part = inQuota ? 1 : customer.plan.beyondEarns() - customer.plan.beyondCosts();
-      return lane.spec.worth() * customer.plan.price() * part;
+      double part =
+          inQuota
+              ? 1
+              : customer.plan.overQuotaValueFraction() - customer.plan.overQuotaCostFraction();
+      return lane.spec.priorityWeight() * customer.plan.priceFactor() * part;
     }
 
     long aimAt() {
-      return Math.min(arrived + lane.spec.aim(), request.deadline());
+      return Math.min(arrived + lane.spec.latencyObjectiveNanos(), request.deadlineNanos());
     }
 
     /**
      * Nobody tells how many the others have out: a cap on these is divided, and each may have one.
      */
     boolean mayGo() {
-      int most = customer.plan.atOnce();
+      int most = customer.plan.maxConcurrentAttempts();
       return most <= 0 || customer.open < Math.max(1, most / customer.gateways);
     }
 
     /** Too late to be sent for the first time and answered within its aim. */
     boolean hopeless() {
       long need = attempts == 0 ? (long) (MARGIN * cost() * SECOND) : 0;
-      return now + Math.max(need, 2 * TICK + cfg.tick()) >= aimAt();
+      return now + Math.max(need, 2 * TICK + cfg.tickNanos()) >= aimAt();
     }
 
     double cost() {
@@ -1116,7 +1128,7 @@
 
     Lane(RequestClass spec) {
       this.spec = spec;
-      service = spec.aim() * NANO / 8;
+      service = spec.latencyObjectiveNanos() * NANO / 8;
     }
 
     /**
@@ -1131,13 +1143,13 @@
       return queue.stream().filter(Job::mayGo).findFirst().orElse(null);
     }
 
-    void observe(Job job, Result result) {
-      double took = result.took() * NANO;
+    void observe(Job job, AttemptResult result) {
+      double took = result.durationNanos() * NANO;
       if (result.outcome() == Outcome.OK) {
         good++;
         service += 0.02 * (took - service);
         units += 0.02 * (job.request.units() - units);
-        price += 0.02 * (job.customer.plan.price() * job.request.units() - price);
+        price += 0.02 * (job.customer.plan.priceFactor() * job.request.units() - price);
         latencySum += (now - job.arrived) * NANO;
         waitSum += (job.sentAt - job.arrived) * NANO;
         services.add(took);
@@ -1145,7 +1157,7 @@
         // A failure counts as slow, never as fast: errors must not open the concurrency loop. What
         // was cut short to try another server was out for long already and counts as just that.
         boolean cut = result.outcome() == Outcome.TIMEOUT && now < job.aimAt();
-        services.add(cut ? took : Math.max(took, 2 * spec.aim() * NANO));
+        services.add(cut ? took : Math.max(took, 2 * spec.latencyObjectiveNanos() * NANO));
       }
     }
   }
@@ -1168,7 +1180,10 @@
     double backlogged =
         Arrays.stream(lanes).mapToDouble(l -> l.queue.isEmpty() ? 0 : l.share).sum();
     double rate = control.level / lane.service * lane.share / Math.max(MIN_SHARE, backlogged);
-    double budget = Math.max(lane.spec.aim() * NANO - 2 * lane.service, lane.spec.aim() * NANO / 4);
+    double budget =
+        Math.max(
+            lane.spec.latencyObjectiveNanos() * NANO - 2 * lane.service,
+            lane.spec.latencyObjectiveNanos() * NANO / 4);
     while (inFlight >= control.level
         && lane.queue.size() > 1
         && lane.queue.size() / rate > budget) {
@@ -1292,8 +1307,10 @@
     /** Until fitted, shares follow worth. */
     Control() {
       double sum =
-          Math.max(1e-9, Arrays.stream(lanes).mapToDouble(lane -> lane.spec.worth()).sum());
-      setShares(Arrays.stream(lanes).mapToDouble(lane -> lane.spec.worth() / sum).toArray());
+          Math.max(
+              1e-9, Arrays.stream(lanes).mapToDouble(lane -> lane.spec.priorityWeight()).sum());
+      setShares(
+          Arrays.stream(lanes).mapToDouble(lane -> lane.spec.priorityWeight() / sum).toArray());
     }
 
     private void setShares(double[] shares) {
@@ -1313,7 +1330,7 @@
       able =
           Math.max(MIN_LEVEL, allowed.stream().mapToDouble(b -> b.cold() ? b.warmth() : 1).sum());
       warm = allowed.stream().filter(b -> !b.cold()).count();
-      double part = Math.max(MIN_LEVEL, OPEN_PER_SERVER * able / cfg.siblings());
+      double part = Math.max(MIN_LEVEL, OPEN_PER_SERVER * able / cfg.nodeCount());
       limit = part > 1 ? Math.rint(part) : part;
       level = levelModel.updates == 0 || level >= before ? limit : Math.min(level, limit);
     }
@@ -1324,7 +1341,7 @@
      * binds.
      */
     double warmWork() {
-      return Math.max(1.0 / cfg.siblings(), sentToOne * able / Math.max(warm, able / GROWTH));
+      return Math.max(1.0 / cfg.nodeCount(), sentToOne * able / Math.max(warm, able / GROWTH));
     }
 
     void interval() {
@@ -1336,7 +1353,8 @@
         Lane lane = lanes[i];
         boolean live = lane.good > 0;
         y[i] = lane.good / scale;
-        double inverse = lane.spec.aim() * NANO * lane.good / Math.max(1e-6, lane.latencySum);
+        double inverse =
+            lane.spec.latencyObjectiveNanos() * NANO * lane.good / Math.max(1e-6, lane.latencySum);
         y[n + i] = live ? Math.min(1, inverse / INVERSE_UNIT) : lastY == null ? 0 : lastY[n + i];
         seen[i] = live ? y[i] : Double.NaN;
         seen[n + i] = live ? y[n + i] : Double.NaN;
@@ -1372,9 +1390,9 @@
       SimpleMatrix x = r.plus(b0.mult(column(tried)));
       Lane lane = lanes[i];
       double served = Math.min(Math.max(0, x.get(i)) * scale, lane.arrivals);
-      double late = lane.spec.lateValue();
+      double late = lane.spec.lateValueFraction();
       double timely = late + (1 - late) * (1 - Math.exp(-INVERSE_UNIT * Math.max(0, x.get(n + i))));
-      return lane.spec.worth() * lane.price * served * timely;
+      return lane.spec.priorityWeight() * lane.price * served * timely;
     }
 
     /** The greedy optimizer of the paper's figure 4, for one gateway: the references. */
@@ -1412,7 +1430,8 @@
       SimpleMatrix b0 = shareModel.theta.cols(2 * n, 3 * n).copy();
       SimpleMatrix r = shareModel.predict(regressor(y, new double[n]));
       SimpleMatrix w = new SimpleMatrix(2 * n, 2 * n);
-      double most = Arrays.stream(lanes).mapToDouble(l -> l.spec.worth() * l.price).max().orElse(1);
+      double most =
+          Arrays.stream(lanes).mapToDouble(l -> l.spec.priorityWeight() * l.price).max().orElse(1);
       for (int i = 0; i < 2 * n; i++) {
         if (b0.get(i, i % n) <= 0) {
           // Noise, or never varied: until the fit has the known sign, in proportion to the share.
@@ -1422,7 +1441,7 @@
           r.set(i, 0, 0);
         }
         Lane lane = lanes[i % n];
-        double weight = Math.sqrt(lane.spec.worth() * lane.price / Math.max(1e-9, most));
+        double weight = Math.sqrt(lane.spec.priorityWeight() * lane.price / Math.max(1e-9, most));
         w.set(i, i, Double.isNaN(seen[i]) ? 0 : weight);
       }
       setShares(controlLaw(b0, w, Q_SHARE, optimize(r, b0), r, column(u)).getDDRM().getData());
@@ -1436,13 +1455,13 @@
       Lane tight =
           Arrays.stream(lanes)
               .filter(lane -> !lane.services.isEmpty())
-              .min(Comparator.comparingLong(lane -> lane.spec.aim()))
+              .min(Comparator.comparingLong(lane -> lane.spec.latencyObjectiveNanos()))
               .orElse(null);
       if (tight == null) {
         return;
       }
       double[] sorted = tight.services.stream().mapToDouble(x -> x).sorted().toArray();
-      double aim = tight.spec.aim() * NANO;
+      double aim = tight.spec.latencyObjectiveNanos() * NANO;
       double inverse = aim / sorted[(int) (0.9 * (sorted.length - 1))];
       double u = level / limit;
       if (lastInverse > 0 && bound && u != lastLevel) {
@@ -1471,7 +1490,7 @@
   /** What this gateway knows of a server. */
   private final class Backend {
     private final String id;
-    private Server entry;
+    private Endpoint entry;
     private boolean named;
     private boolean ready;
     private boolean shunned;
@@ -1486,11 +1505,11 @@
     private long reported = born;
     private long coldSince;
 
-    Backend(Server entry) {
+    Backend(Endpoint entry) {
       id = entry.id();
       this.entry = entry;
-      coldSince = entry.startedAt();
-      latency = kindLatency.getOrDefault(entry.kind(), 1.0);
+      coldSince = entry.startedAtNanos();
+      latency = kindLatency.getOrDefault(entry.machineType(), 1.0);
       errors = zoneErrors.getOrDefault(entry.zone(), 0.0);
     }
 
@@ -1498,17 +1517,19 @@
      * Off the list for long: each restart may name a server anew, and memory must not follow all.
      */
     boolean forgotten() {
-      boolean known = named || !outstanding.isEmpty() || leftOut.contains(id);
+      boolean known = named || !outstanding.isEmpty() || operatorEjectedEndpoints.contains(id);
       return !known && now - heard > FORGET_S * SECOND;
     }
 
     boolean cold() {
-      return coldSince > 0 && now - coldSince < cfg.rules().coldSpan();
+      return coldSince > 0 && now - coldSince < cfg.rules().slowStartNanos();
     }
 
     double warmth() {
-      double age = Math.max(0, now - coldSince) / (double) Math.max(1, cfg.rules().coldSpan());
-      return cfg.rules().coldFrom() + (1 - cfg.rules().coldFrom()) * Math.min(1, age);
+      double age =
+          Math.max(0, now - coldSince) / (double) Math.max(1, cfg.rules().slowStartNanos());
+      return cfg.rules().slowStartInitialFraction()
+          + (1 - cfg.rules().slowStartInitialFraction()) * Math.min(1, age);
     }
 
     /** What was not heard of lately is taken to be as its kind and its zone are. */
@@ -1521,24 +1542,24 @@
     }
 
     boolean groupedWith(Job job) {
-      Server b = job.anchor.entry;
-      return job.lane.spec.group() == Group.ZONE
+      Endpoint b = job.anchor.entry;
+      return job.lane.spec.deduplicationScope() == DeduplicationScope.ZONE
           ? entry.zone() == b.zone()
           : entry.cell() == b.cell();
     }
 
     double score() {
-      double l = lately(latency, kindLatency.getOrDefault(entry.kind(), 1.0));
+      double l = lately(latency, kindLatency.getOrDefault(entry.machineType(), 1.0));
       if (!outstanding.isEmpty()) {
         // An answer overdue tells of trouble before it ends.
         Job oldest = outstanding.iterator().next();
         l = Math.max(l, (now - oldest.sentAt) * NANO / oldest.cost() / 2);
       }
       double safe = 1 - Math.min(0.97, risk());
-      double weight = cfg.sizesTell() && entry.size() > 0 ? entry.size() : 1;
+      double weight = cfg.endpointWeightsUsed() && entry.weight() > 0 ? entry.weight() : 1;
       l *= 1 + (load - usualLoad) / (1 + usualLoad) * Math.exp(-(now - reported) * NANO / REPORT_S);
       double s = l * (1 + outstanding.size() / weight) / (safe * safe);
-      return entry.zone() == cfg.zone() ? s : s * 1.05;
+      return entry.zone() == cfg.localZone() ? s : s * 1.05;
     }
 
     /** How many attempts sent since then are out for so long that most would have been answered. */
@@ -1548,25 +1569,25 @@
           .count();
     }
 
-    void ended(Job job, Result result) {
+    void ended(Job job, AttemptResult result) {
       outstanding.remove(job);
       Outcome o = result.outcome();
       if (o == Outcome.CANCELLED || o == Outcome.NOT_SENT) {
         return;
       }
       boolean good = o == Outcome.OK;
-      missed = !good && o != Outcome.FULL;
+      missed = !good && o != Outcome.REJECTED;
       silent = missed && o != Outcome.ERROR;
       tallies.computeIfAbsent(entry.zone(), zone -> new Tally()).add(missed, silent);
       // A fast failure must not look fast.
-      double ratio = Math.min(20, result.took() * NANO / job.cost());
+      double ratio = Math.min(20, result.durationNanos() * NANO / job.cost());
       ratio = good ? ratio : Math.max(3, ratio);
-      double bad = good ? 0 : o == Outcome.FULL ? 0.5 : 1;
+      double bad = good ? 0 : o == Outcome.REJECTED ? 0.5 : 1;
       // Where one gateway of many hears little of a server, it goes by what it hears of its like.
       double small = 2 * ALPHA / Math.max(1, listed.size());
-      kindLatency.merge(entry.kind(), ratio, (l, r) -> l + small * (r - l));
+      kindLatency.merge(entry.machineType(), ratio, (l, r) -> l + small * (r - l));
       zoneErrors.merge(entry.zone(), small * bad, (e, x) -> e + small * (bad - e));
-      latency = lately(latency, kindLatency.get(entry.kind()));
+      latency = lately(latency, kindLatency.get(entry.machineType()));
       errors = risk();
       heard = now;
       if (good) {
@@ -1589,7 +1610,7 @@
     if (bound) {
       return listed.stream().filter(b -> b.groupedWith(job)).toList();
     }
-    int most = Math.max(2, LOOK * listed.size() / cfg.siblings());
+    int most = Math.max(2, LOOK * listed.size() / cfg.nodeCount());
     if (most >= listed.size()) {
       return listed;
     }
@@ -1603,8 +1624,11 @@
   private Backend choose(Job job) {
     RequestClass spec = job.lane.spec;
     boolean bound =
-        job.mayHaveRunSince > 0 && spec.repeat() == Repeat.KEYED && spec.group() != Group.ALL;
-    Backend best = job.attempts == 0 && spec.repeat() == Repeat.SAFE ? trial() : null;
+        job.mayHaveRunSince > 0
+            && spec.idempotency() == Idempotency.KEYED
+            && spec.deduplicationScope() != DeduplicationScope.ALL;
+    Backend best =
+        job.attempts == 0 && spec.idempotency() == Idempotency.IDEMPOTENT ? trial() : null;
     if (best != null) {
       return best;
     }
@@ -1663,19 +1687,19 @@
     if (inFlight >= control.level) {
       control.bound = true;
     }
-    out.send(job.request.id(), backend.id, patience(job));
+    out.sendAttempt(job.request.id(), backend.id, patience(job));
   }
 
   /**
    * How long to wait: while an answer is worth something; a first time so that another is in time.
    */
   private long patience(Job job) {
-    long until = job.lane.spec.lateValue() <= 0 ? job.aimAt() : job.request.deadline();
+    long until = job.lane.spec.lateValueFraction() <= 0 ? job.aimAt() : job.request.deadlineNanos();
     // A silent server would cost the request; a slow one seldom takes so many usual spans.
     long enough = (long) (PATIENCE * job.cost() * SECOND);
     boolean another =
         job.attempts == 1
-            && job.lane.spec.repeat() != Repeat.UNSAFE
+            && job.lane.spec.idempotency() != Idempotency.NOT_IDEMPOTENT
             && inFlight < control.level
             && retryTokens >= RETRY_MOST / 2
             && enough + (long) (2 * MARGIN * job.cost() * SECOND) < until - now;
@@ -1687,8 +1711,9 @@
     RequestClass spec = job.lane.spec;
     boolean mayRepeat =
         job.mayHaveRunSince == 0
-            || spec.repeat() == Repeat.SAFE
-            || spec.repeat() == Repeat.KEYED && now - job.mayHaveRunSince + TICK < spec.keyWindow();
+            || spec.idempotency() == Idempotency.IDEMPOTENT
+            || spec.idempotency() == Idempotency.KEYED
+                && now - job.mayHaveRunSince + TICK < spec.idempotencyKeyWindowNanos();
     boolean inTime = now + (long) (job.lane.service * SECOND / 2) < job.aimAt();
     double price = neverRan ? 0 : 1;
     boolean may = mayRepeat && inTime && retryTokens >= price && !job.passedOn;
@@ -1703,7 +1728,7 @@
 
   /** After how long a refused client should come back, so far as the settings let it be told. */
   private long advice(double seconds) {
-    long most = cfg.limits().retryAfter() ? cfg.limits().maxRetryAfter() : 0;
+    long most = cfg.limits().retryAfterAllowed() ? cfg.limits().maxRetryAfterNanos() : 0;
     return (long) Math.min(most, Math.max(TICK, seconds * SECOND));
   }
 
@@ -1711,10 +1736,11 @@
   private void giveUp(Job job) {
     RequestClass spec = job.lane.spec;
     if (job.mayHaveRunSince == 0
-        || spec.repeat() == Repeat.SAFE
-        || spec.repeat() == Repeat.KEYED && spec.group() == Group.ALL) {
+        || spec.idempotency() == Idempotency.IDEMPOTENT
+        || spec.idempotency() == Idempotency.KEYED
+            && spec.deduplicationScope() == DeduplicationScope.ALL) {
       // Who comes back before what waits now is through only makes the wait longer.
-      out.refuse(
+      out.reject(
           job.request.id(), advice(job.lane.queue.size() * job.lane.service / control.level));
     } else {
       out.fail(job.request.id());
--- a/edge/src/main/java/edgegateway/policy/api/Group.java
+++ b/edge/src/main/java/edgegateway/policy/api/DeduplicationScope.java
@@ -1,7 +1,7 @@
 package edgegateway.policy.api;
 
-/** The servers that drop repeats of a {@link Repeat#KEYED} request. */
-public enum Group {
+/** The servers that drop repeats of a {@link Idempotency#KEYED} request. */
+public enum DeduplicationScope {
   /** Every server. */
   ALL,
   /** The servers of the zone first sent to. */
--- a/edge/src/main/java/edgegateway/policy/api/ListKind.java
+++ b/edge/src/main/java/edgegateway/policy/api/EndpointListKind.java
@@ -1,7 +1,7 @@
 package edgegateway.policy.api;
 
 /** What a list message holds. */
-public enum ListKind {
+public enum EndpointListKind {
   /** The whole list. */
   FULL,
   /** The whole list as saved before this start; may be old. */
--- a/edge/src/main/java/edgegateway/policy/api/Readiness.java
+++ b/edge/src/main/java/edgegateway/policy/api/EndpointState.java
@@ -1,8 +1,8 @@
 package edgegateway.policy.api;
 
 /** What the list says of a server. */
-public enum Readiness {
-  GONE,
+public enum EndpointState {
+  REMOVED,
   READY,
   DRAINING
 }
--- a/edge/src/main/java/edgegateway/policy/api/Repeat.java
+++ b/edge/src/main/java/edgegateway/policy/api/Idempotency.java
@@ -1,11 +1,11 @@
 package edgegateway.policy.api;
 
 /** How often a request of a class may take effect. */
-public enum Repeat {
+public enum Idempotency {
   /** May be repeated freely. */
-  SAFE,
+  IDEMPOTENT,
   /** Carries a key; a group of servers drops its repeats for a while. */
   KEYED,
   /** Must never run twice. */
-  UNSAFE
+  NOT_IDEMPOTENT
 }
--- a/edge/src/main/java/edgegateway/policy/api/Outcome.java
+++ b/edge/src/main/java/edgegateway/policy/api/Outcome.java
@@ -7,7 +7,7 @@
   /** The server answered with an error; the request may have run. */
   ERROR(false),
   /** Turned away unseen. */
-  FULL(true),
+  REJECTED(true),
   /** No answer in time; it may have run, or may have been counted. */
   TIMEOUT(false),
   /** No connection in time. */
@@ -19,14 +19,14 @@
   /** Never sent by the host. */
   NOT_SENT(true);
 
-  private final boolean neverRan;
+  private final boolean notExecuted;
 
   Outcome(boolean neverRan) {
-    this.neverRan = neverRan;
+    this.notExecuted = neverRan;
   }
 
   /** Whether this outcome proves that the attempt had no effect. */
-  public boolean provesNeverRan() {
-    return neverRan;
+  public boolean provesNotExecuted() {
+    return notExecuted;
   }
 }
--- a/edge/src/main/java/edgegateway/policy/api/RequestClass.java
+++ b/edge/src/main/java/edgegateway/policy/api/RequestClass.java
@@ -3,19 +3,19 @@
 /**
  * A class of requests.
  *
- * @param aim an answer within this span is worth all
- * @param deadline how long a client waits over all its tries
- * @param repeat how it may be repeated
- * @param group which servers drop repeats, if keyed
- * @param keyWindow for how long they do, from the first attempt that may have run
- * @param lateValue the part of the worth that an answer after the aim earns
- * @param worth the worth of one request
+ * @param latencyObjectiveNanos an answer within this span is worth all
+ * @param deadlineNanos how long a client waits over all its tries
+ * @param idempotency how it may be repeated
+ * @param deduplicationScope which servers drop repeats, if keyed
+ * @param idempotencyKeyWindowNanos for how long they do, from the first attempt that may have run
+ * @param lateValueFraction the part of the worth that an answer after the aim earns
+ * @param priorityWeight the worth of one request
  */
 public record RequestClass(
-    long aim,
-    long deadline,
-    Repeat repeat,
-    Group group,
-    long keyWindow,
-    double lateValue,
-    double worth) {}
+    long latencyObjectiveNanos,
+    long deadlineNanos,
+    Idempotency idempotency,
+    DeduplicationScope deduplicationScope,
+    long idempotencyKeyWindowNanos,
+    double lateValueFraction,
+    double priorityWeight) {}
--- a/edge/src/main/java/edgegateway/protocol/SettingsReader.java
+++ b/edge/src/main/java/edgegateway/protocol/SettingsReader.java
@@ -1,22 +1,22 @@
 package edgegateway.protocol;
 
-import edgegateway.policy.api.Counter;
-import edgegateway.policy.api.Group;
-import edgegateway.policy.api.Limits;
-import edgegateway.policy.api.Plan;
-import edgegateway.policy.api.Repeat;
+import edgegateway.policy.api.CounterSettings;
+import edgegateway.policy.api.DeduplicationScope;
+import edgegateway.policy.api.Idempotency;
+import edgegateway.policy.api.PlatformRules;
+import edgegateway.policy.api.PolicySettings;
+import edgegateway.policy.api.QuotaPlan;
 import edgegateway.policy.api.RequestClass;
-import edgegateway.policy.api.Rules;
-import edgegateway.policy.api.Settings;
+import edgegateway.policy.api.RequestLimits;
 import java.util.ArrayList;
 import java.util.HashMap;
 import java.util.List;
 import java.util.Map;
 
 /**
- * Turns path=value pairs into {@link Settings}; unknown paths are ignored. The simulator's wire and
- * the real edge node's configuration share it, so that both run the module on the same reading of
- * the same names.
+ * Turns path=value pairs into {@link PolicySettings}; unknown paths are ignored. The simulator's
+ * wire and the real edge node's configuration share it, so that both run the module on the same
+ * reading of the same names.
  */
 public final class SettingsReader {
   private final Map<String, String> pairs;
@@ -26,7 +26,7 @@
   }
 
   /** Reads the pairs that stand on a line of the wire, from part {@code from} on. */
-  public static Settings read(String[] parts, int from) {
+  public static PolicySettings read(String[] parts, int from) {
     Map<String, String> pairs = new HashMap<>();
     for (int i = from; i < parts.length; i++) {
       int equals = parts[i].indexOf('=');
@@ -42,11 +42,11 @@
    * Reads pairs; a list of objects has its length under {@code .count}, plain values are joined by
    * commas.
    */
-  public static Settings read(Map<String, String> pairs) {
+  public static PolicySettings read(Map<String, String> pairs) {
     return new SettingsReader(pairs).settings();
   }
 
-  private Settings settings() {
+  private PolicySettings settings() {
     List<RequestClass> classes = new ArrayList<>();
     for (int i = 0; i < whole("classes.count"); i++) {
       String at = "classes." + i + ".";
@@ -55,24 +55,24 @@
               whole(at + "aim-ns"),
               whole(at + "deadline-ns"),
               switch (text(at + "idempotency")) {
-                case "retryable" -> Repeat.SAFE;
-                case "dedup" -> Repeat.KEYED;
-                default -> Repeat.UNSAFE;
+                case "retryable" -> Idempotency.IDEMPOTENT;
+                case "dedup" -> Idempotency.KEYED;
+                default -> Idempotency.NOT_IDEMPOTENT;
               },
               switch (text(at + "group")) {
-                case "all" -> Group.ALL;
-                case "zone" -> Group.ZONE;
-                default -> Group.CELL;
+                case "all" -> DeduplicationScope.ALL;
+                case "zone" -> DeduplicationScope.ZONE;
+                default -> DeduplicationScope.CELL;
               },
               whole(at + "key-ttl-ns"),
               number(at + "late-value"),
               number(at + "worth")));
     }
-    List<Plan> plans = new ArrayList<>();
+    List<QuotaPlan> plans = new ArrayList<>();
     for (int i = 0; i < whole("tariffs.count"); i++) {
       String at = "tariffs." + i + ".";
       plans.add(
-          new Plan(
+          new QuotaPlan(
               number(at + "units-per-s"),
               number(at + "peak-units"),
               (int) whole(at + "at-once"),
@@ -84,7 +84,7 @@
               number(at + "hard-slack")));
     }
     String names = text("load-info.names");
-    return new Settings(
+    return new PolicySettings(
         (int) whole("my-number"),
         (int) Math.max(1, whole("siblings")),
         (int) whole("my-zone"),
@@ -95,19 +95,19 @@
             : List.of(names.split(",")),
         List.copyOf(classes),
         List.copyOf(plans),
-        new Limits(
+        new RequestLimits(
             (int) whole("caps.max-attempts"),
             (int) whole("caps.max-open"),
             flag("caps.probes"),
             flag("caps.retry-after"),
             whole("caps.max-retry-after-ns"),
             text("discovery").equals("subscribe")),
-        new Counter(
+        new CounterSettings(
             flag("domain.has-counter"),
             whole("domain.count-wait-ns"),
             flag("domain.trued-up"),
             number("domain.units-top")),
-        new Rules(
+        new PlatformRules(
             whole("rules.answer-slack-ns"),
             number("rules.cold-from"),
             whole("rules.ramp-time-ns"),
--- a/edge/src/main/java/edgegateway/simulator/WireReader.java
+++ b/edge/src/main/java/edgegateway/simulator/WireReader.java
@@ -1,12 +1,12 @@
 package edgegateway.simulator;
 
-import edgegateway.policy.Gateway;
-import edgegateway.policy.api.ListKind;
+import edgegateway.policy.GatewayPolicy;
+import edgegateway.policy.api.AttemptResult;
+import edgegateway.policy.api.Endpoint;
+import edgegateway.policy.api.EndpointListKind;
+import edgegateway.policy.api.EndpointState;
 import edgegateway.policy.api.Outcome;
-import edgegateway.policy.api.Readiness;
 import edgegateway.policy.api.Request;
-import edgegateway.policy.api.Result;
-import edgegateway.policy.api.Server;
 import edgegateway.protocol.SettingsReader;
 import java.io.BufferedReader;
 import java.io.IOException;
@@ -21,7 +21,7 @@
 final class WireReader {
   private final BufferedReader in;
   private final WireWriter out;
-  private final Map<Integer, Gateway> gateways = new HashMap<>();
+  private final Map<Integer, GatewayPolicy> gateways = new HashMap<>();
   private long lineNumber;
   private String line = "";
   private String[] parts = {};
@@ -73,7 +73,8 @@
         long seed = whole(2);
         try {
           gateways.put(
-              node, new Gateway(SettingsReader.read(parts, 3), seed, now, out.actionsOf(node)));
+              node,
+              new GatewayPolicy(SettingsReader.read(parts, 3), seed, now, out.actionsOf(node)));
         } catch (IllegalArgumentException e) {
           throw malformed("bad settings (" + e.getMessage() + ")");
         }
@@ -82,7 +83,7 @@
       case "view" -> view(node);
       case "ingress" ->
           gateway(node)
-              .request(
+              .requestReceived(
                   now,
                   new Request(
                       text(2),
@@ -98,7 +99,7 @@
           gateway(node)
               .attemptEnded(
                   now,
-                  new Result(
+                  new AttemptResult(
                       text(2),
                       outcome(3),
                       whole(4),
@@ -107,47 +108,48 @@
                       integer(7),
                       number(9),
                       numbers(10)));
-      case "client_gone" -> gateway(node).clientGone(now, text(2));
+      case "client_gone" -> gateway(node).clientDisconnected(now, text(2));
       case "under_way" -> gateway(node).streamStarted(now, text(2));
-      case "count_result" -> gateway(node).counted(now, whole(4), outcome(3), number(2));
-      case "probed" -> gateway(node).probed(now, text(4), outcome(3), whole(2), numbers(5));
-      case "reminder" -> gateway(node).timer(now, whole(2));
+      case "count_result" -> gateway(node).counterReplied(now, whole(4), outcome(3), number(2));
+      case "probed" -> gateway(node).healthChecked(now, text(4), outcome(3), whole(2), numbers(5));
+      case "reminder" -> gateway(node).timerFired(now, whole(2));
       case "memo" -> gateway(node);
       default -> throw malformed("unknown event");
     }
   }
 
   private void view(int node) throws IOException, MalformedInput {
-    Gateway gateway = gateway(node);
-    ListKind kind =
+    GatewayPolicy gateway = gateway(node);
+    EndpointListKind kind =
         switch (integer(3)) {
-          case 0 -> ListKind.FULL;
-          case 1 -> ListKind.CACHED;
-          case 2 -> ListKind.DELTA;
-          case 3 -> ListKind.FAILED;
+          case 0 -> EndpointListKind.FULL;
+          case 1 -> EndpointListKind.CACHED;
+          case 2 -> EndpointListKind.DELTA;
+          case 3 -> EndpointListKind.FAILED;
           default -> throw malformed("unknown kind of list");
         };
     int count = integer(4);
-    List<Server> entries = new ArrayList<>();
+    List<Endpoint> entries = new ArrayList<>();
     for (int i = 0; i < count; i++) {
       if (!next() || !parts[0].equals("entry")) {
         throw malformed("'entry' expected");
       }
-      Readiness readiness =
+      EndpointState readiness =
           switch (integer(3)) {
-            case 0 -> Readiness.GONE;
-            case 1 -> Readiness.READY;
-            case 2 -> Readiness.DRAINING;
+            case 0 -> EndpointState.REMOVED;
+            case 1 -> EndpointState.READY;
+            case 2 -> EndpointState.DRAINING;
             default -> throw malformed("unknown readiness");
           };
       entries.add(
-          new Server(text(6), number(1), integer(2), integer(5), integer(7), readiness, whole(4)));
+          new Endpoint(
+              text(6), number(1), integer(2), integer(5), integer(7), readiness, whole(4)));
     }
-    gateway.list(now, kind, entries);
+    gateway.endpointsUpdated(now, kind, entries);
   }
 
-  private Gateway gateway(int node) throws MalformedInput {
-    Gateway gateway = gateways.get(node);
+  private GatewayPolicy gateway(int node) throws MalformedInput {
+    GatewayPolicy gateway = gateways.get(node);
     if (gateway == null) {
       throw malformed("instance " + node + " was not started");
     }
@@ -158,7 +160,7 @@
     return switch (text(at)) {
       case "S" -> Outcome.OK;
       case "E" -> Outcome.ERROR;
-      case "F" -> Outcome.FULL;
+      case "F" -> Outcome.REJECTED;
       case "T" -> Outcome.TIMEOUT;
       case "C" -> Outcome.CONNECT_FAILED;
       case "R" -> Outcome.RESET;
--- a/edge/src/main/java/edgegateway/simulator/WireWriter.java
+++ b/edge/src/main/java/edgegateway/simulator/WireWriter.java
@@ -1,6 +1,6 @@
 package edgegateway.simulator;
 
-import edgegateway.policy.api.Actions;
+import edgegateway.policy.api.PolicyActions;
 import java.io.IOException;
 import java.io.Writer;
 
@@ -14,7 +14,7 @@
   }
 
   /** The actions of one instance. */
-  Actions actionsOf(int node) {
+  PolicyActions actionsOf(int node) {
     return new NodeActions(node);
   }
 
@@ -26,7 +26,7 @@
     reply.setLength(0);
   }
 
-  private final class NodeActions implements Actions {
+  private final class NodeActions implements PolicyActions {
     private final int node;
 
     NodeActions(int node) {
@@ -38,7 +38,7 @@
     }
 
     @Override
-    public void send(String id, String server, long patience) {
+    public void sendAttempt(String id, String server, long patience) {
       line("try")
           .append(' ')
           .append(id)
@@ -50,7 +50,7 @@
     }
 
     @Override
-    public void refuse(String id, long retryAfter) {
+    public void reject(String id, long retryAfter) {
       line("decline").append(' ').append(id).append(' ').append(retryAfter).append('\n');
     }
 
@@ -60,12 +60,12 @@
     }
 
     @Override
-    public void probe(String server) {
+    public void healthCheck(String server) {
       line("inspect").append(' ').append(server).append('\n');
     }
 
     @Override
-    public void count(long name, double amount, long lifetime) {
+    public void addToCounter(long name, double amount, long lifetime) {
       line("enter").append(' ').append(lifetime).append(' ');
       if (amount == Math.rint(amount)) {
         reply.append((long) amount);
@@ -76,12 +76,12 @@
     }
 
     @Override
-    public void timer(long token, long span) {
+    public void scheduleTimer(long token, long span) {
       line("after").append(' ').append(token).append(' ').append(span).append('\n');
     }
 
     @Override
-    public void watchList() {
+    public void subscribeToEndpoints() {
       line("subscribe").append(" 1\n");
     }
 
--- a/edge/src/test/java/edgegateway/node/UpgradeTest.java
+++ b/edge/src/test/java/edgegateway/node/UpgradeTest.java
@@ -5,8 +5,8 @@
 import static org.junit.jupiter.api.Assertions.assertNull;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import edgegateway.policy.api.Handover;
-import edgegateway.policy.api.Use;
+import edgegateway.policy.api.QuotaUsage;
+import edgegateway.policy.api.StateTransfer;
 import java.io.IOException;
 import java.net.Socket;
 import java.nio.file.Files;
@@ -98,11 +98,12 @@
   void whatIsHandedOverIsReadOnceAndWholeOrNotAtAll() throws IOException {
     HandoverFile file = new HandoverFile(folder);
     assertNull(file.read());
-    Handover told =
-        new Handover(
+    StateTransfer told =
+        new StateTransfer(
             3.5,
             List.of(0.2, 0.3),
-            List.of(new Use(7, 1, 2, -3, 0.5, 1.5, 2.5, 3.5, 4.5, 5.5, 6.5, 123_456_789_012L)));
+            List.of(
+                new QuotaUsage(7, 1, 2, -3, 0.5, 1.5, 2.5, 3.5, 4.5, 5.5, 6.5, 123_456_789_012L)));
     file.write(told);
     assertEquals(told, file.read());
     assertNull(file.read());
--- a/edge/src/test/java/edgegateway/node/zones/ZoneAgreementTest.java
+++ b/edge/src/test/java/edgegateway/node/zones/ZoneAgreementTest.java
@@ -11,8 +11,8 @@
 import edgegateway.node.zones.ZoneSettings.Verdicts;
 import edgegateway.node.zones.ZoneVerdict.State;
 import edgegateway.node.zones.ZoneVerdict.Why;
-import edgegateway.policy.api.Course;
-import edgegateway.policy.api.Rules;
+import edgegateway.policy.api.PlatformRules;
+import edgegateway.policy.api.TrafficRamp;
 import java.util.HashSet;
 import java.util.List;
 import java.util.Set;
@@ -390,13 +390,13 @@
   void theRampIsBorneByServersThatBeganAnewUntold() {
     for (double from = 0.05; from < 1; from += 0.05) {
       for (double times = 1.1; times < 4; times += 0.3) {
-        Rules rules = new Rules(0, from, 17 * SECOND, times, SECOND);
-        Course course = new Course(from, 1, 0, Math.max(1, ZoneVerdicts.coldRamp(rules)));
+        PlatformRules rules = new PlatformRules(0, from, 17 * SECOND, times, SECOND);
+        TrafficRamp course = new TrafficRamp(from, 1, 0, Math.max(1, ZoneVerdicts.coldRamp(rules)));
         for (long at = 0; at < 17 * SECOND; at += 100 * MS) {
           double able = from + (1 - from) * Math.min(1, at / (17.0 * SECOND));
           assertTrue(
-              course.share(at) <= Math.max(able, times * able) + 1e-6,
-              from + " " + times + " at " + at + ": " + course.share(at));
+              course.fractionAt(at) <= Math.max(able, times * able) + 1e-6,
+              from + " " + times + " at " + at + ": " + course.fractionAt(at));
         }
       }
     }
--- a/edge/src/test/java/edgegateway/node/zones/ZoneFleet.java
+++ b/edge/src/test/java/edgegateway/node/zones/ZoneFleet.java
@@ -1,7 +1,7 @@
 package edgegateway.node.zones;
 
-import edgegateway.policy.api.Course;
-import edgegateway.policy.api.ZoneEvidence;
+import edgegateway.policy.api.TrafficRamp;
+import edgegateway.policy.api.ZoneHealth;
 import java.util.ArrayList;
 import java.util.HashMap;
 import java.util.List;
@@ -38,7 +38,7 @@
     final long[] attempts = new long[ZONES.size()];
     final long[] misses = new long[ZONES.size()];
     final long[] answered = new long[ZONES.size()];
-    final Course[] courses = new Course[ZONES.size()];
+    final TrafficRamp[] courses = new TrafficRamp[ZONES.size()];
     final boolean[] trying = new boolean[ZONES.size()];
     final List<String> log = new ArrayList<>();
 
@@ -91,7 +91,7 @@
     }
 
     double share(int zone) {
-      return courses[zone] == null ? 1 : courses[zone].share(now + off);
+      return courses[zone] == null ? 1 : courses[zone].fractionAt(now + off);
     }
 
     ZoneVerdict.State state(int zone) {
@@ -110,7 +110,7 @@
     }
 
     private void tick(long span) {
-      List<ZoneEvidence> all = new ArrayList<>();
+      List<ZoneHealth> all = new ArrayList<>();
       for (int zone = 0; zone < ZONES.size(); zone++) {
         double kept = Math.exp(-span / MEMORY);
         ended[zone] *= kept;
@@ -127,9 +127,8 @@
         double part = 1.0 / ZONES.size();
         all.add(
             liar && zone == me % ZONES.size()
-                ? new ZoneEvidence(
-                    zone, 10, 10, 10, SERVERS, SERVERS, SERVERS, 0, 0, part, 10, 10, 0)
-                : new ZoneEvidence(
+                ? new ZoneHealth(zone, 10, 10, 10, SERVERS, SERVERS, SERVERS, 0, 0, part, 10, 10, 0)
+                : new ZoneHealth(
                     zone,
                     ended[zone],
                     missed[zone],
@@ -148,7 +147,7 @@
     }
 
     @Override
-    public void course(int zone, Course course) {
+    public void course(int zone, TrafficRamp course) {
       courses[zone] = course;
     }
 
--- a/edge/src/test/java/edgegateway/policy/ColdFleetTest.java
+++ b/edge/src/test/java/edgegateway/policy/ColdFleetTest.java
@@ -2,11 +2,11 @@
 
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import edgegateway.policy.api.ListKind;
+import edgegateway.policy.api.AttemptResult;
+import edgegateway.policy.api.Endpoint;
+import edgegateway.policy.api.EndpointListKind;
+import edgegateway.policy.api.EndpointState;
 import edgegateway.policy.api.Outcome;
-import edgegateway.policy.api.Readiness;
-import edgegateway.policy.api.Result;
-import edgegateway.policy.api.Server;
 import java.util.ArrayDeque;
 import java.util.ArrayList;
 import java.util.Comparator;
@@ -73,7 +73,7 @@
           fails
               ? Outcome.ERROR
               : inWork > MOST_HELD
-                  ? Outcome.FULL
+                  ? Outcome.REJECTED
                   : took * 1e9 > sent.patience() ? Outcome.TIMEOUT : Outcome.OK;
       ends.add(
           new End(
@@ -133,7 +133,7 @@
         int from = host.sent.size();
         host.gateway.attemptEnded(
             now,
-            new Result(
+            new AttemptResult(
                 done.id,
                 done.how,
                 now - done.sentAt,
@@ -157,7 +157,7 @@
         tick = now + 10 * MS;
         for (int at = 0; at < fleet; at++) {
           int from = gateways.get(at).sent.size();
-          gateways.get(at).gateway.timer(now, 0);
+          gateways.get(at).gateway.timerFired(now, 0);
           carry(at, from, random, began <= now ? cold : 0, failing);
         }
       }
@@ -166,13 +166,13 @@
   }
 
   private void list(long now, int cold) {
-    List<Server> all = new ArrayList<>();
+    List<Endpoint> all = new ArrayList<>();
     for (int i = 0; i < SERVERS; i++) {
-      all.add(new Server("s" + i, 1, 0, 0, 0, Readiness.READY, i < cold ? began : 0));
+      all.add(new Endpoint("s" + i, 1, 0, 0, 0, EndpointState.READY, i < cold ? began : 0));
     }
     for (Host host : gateways) {
       host.now = now;
-      host.gateway.list(now, ListKind.FULL, all);
+      host.gateway.endpointsUpdated(now, EndpointListKind.FULL, all);
     }
   }
 
--- a/edge/src/test/java/edgegateway/policy/CounterFleetTest.java
+++ b/edge/src/test/java/edgegateway/policy/CounterFleetTest.java
@@ -3,7 +3,7 @@
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import edgegateway.policy.api.Outcome;
-import edgegateway.policy.api.Plan;
+import edgegateway.policy.api.QuotaPlan;
 import edgegateway.policy.api.Request;
 import java.util.ArrayList;
 import java.util.Comparator;
@@ -43,7 +43,7 @@
    * 2 units a second and 10 at once; a customer asks for 0.95 a second, one in ten for four times
    * as much.
    */
-  private static final Plan PLAN = new Plan(2, 10, 0, 1, 0, 1, 0, 0, 0);
+  private static final QuotaPlan PLAN = new QuotaPlan(2, 10, 0, 1, 0, 1, 0, 0, 0);
 
   /** What comes back to a gateway. */
   private record Back(long at, Host host, long name, Outcome outcome, double total) {}
@@ -88,18 +88,18 @@
       }
       while (!backs.isEmpty() && backs.peek().at <= now) {
         Back back = backs.poll();
-        back.host.gateway.counted(now, back.name, back.outcome, back.total);
+        back.host.gateway.counterReplied(now, back.name, back.outcome, back.total);
       }
       for (int i = 0; i < GATEWAYS; i++) {
         Host host = hosts.get(i);
         if (now >= tick[i]) {
           tick[i] += 10 * MS;
-          host.gateway.timer(now, 0);
+          host.gateway.timerFired(now, 0);
         }
         if (random.nextDouble() < RATE * STEP * 1e-9) {
           long customer = customer(i, random);
           int before = host.sent.size() + host.refused.size();
-          host.gateway.request(
+          host.gateway.requestReceived(
               now,
               new Request(
                   "q" + ids++, Host.SAFE, 0, customer, now + 3 * SECOND, 1, SPREAD, 0, false));
@@ -114,7 +114,7 @@
           calls += counts ? 1 : 0;
           Back back;
           if (busy[part] > now + LINE * perCall) {
-            back = new Back(now + 2 * WAY, host, call.name(), Outcome.FULL, 0);
+            back = new Back(now + 2 * WAY, host, call.name(), Outcome.REJECTED, 0);
           } else {
             busy[part] = Math.max(busy[part], now + WAY) + perCall;
             double total = totals.merge(call.name(), call.amount(), Double::sum);
@@ -182,7 +182,7 @@
    * Units let in over all gateways in a silence, each of which had just heard that nothing is used.
    */
   private static double silence(int gateways, int seconds, double wanted, long seed) {
-    Plan plan = new Plan(10, 30, 0, 1, 0, 1, 0, 0, 0);
+    QuotaPlan plan = new QuotaPlan(10, 30, 0, 1, 0, 1, 0, 0, 0);
     SplittableRandom random = new SplittableRandom(seed);
     List<Host> hosts = new ArrayList<>();
     for (int i = 0; i < gateways; i++) {
@@ -191,7 +191,7 @@
       for (int ms = 0; ms < 1_000; ms += 10) {
         host.pass(10 * MS);
         for (Host.Counted call : List.copyOf(host.counted)) {
-          host.gateway.counted(host.now, call.name(), Outcome.OK, 1);
+          host.gateway.counterReplied(host.now, call.name(), Outcome.OK, 1);
         }
         host.counted.clear();
       }
--- a/edge/src/test/java/edgegateway/policy/Host.java
+++ b/edge/src/test/java/edgegateway/policy/Host.java
@@ -2,32 +2,32 @@
 
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import edgegateway.policy.api.Actions;
-import edgegateway.policy.api.Counter;
-import edgegateway.policy.api.Group;
-import edgegateway.policy.api.Limits;
-import edgegateway.policy.api.ListKind;
+import edgegateway.policy.api.AttemptResult;
+import edgegateway.policy.api.CounterSettings;
+import edgegateway.policy.api.DeduplicationScope;
+import edgegateway.policy.api.Endpoint;
+import edgegateway.policy.api.EndpointListKind;
+import edgegateway.policy.api.EndpointState;
+import edgegateway.policy.api.Idempotency;
 import edgegateway.policy.api.Outcome;
-import edgegateway.policy.api.Plan;
-import edgegateway.policy.api.Readiness;
-import edgegateway.policy.api.Repeat;
+import edgegateway.policy.api.PlatformRules;
+import edgegateway.policy.api.PolicyActions;
+import edgegateway.policy.api.PolicySettings;
+import edgegateway.policy.api.QuotaPlan;
 import edgegateway.policy.api.Request;
 import edgegateway.policy.api.RequestClass;
-import edgegateway.policy.api.Result;
-import edgegateway.policy.api.Rules;
-import edgegateway.policy.api.Server;
-import edgegateway.policy.api.Settings;
+import edgegateway.policy.api.RequestLimits;
 import java.util.ArrayList;
 import java.util.List;
 
 /** A host under the test's control: writes down what one gateway asks for and calls its events. */
-final class Host implements Actions {
+final class Host implements PolicyActions {
   static final long MS = 1_000_000L;
   static final int SAFE = 0;
   static final int KEYED_CELL = 1;
   static final int UNSAFE = 2;
   static final int KEYED_ALL = 3;
-  static final Plan FREE = new Plan(0, 0, 0, 1, 0, 0, 0, 0, 0);
+  static final QuotaPlan FREE = new QuotaPlan(0, 0, 0, 1, 0, 0, 0, 0, 0);
 
   record Sent(String id, String server, long patience) {}
 
@@ -40,28 +40,29 @@
   final List<String> probed = new ArrayList<>();
   final List<Counted> counted = new ArrayList<>();
   final List<String> logs = new ArrayList<>();
-  final Gateway gateway;
+  final GatewayPolicy gateway;
   long now = 1_000 * MS;
   private final int setSize;
   private final boolean probes;
   private int ids;
 
-  Host(Plan plan, int siblings, int me) {
+  Host(QuotaPlan plan, int siblings, int me) {
     this(plan, siblings, me, true);
   }
 
-  Host(Plan plan, int siblings, int me, boolean counter) {
+  Host(QuotaPlan plan, int siblings, int me, boolean counter) {
     this(plan, siblings, me, counter, 7, false);
   }
 
-  Host(Plan plan, int siblings, int me, boolean counter, long seed, boolean probes) {
+  Host(QuotaPlan plan, int siblings, int me, boolean counter, long seed, boolean probes) {
     setSize = siblings;
     this.probes = probes;
-    gateway = new Gateway(settings(plan, siblings, me, counter, probes), seed, now, this);
+    gateway = new GatewayPolicy(settings(plan, siblings, me, counter, probes), seed, now, this);
   }
 
-  static Settings settings(Plan plan, int siblings, int me, boolean counter, boolean probes) {
-    return new Settings(
+  static PolicySettings settings(
+      QuotaPlan plan, int siblings, int me, boolean counter, boolean probes) {
+    return new PolicySettings(
         me,
         siblings,
         0,
@@ -69,27 +70,39 @@
         true,
         probes ? List.of("waiting") : List.of(),
         List.of(
-            new RequestClass(1000 * MS, 3000 * MS, Repeat.SAFE, Group.ALL, 0, 0, 1),
-            new RequestClass(1000 * MS, 2000 * MS, Repeat.KEYED, Group.CELL, 700 * MS, 0.2, 4),
-            new RequestClass(1000 * MS, 3000 * MS, Repeat.UNSAFE, Group.ALL, 0, 0.2, 3),
-            new RequestClass(1000 * MS, 3000 * MS, Repeat.KEYED, Group.ALL, 700 * MS, 0, 4)),
+            new RequestClass(
+                1000 * MS, 3000 * MS, Idempotency.IDEMPOTENT, DeduplicationScope.ALL, 0, 0, 1),
+            new RequestClass(
+                1000 * MS, 2000 * MS, Idempotency.KEYED, DeduplicationScope.CELL, 700 * MS, 0.2, 4),
+            new RequestClass(
+                1000 * MS,
+                3000 * MS,
+                Idempotency.NOT_IDEMPOTENT,
+                DeduplicationScope.ALL,
+                0,
+                0.2,
+                3),
+            new RequestClass(
+                1000 * MS, 3000 * MS, Idempotency.KEYED, DeduplicationScope.ALL, 700 * MS, 0, 4)),
         List.of(plan),
-        new Limits(4, 1000, probes, true, 500 * MS, false),
-        new Counter(counter, 50 * MS, true, 4),
-        new Rules(10 * MS, 0.25, 10_000 * MS, 3, 2_000 * MS));
+        new RequestLimits(4, 1000, probes, true, 500 * MS, false),
+        new CounterSettings(counter, 50 * MS, true, 4),
+        new PlatformRules(10 * MS, 0.25, 10_000 * MS, 3, 2_000 * MS));
   }
 
   /** Servers a, b, c ... of two cells, ready since long ago. */
   Host servers(int count) {
     for (int i = 0; i < count; i++) {
-      server(String.valueOf((char) ('a' + i)), i % 2, Readiness.READY, 0);
+      server(String.valueOf((char) ('a' + i)), i % 2, EndpointState.READY, 0);
     }
     return this;
   }
 
-  void server(String id, int cell, Readiness readiness, long startedAt) {
-    gateway.list(
-        now, ListKind.DELTA, List.of(new Server(id, 1, cell, cell, 0, readiness, startedAt)));
+  void server(String id, int cell, EndpointState readiness, long startedAt) {
+    gateway.endpointsUpdated(
+        now,
+        EndpointListKind.DELTA,
+        List.of(new Endpoint(id, 1, cell, cell, 0, readiness, startedAt)));
   }
 
   String request(int requestClass, double units) {
@@ -98,7 +111,7 @@
 
   String request(int requestClass, int plan, long customer, double units, long deadline) {
     String id = "r" + ids++;
-    gateway.request(
+    gateway.requestReceived(
         now, new Request(id, requestClass, plan, customer, deadline, units, setSize, 0, false));
     return id;
   }
@@ -112,7 +125,7 @@
     Sent last = attempts(id).get(attempts(id).size() - 1);
     gateway.attemptEnded(
         now,
-        new Result(
+        new AttemptResult(
             id, outcome, 20 * MS, last.server(), complete, attempts(id).size() - 1, 0, List.of()));
   }
 
@@ -124,17 +137,17 @@
   void pass(long span) {
     for (long until = now + span; now < until; ) {
       now += Math.min(10 * MS, until - now);
-      gateway.timer(now, 0);
+      gateway.timerFired(now, 0);
     }
   }
 
   @Override
-  public void send(String id, String server, long patience) {
+  public void sendAttempt(String id, String server, long patience) {
     sent.add(new Sent(id, server, patience));
   }
 
   @Override
-  public void refuse(String id, long retryAfter) {
+  public void reject(String id, long retryAfter) {
     refused.add(id);
     advised.add(retryAfter);
   }
@@ -145,21 +158,21 @@
   }
 
   @Override
-  public void probe(String server) {
+  public void healthCheck(String server) {
     assertTrue(probes, "probes are not allowed here");
     probed.add(server);
   }
 
   @Override
-  public void count(long name, double amount, long lifetime) {
+  public void addToCounter(long name, double amount, long lifetime) {
     counted.add(new Counted(name, amount));
   }
 
   @Override
-  public void timer(long token, long span) {}
+  public void scheduleTimer(long token, long span) {}
 
   @Override
-  public void watchList() {}
+  public void subscribeToEndpoints() {}
 
   @Override
   public void log(String text) {
--- a/edge/src/test/java/edgegateway/policy/ListsTest.java
+++ b/edge/src/test/java/edgegateway/policy/ListsTest.java
@@ -3,10 +3,10 @@
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import edgegateway.policy.api.ListKind;
+import edgegateway.policy.api.Endpoint;
+import edgegateway.policy.api.EndpointListKind;
+import edgegateway.policy.api.EndpointState;
 import edgegateway.policy.api.Outcome;
-import edgegateway.policy.api.Readiness;
-import edgegateway.policy.api.Server;
 import java.util.ArrayList;
 import java.util.List;
 import java.util.Set;
@@ -26,14 +26,14 @@
 
   private final Host host = new Host(Host.FREE, 1, 0, false);
 
-  private static Server server(String id, Readiness readiness, long startedAt) {
-    return new Server(id, 1, 0, 0, 0, readiness, startedAt);
+  private static Endpoint server(String id, EndpointState readiness, long startedAt) {
+    return new Endpoint(id, 1, 0, 0, 0, readiness, startedAt);
   }
 
-  private static List<Server> many(String prefix) {
-    List<Server> all = new ArrayList<>();
+  private static List<Endpoint> many(String prefix) {
+    List<Endpoint> all = new ArrayList<>();
     for (int i = 0; i < MANY; i++) {
-      all.add(server(prefix + i, Readiness.READY, 0));
+      all.add(server(prefix + i, EndpointState.READY, 0));
     }
     return all;
   }
@@ -54,25 +54,29 @@
 
   @Test
   void ofAnIdThatIsListedTwiceTheLastEntryCounts() {
-    Server other = server("b", Readiness.READY, 0);
-    for (ListKind kind : new ListKind[] {ListKind.CACHED, ListKind.FULL, ListKind.DELTA}) {
-      host.gateway.list(
+    Endpoint other = server("b", EndpointState.READY, 0);
+    for (EndpointListKind kind :
+        new EndpointListKind[] {
+          EndpointListKind.CACHED, EndpointListKind.FULL, EndpointListKind.DELTA
+        }) {
+      host.gateway.endpointsUpdated(
           host.now,
           kind,
-          List.of(server("a", Readiness.READY, 0), other, server("a", Readiness.READY, 0)));
+          List.of(server("a", EndpointState.READY, 0), other, server("a", EndpointState.READY, 0)));
       assertTrue(Set.of("a", "b").containsAll(reached()), kind.toString());
-      host.gateway.list(
+      host.gateway.endpointsUpdated(
           host.now,
           kind,
-          List.of(server("a", Readiness.READY, 0), other, server("a", Readiness.DRAINING, 0)));
+          List.of(
+              server("a", EndpointState.READY, 0), other, server("a", EndpointState.DRAINING, 0)));
       assertEquals(Set.of("b"), reached(), kind.toString());
-      host.gateway.list(
+      host.gateway.endpointsUpdated(
           host.now,
           kind,
           List.of(
-              server("a", Readiness.DRAINING, 0),
-              server("b", Readiness.DRAINING, 0),
-              server("a", Readiness.READY, 0)));
+              server("a", EndpointState.DRAINING, 0),
+              server("b", EndpointState.DRAINING, 0),
+              server("a", EndpointState.READY, 0)));
       assertEquals(Set.of("a"), reached(), kind.toString());
     }
   }
@@ -80,14 +84,15 @@
   /** The attempt at the first life ends while the list names two further ones. */
   @Test
   void anAttemptUnderWayOutlivesAnIdThatIsListedTwiceWithTwoLives() {
-    host.gateway.list(host.now, ListKind.FULL, List.of(server("a", Readiness.READY, 0)));
+    host.gateway.endpointsUpdated(
+        host.now, EndpointListKind.FULL, List.of(server("a", EndpointState.READY, 0)));
     String under = host.request(Host.SAFE, 1);
-    host.gateway.list(
+    host.gateway.endpointsUpdated(
         host.now,
-        ListKind.FULL,
+        EndpointListKind.FULL,
         List.of(
-            server("a", Readiness.READY, host.now - 2 * MS),
-            server("a", Readiness.READY, host.now - MS)));
+            server("a", EndpointState.READY, host.now - 2 * MS),
+            server("a", EndpointState.READY, host.now - MS)));
     host.end(under, Outcome.OK);
     host.pass(20_000 * MS);
     assertEquals(Set.of("a"), reached());
@@ -96,32 +101,34 @@
 
   @Test
   void withNoServerLeftRequestsAreRefusedAndServiceComesBackWithTheList() {
-    host.gateway.list(host.now, ListKind.FULL, List.of(server("a", Readiness.READY, 0)));
+    host.gateway.endpointsUpdated(
+        host.now, EndpointListKind.FULL, List.of(server("a", EndpointState.READY, 0)));
     String under = host.request(Host.SAFE, 1);
-    host.gateway.list(host.now, ListKind.FULL, List.of());
-    host.gateway.list(host.now, ListKind.DELTA, List.of());
+    host.gateway.endpointsUpdated(host.now, EndpointListKind.FULL, List.of());
+    host.gateway.endpointsUpdated(host.now, EndpointListKind.DELTA, List.of());
     host.end(under, Outcome.OK);
     String waits = host.request(Host.SAFE, 1);
     host.pass(1_500 * MS);
     assertTrue(
         host.attempts(waits).isEmpty() && host.refused.contains(waits), host.refused.toString());
-    host.gateway.list(host.now, ListKind.FULL, List.of(server("a", Readiness.READY, 0)));
+    host.gateway.endpointsUpdated(
+        host.now, EndpointListKind.FULL, List.of(server("a", EndpointState.READY, 0)));
     assertEquals(Set.of("a"), reached());
   }
 
   @Test
   void aHundredThousandEntriesAreTakenAndThoseNoLongerNamedForgotten() {
-    host.gateway.list(host.now, ListKind.CACHED, many("first"));
+    host.gateway.endpointsUpdated(host.now, EndpointListKind.CACHED, many("first"));
     served();
     long before = used();
     for (int i = 0; i < 5; i++) {
       host.pass(2 * MINUTE);
-      host.gateway.list(host.now, ListKind.FULL, many("list" + i + "-"));
+      host.gateway.endpointsUpdated(host.now, EndpointListKind.FULL, many("list" + i + "-"));
     }
     served();
     long more = (used() - before) / MB;
     assertTrue(more < 30, "the fifth list of as many holds " + more + " MB more than the first");
-    host.gateway.list(host.now, ListKind.FULL, List.of());
+    host.gateway.endpointsUpdated(host.now, EndpointListKind.FULL, List.of());
     assertEquals(Set.of(), reached());
   }
 
--- a/edge/src/test/java/edgegateway/policy/MechanismTest.java
+++ b/edge/src/test/java/edgegateway/policy/MechanismTest.java
@@ -6,10 +6,10 @@
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
+import edgegateway.policy.api.AttemptResult;
+import edgegateway.policy.api.EndpointState;
 import edgegateway.policy.api.Outcome;
-import edgegateway.policy.api.Plan;
-import edgegateway.policy.api.Readiness;
-import edgegateway.policy.api.Result;
+import edgegateway.policy.api.QuotaPlan;
 import java.util.ArrayList;
 import java.util.Arrays;
 import java.util.HashMap;
@@ -26,7 +26,7 @@
   @Test
   void leastSquaresRecoverAKnownPlant() {
     double[][] plant = {{0.5, 0.2, 1.5}, {-0.1, 0.4, 0.7}};
-    Gateway.Rls rls = new Gateway.Rls(2, 3);
+    GatewayPolicy.Rls rls = new GatewayPolicy.Rls(2, 3);
     SplittableRandom random = new SplittableRandom(3);
     for (int k = 0; k < 300; k++) {
       SimpleMatrix phi =
@@ -43,7 +43,7 @@
 
   @Test
   void anIdleOutputKeepsItsFit() {
-    Gateway.Rls rls = new Gateway.Rls(2, 1);
+    GatewayPolicy.Rls rls = new GatewayPolicy.Rls(2, 1);
     SimpleMatrix one = new SimpleMatrix(1, 1, true, 1);
     for (int k = 0; k < 50; k++) {
       rls.update(one, 2, 5);
@@ -61,11 +61,12 @@
     SimpleMatrix last = new SimpleMatrix(2, 1, true, 0.5, 0.5);
     SimpleMatrix yref = new SimpleMatrix(2, 1, true, 0.8, 0.2);
     SimpleMatrix u =
-        Gateway.controlLaw(b0, SimpleMatrix.identity(2), 0.5, yref, new SimpleMatrix(2, 1), last);
-    double[] shares = Gateway.rescale(new double[] {u.get(0), u.get(1)});
+        GatewayPolicy.controlLaw(
+            b0, SimpleMatrix.identity(2), 0.5, yref, new SimpleMatrix(2, 1), last);
+    double[] shares = GatewayPolicy.rescale(new double[] {u.get(0), u.get(1)});
     assertTrue(shares[0] > 0.5 && shares[0] < 0.8);
     assertEquals(1, Arrays.stream(shares).sum(), 1e-9);
-    double[] odd = Gateway.rescale(new double[] {Double.NaN, -3, 7});
+    double[] odd = GatewayPolicy.rescale(new double[] {Double.NaN, -3, 7});
     assertEquals(1, Arrays.stream(odd).sum(), 1e-9);
     assertTrue(Arrays.stream(odd).allMatch(s -> s > 0));
   }
@@ -116,7 +117,7 @@
       Host host = new Host(Host.FREE, 1, 0, false).servers(2);
       host.pass(20_000 * MS);
       for (int i = 0; i < 6; i++) {
-        host.server("new-" + i, 0, Readiness.READY, host.now - age);
+        host.server("new-" + i, 0, EndpointState.READY, host.now - age);
       }
       for (int i = 0; i < 100; i++) {
         host.request(SAFE, 1);
@@ -133,7 +134,7 @@
     Host host = new Host(Host.FREE, 1, 0).servers(6);
     for (int i = 0; i < 60; i++) {
       String id = host.request(SAFE, 1);
-      host.end(id, Outcome.FULL, false);
+      host.end(id, Outcome.REJECTED, false);
       assertEquals(2, host.attempts(id).size(), "request " + i);
       host.end(id, Outcome.OK);
     }
@@ -149,14 +150,14 @@
         host.counted.clear();
         for (Host.Counted call : calls) {
           double total = totals.merge(call.name(), call.amount(), Double::sum);
-          host.gateway.counted(host.now, call.name(), Outcome.OK, total);
+          host.gateway.counterReplied(host.now, call.name(), Outcome.OK, total);
         }
       }
     }
   }
 
   private static double heavyUse(boolean counterAnswers, int seconds) {
-    Plan plan = new Plan(10, 30, 0, 1, 0, 1, 0, 0, 0);
+    QuotaPlan plan = new QuotaPlan(10, 30, 0, 1, 0, 1, 0, 0, 0);
     List<Host> hosts = new ArrayList<>();
     for (int me = 0; me < 3; me++) {
       hosts.add(new Host(plan, 3, me).servers(20));
@@ -197,7 +198,7 @@
 
   @Test
   void aCustomerRefusedAfterTheOthersSpikeIsLetInAgain() {
-    Host host = new Host(new Plan(10, 30, 0, 1, 0, 1, 0, 0, 0), 3, 0).servers(20);
+    Host host = new Host(new QuotaPlan(10, 30, 0, 1, 0, 1, 0, 0, 0), 3, 0).servers(20);
     Map<Long, Double> totals = new HashMap<>();
     String last = "";
     int refusedInSpike = 0;
@@ -211,7 +212,7 @@
         // For four seconds the others use far more than the rate, then nothing.
         double others = tick < 400 ? 600 : 0;
         double total = totals.merge(call.name(), call.amount() + others, Double::sum);
-        host.gateway.counted(host.now, call.name(), Outcome.OK, total);
+        host.gateway.counterReplied(host.now, call.name(), Outcome.OK, total);
       }
       host.counted.clear();
       refusedInSpike = tick == 300 ? host.refused.size() : refusedInSpike;
@@ -222,7 +223,7 @@
 
   @Test
   void callsKeepToABudget() {
-    Host host = new Host(new Plan(10, 30, 0, 1, 0, 1, 0, 0, 0), 300, 0).servers(20);
+    Host host = new Host(new QuotaPlan(10, 30, 0, 1, 0, 1, 0, 0, 0), 300, 0).servers(20);
     int most = 0;
     for (int tick = 0; tick < 500; tick++) {
       // A hundred customers at once, each never heard of; the counter turns every call away.
@@ -235,7 +236,8 @@
       most = Math.max(most, host.counted.size());
       List<Host.Counted> calls = List.copyOf(host.counted);
       host.counted.clear();
-      calls.forEach(call -> host.gateway.counted(host.now, call.name(), Outcome.FULL, 0));
+      calls.forEach(
+          call -> host.gateway.counterReplied(host.now, call.name(), Outcome.REJECTED, 0));
     }
     assertTrue(most >= 1 && most <= 2, "calls at one moment: " + most);
   }
@@ -243,11 +245,11 @@
   /** Cut to a call a second, the budget once took minutes to grow: it grew by so much an answer. */
   @Test
   void theBudgetOfCallsComesBackSoonAfterTheCounterDoes() {
-    Host host = new Host(new Plan(10, 30, 0, 1, 0, 1, 0, 0, 0), 300, 0).servers(20);
+    Host host = new Host(new QuotaPlan(10, 30, 0, 1, 0, 1, 0, 0, 0), 300, 0).servers(20);
     int late = 0;
     for (int tick = 0; tick < 1500; tick++) {
       // For five seconds every call is turned away; then all are answered at once.
-      Outcome outcome = tick < 500 ? Outcome.FULL : Outcome.OK;
+      Outcome outcome = tick < 500 ? Outcome.REJECTED : Outcome.OK;
       for (int customer = 0; customer < 3; customer++) {
         host.request(SAFE, 0, 3 * tick + customer, 2, host.now + 3000 * MS);
       }
@@ -257,7 +259,8 @@
       late += tick >= 1300 ? host.counted.size() : 0;
       List<Host.Counted> calls = List.copyOf(host.counted);
       host.counted.clear();
-      calls.forEach(call -> host.gateway.counted(host.now, call.name(), outcome, call.amount()));
+      calls.forEach(
+          call -> host.gateway.counterReplied(host.now, call.name(), outcome, call.amount()));
     }
     assertTrue(late >= 100, "calls in two seconds, eight after the counter is back: " + late);
   }
@@ -268,7 +271,7 @@
    */
   @Test
   void aLongWayToTheCounterIsNoQueue() {
-    Host host = new Host(new Plan(10, 30, 0, 1, 0, 1, 0, 0, 0), 300, 0).servers(20);
+    Host host = new Host(new QuotaPlan(10, 30, 0, 1, 0, 1, 0, 0, 0), 300, 0).servers(20);
     int late = 0;
     for (int tick = 0; tick < 500; tick++) {
       for (int customer = 0; customer < 3; customer++) {
@@ -277,7 +280,8 @@
       List<Host.Counted> calls = List.copyOf(host.counted);
       host.counted.clear();
       host.pass(20 * MS);
-      calls.forEach(call -> host.gateway.counted(host.now, call.name(), Outcome.OK, call.amount()));
+      calls.forEach(
+          call -> host.gateway.counterReplied(host.now, call.name(), Outcome.OK, call.amount()));
       List.copyOf(host.sent).forEach(s -> host.end(s.id(), Outcome.OK));
       host.sent.clear();
       late += tick >= 400 ? calls.size() : 0;
@@ -288,7 +292,7 @@
   /** One part of a counter may be full while another answers at once. */
   @Test
   void callsTurnedAwayCutTheBudgetThoughOthersAreAnsweredAtOnce() {
-    Host host = new Host(new Plan(10, 30, 0, 1, 0, 1, 0, 0, 0), 300, 0).servers(20);
+    Host host = new Host(new QuotaPlan(10, 30, 0, 1, 0, 1, 0, 0, 0), 300, 0).servers(20);
     int late = 0;
     for (int tick = 0; tick < 500; tick++) {
       for (int customer = 0; customer < 3; customer++) {
@@ -298,8 +302,8 @@
       host.counted.clear();
       host.pass(20 * MS);
       for (Host.Counted call : calls) {
-        Outcome outcome = call.name() % 2 == 0 ? Outcome.FULL : Outcome.OK;
-        host.gateway.counted(host.now, call.name(), outcome, call.amount());
+        Outcome outcome = call.name() % 2 == 0 ? Outcome.REJECTED : Outcome.OK;
+        host.gateway.counterReplied(host.now, call.name(), outcome, call.amount());
       }
       List.copyOf(host.sent).forEach(s -> host.end(s.id(), Outcome.OK));
       host.sent.clear();
@@ -313,7 +317,7 @@
    */
   @Test
   void scarceCallsGoToRequestsBeyondThisGatewaysPart() {
-    Host host = new Host(new Plan(2, 20, 0, 1, 0, 1, 0, 0, 0), 10, 0).servers(20);
+    Host host = new Host(new QuotaPlan(2, 20, 0, 1, 0, 1, 0, 0, 0), 10, 0).servers(20);
     int[] asked = new int[2];
     for (int customer = 0; customer < 500; customer++) {
       // 4 units at a time, of a part of 4: the second is beyond it.
@@ -325,7 +329,7 @@
       }
       host.pass(20 * MS);
       host.counted.forEach(
-          call -> host.gateway.counted(host.now, call.name(), Outcome.OK, call.amount()));
+          call -> host.gateway.counterReplied(host.now, call.name(), Outcome.OK, call.amount()));
       host.counted.clear();
     }
     assertTrue(asked[1] > asked[0], "calls by request: " + Arrays.toString(asked));
@@ -333,11 +337,11 @@
 
   @Test
   void oneCallTurnedAwayAfterAPauseIsNoSilence() {
-    Host host = new Host(new Plan(10, 30, 0, 1, 0, 1, 0, 0, 0), 3, 0).servers(20);
+    Host host = new Host(new QuotaPlan(10, 30, 0, 1, 0, 1, 0, 0, 0), 3, 0).servers(20);
     host.pass(5000 * MS);
     host.request(SAFE, 1);
     host.pass(10 * MS);
-    host.gateway.counted(host.now, host.counted.get(0).name(), Outcome.FULL, 0);
+    host.gateway.counterReplied(host.now, host.counted.get(0).name(), Outcome.REJECTED, 0);
     assertEquals(List.of(), host.logs);
     host.pass(1000 * MS);
     assertTrue(
@@ -347,14 +351,14 @@
 
   @Test
   void aCustomerNeverHeardOfIsAskedForFirst() {
-    Plan plan = new Plan(10, 30, 0, 1, 0, 1, 0, 0, 0);
+    QuotaPlan plan = new QuotaPlan(10, 30, 0, 1, 0, 1, 0, 0, 0);
     for (double others : new double[] {0, 100}) {
       Host host = new Host(plan, 300, 0).servers(20);
       host.pass(1000 * MS);
       String id = host.request(SAFE, 0, 7, 2, host.now + 3000 * MS);
       assertEquals(0, host.sent.size(), "held until the total is there");
       Host.Counted call = host.counted.get(0);
-      host.gateway.counted(host.now, call.name(), Outcome.OK, call.amount() + others);
+      host.gateway.counterReplied(host.now, call.name(), Outcome.OK, call.amount() + others);
       assertEquals(others > 0 ? 0 : 1, host.attempts(id).size());
       assertEquals(others > 0 ? 1 : 0, host.refused.size());
     }
@@ -364,7 +368,7 @@
   void scarceCallsGoWhereMoreIsAtStake() {
     // So few gateways that no request waits in the queue, whose end would take its units back
     // untold.
-    Host host = new Host(new Plan(10, 30, 0, 1, 0, 1, 0, 0, 0), 30, 0).servers(20);
+    Host host = new Host(new QuotaPlan(10, 30, 0, 1, 0, 1, 0, 0, 0), 30, 0).servers(20);
     int[] calls = new int[5];
     int left = 0;
     for (int tick = 0; tick < 2000; tick++) {
@@ -376,8 +380,8 @@
       left = tick % 50 == 0 ? 5 : left;
       for (Host.Counted call : List.copyOf(host.counted)) {
         calls[(int) Math.max(0, call.amount())]++;
-        host.gateway.counted(
-            host.now, call.name(), left-- > 0 ? Outcome.OK : Outcome.FULL, call.amount());
+        host.gateway.counterReplied(
+            host.now, call.name(), left-- > 0 ? Outcome.OK : Outcome.REJECTED, call.amount());
       }
       host.counted.clear();
       host.attempts(id).forEach(s -> host.end(s.id(), Outcome.OK));
@@ -388,7 +392,7 @@
 
   @Test
   void aCallThatNeverEndsDoesNotHoldItsRequest() {
-    Host host = new Host(new Plan(10, 30, 0, 1, 0, 1, 0, 0, 0), 3, 0).servers(20);
+    Host host = new Host(new QuotaPlan(10, 30, 0, 1, 0, 1, 0, 0, 0), 3, 0).servers(20);
     host.pass(1000 * MS);
     String id = host.request(SAFE, 1);
     host.pass(200 * MS);
@@ -413,8 +417,8 @@
     for (List<Double> other : List.of(busy, List.<Double>of())) {
       for (int i = 0; i < 20; i++) {
         host.pass(1000 * MS);
-        host.gateway.probed(host.now, "a", Outcome.OK, MS, other);
-        host.gateway.probed(host.now, "b", Outcome.OK, MS, List.of(1.0));
+        host.gateway.healthChecked(host.now, "a", Outcome.OK, MS, other);
+        host.gateway.healthChecked(host.now, "b", Outcome.OK, MS, List.of(1.0));
         String id = host.request(SAFE, 1);
         assertEquals("b", host.attempts(id).get(0).server(), "report of a: " + other);
         host.end(id, Outcome.OK);
@@ -451,10 +455,10 @@
     host.request(SAFE, 5, 1, 1, host.now + 3000 * MS);
     assertEquals(2, host.refused.size());
     host.gateway.attemptEnded(
-        host.now, new Result("nobody", Outcome.OK, 1, "x", true, 0, 0, List.of()));
-    host.gateway.clientGone(host.now, "nobody");
-    host.gateway.counted(host.now, 5, Outcome.OK, 3);
-    host.gateway.probed(host.now, "nobody", Outcome.TIMEOUT, 1, List.of(1.0, 2.0));
+        host.now, new AttemptResult("nobody", Outcome.OK, 1, "x", true, 0, 0, List.of()));
+    host.gateway.clientDisconnected(host.now, "nobody");
+    host.gateway.counterReplied(host.now, 5, Outcome.OK, 3);
+    host.gateway.healthChecked(host.now, "nobody", Outcome.TIMEOUT, 1, List.of(1.0, 2.0));
     host.servers(1);
     host.request(SAFE, 0);
     assertEquals(1, host.sent.size());
@@ -466,7 +470,7 @@
    */
   @Test
   void whoTakesOverGoesOnUnderTheCeilingOfBoth() {
-    Plan plan = new Plan(0, 0, 0, 1, 0, 0, 4, 20, 2);
+    QuotaPlan plan = new QuotaPlan(0, 0, 0, 1, 0, 0, 4, 20, 2);
     Host old = new Host(plan, 2, 0, false).servers(4);
     old.pass(10_000 * MS);
     int sent = 0;
@@ -476,7 +480,7 @@
     Host next = new Host(plan, 2, 0, false).servers(4);
     Host alone = new Host(plan, 2, 0, false).servers(4);
     assertEquals(0, served(alone), "with nothing told, a ceiling begins at nothing");
-    next.gateway.takeOver(next.now, old.gateway.handOver(old.now));
+    next.gateway.importState(next.now, old.gateway.exportState(old.now));
     int after = 0;
     for (int i = 0; i < 40; i++) {
       after += served(old) + served(next);
--- a/edge/src/test/java/edgegateway/policy/RulesTest.java
+++ b/edge/src/test/java/edgegateway/policy/RulesTest.java
@@ -10,14 +10,14 @@
 import static org.junit.jupiter.api.Assertions.assertNotEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import edgegateway.policy.api.Course;
-import edgegateway.policy.api.ListKind;
+import edgegateway.policy.api.Endpoint;
+import edgegateway.policy.api.EndpointListKind;
+import edgegateway.policy.api.EndpointState;
 import edgegateway.policy.api.Outcome;
-import edgegateway.policy.api.Plan;
-import edgegateway.policy.api.Readiness;
-import edgegateway.policy.api.Server;
-import edgegateway.policy.api.ZoneEvidence;
-import edgegateway.policy.api.ZoneState;
+import edgegateway.policy.api.QuotaPlan;
+import edgegateway.policy.api.TrafficRamp;
+import edgegateway.policy.api.ZoneHealth;
+import edgegateway.policy.api.ZoneStatus;
 import java.util.ArrayList;
 import java.util.Arrays;
 import java.util.HashMap;
@@ -74,7 +74,7 @@
   void nothingFollowsWhenTheClientIsGone() {
     host.servers(2);
     String id = host.request(SAFE, 1);
-    host.gateway.clientGone(host.now, id);
+    host.gateway.clientDisconnected(host.now, id);
     host.end(id, Outcome.ERROR, true);
     host.pass(2000 * MS);
     assertEquals(1, host.attempts(id).size());
@@ -91,16 +91,16 @@
       Host out = new Host(Host.FREE, 1, 0).servers(4);
       String first = out.request(requestClass, 1);
       String further = out.request(requestClass, 1);
-      out.end(further, Outcome.FULL, false);
-      out.gateway.clientGone(out.now, first);
-      out.gateway.clientGone(out.now, further);
+      out.end(further, Outcome.REJECTED, false);
+      out.gateway.clientDisconnected(out.now, first);
+      out.gateway.clientDisconnected(out.now, further);
       int sent = out.sent.size();
       out.end(first, outcome, false);
       out.end(further, outcome, false);
       out.pass(4_000 * MS);
       assertEquals(sent, out.sent.size(), outcome + " of an attempt");
       // The counter is asked.
-      Host asking = new Host(new Plan(5, 5, 0, 1, 0, 1, 0, 0, 0), 2, 0).servers(4);
+      Host asking = new Host(new QuotaPlan(5, 5, 0, 1, 0, 1, 0, 0, 0), 2, 0).servers(4);
       String asked = asking.request(requestClass, 0, 1, 1, asking.now + 3_000 * MS);
       for (long customer = 2; !asking.attempts(asked).isEmpty(); customer++) {
         asking.end(asked, Outcome.OK);
@@ -108,8 +108,8 @@
         asking.counted.clear();
         asked = asking.request(requestClass, 0, customer, 1, asking.now + 3_000 * MS);
       }
-      asking.gateway.clientGone(asking.now, asked);
-      asking.gateway.counted(
+      asking.gateway.clientDisconnected(asking.now, asked);
+      asking.gateway.counterReplied(
           asking.now, asking.counted.get(asking.counted.size() - 1).name(), outcome, 1);
       asking.pass(4_000 * MS);
       assertEquals(List.of(), asking.attempts(asked), outcome + " of a call");
@@ -122,7 +122,7 @@
         before.add(waits);
         waits = queued.request(requestClass, 1);
       }
-      queued.gateway.clientGone(queued.now, waits);
+      queued.gateway.clientDisconnected(queued.now, waits);
       before.forEach(id -> queued.end(id, outcome, true));
       queued.pass(4_000 * MS);
       assertEquals(List.of(), queued.attempts(waits), outcome + " of those before it");
@@ -138,7 +138,7 @@
     host.servers(3);
     String id = host.request(UNSAFE, 1);
     host.end(id, outcome, false);
-    if (outcome.provesNeverRan()) {
+    if (outcome.provesNotExecuted()) {
       assertEquals(2, host.attempts(id).size());
     } else {
       assertEquals(1, host.attempts(id).size());
@@ -179,7 +179,7 @@
 
   @Test
   void attemptsOverTheCapWaitAndHoldUpNobodyElse() {
-    Host capped = new Host(new Plan(100, 100, 3, 1, 0, 1, 0, 0, 0), 1, 0).servers(4);
+    Host capped = new Host(new QuotaPlan(100, 100, 3, 1, 0, 1, 0, 0, 0), 1, 0).servers(4);
     for (int i = 0; i < 4; i++) {
       capped.request(SAFE, 1);
     }
@@ -193,21 +193,21 @@
   @Test
   void drainToldWhileQueuedIsKept() {
     host.servers(1);
-    host.server("a", 0, Readiness.DRAINING, 0);
+    host.server("a", 0, EndpointState.DRAINING, 0);
     host.request(SAFE, 1);
     host.pass(100 * MS);
     assertEquals(List.of(), host.sent);
-    host.server("a", 0, Readiness.READY, 0);
+    host.server("a", 0, EndpointState.READY, 0);
     assertEquals(1, host.sent.size());
   }
 
   @Test
   void goneAndBackUnderTheSameIdIsCold() {
     host.servers(1);
-    host.server("a", 0, Readiness.GONE, 0);
+    host.server("a", 0, EndpointState.REMOVED, 0);
     host.request(SAFE, 1);
     assertEquals(List.of(), host.sent);
-    host.server("a", 0, Readiness.READY, host.now);
+    host.server("a", 0, EndpointState.READY, host.now);
     for (int i = 0; i < 20; i++) {
       host.request(SAFE, 1);
     }
@@ -217,7 +217,7 @@
   @Test
   void absentFromAFullListIsGone() {
     host.servers(2);
-    host.gateway.list(host.now, ListKind.FULL, List.of());
+    host.gateway.endpointsUpdated(host.now, EndpointListKind.FULL, List.of());
     host.request(SAFE, 1);
     assertEquals(List.of(), host.sent);
   }
@@ -225,7 +225,7 @@
   @Test
   void coldServerGetsASmallPart() {
     host.servers(4);
-    host.server("z", 0, Readiness.READY, host.now);
+    host.server("z", 0, EndpointState.READY, host.now);
     Map<String, Integer> sends = new HashMap<>();
     for (int i = 0; i < 300; i++) {
       String id = host.request(SAFE, 1);
@@ -246,7 +246,7 @@
   void whereNoServerIsWarmTheColdOnesTakeTheFirstRequests() {
     Host host = new Host(Host.FREE, 4, 0, false);
     for (int i = 0; i < 8; i++) {
-      host.server("c" + i, 0, Readiness.READY, host.now);
+      host.server("c" + i, 0, EndpointState.READY, host.now);
     }
     int[] sends = new int[3];
     for (int i = 0; i < 300; i++) {
@@ -279,7 +279,7 @@
 
   @Test
   void ceilingHoldsForAllGatewaysTogetherWithoutTheCounterAndOverARestart() {
-    Plan plan = new Plan(5, 20, 0, 1, 0, 1, 8, 32, 4);
+    QuotaPlan plan = new QuotaPlan(5, 20, 0, 1, 0, 1, 8, 32, 4);
     double sent = 0;
     for (int me = 0; me < 3; me++) {
       Host one = new Host(plan, 3, me).servers(6);
@@ -311,26 +311,28 @@
   @Test
   void aServerOutByHandStaysOutWhateverTheListSays() {
     host.servers(2);
-    assertFalse(host.gateway.leaveOut(host.now, "never", true));
-    assertTrue(host.gateway.leaveOut(host.now, "a", true));
-    assertEquals(List.of("a"), host.gateway.avoided());
-    Server ready = new Server("a", 1, 0, 0, 0, Readiness.READY, 0);
-    for (ListKind kind : List.of(ListKind.FULL, ListKind.DELTA)) {
-      host.gateway.list(
-          host.now, kind, List.of(ready, new Server("b", 1, 1, 1, 0, Readiness.READY, 0)));
+    assertFalse(host.gateway.setEndpointEjected(host.now, "never", true));
+    assertTrue(host.gateway.setEndpointEjected(host.now, "a", true));
+    assertEquals(List.of("a"), host.gateway.avoidedEndpoints());
+    Endpoint ready = new Endpoint("a", 1, 0, 0, 0, EndpointState.READY, 0);
+    for (EndpointListKind kind : List.of(EndpointListKind.FULL, EndpointListKind.DELTA)) {
+      host.gateway.endpointsUpdated(
+          host.now, kind, List.of(ready, new Endpoint("b", 1, 1, 1, 0, EndpointState.READY, 0)));
       servedBy("b", 20);
     }
-    host.gateway.list(
-        host.now, ListKind.FULL, List.of(new Server("b", 1, 1, 1, 0, Readiness.READY, 0)));
-    assertEquals(List.of(), host.gateway.avoided());
-    host.server("a", 0, Readiness.READY, host.now);
+    host.gateway.endpointsUpdated(
+        host.now,
+        EndpointListKind.FULL,
+        List.of(new Endpoint("b", 1, 1, 1, 0, EndpointState.READY, 0)));
+    assertEquals(List.of(), host.gateway.avoidedEndpoints());
+    host.server("a", 0, EndpointState.READY, host.now);
     servedBy("b", 20);
     String retried = host.request(SAFE, 1);
     host.end(retried, Outcome.ERROR, false);
     assertTrue(host.attempts(retried).stream().noneMatch(s -> s.server().equals("a")));
     host.end(retried, Outcome.OK);
-    assertTrue(host.gateway.leaveOut(host.now, "a", false));
-    assertEquals(List.of(), host.gateway.avoided());
+    assertTrue(host.gateway.setEndpointEjected(host.now, "a", false));
+    assertEquals(List.of(), host.gateway.avoidedEndpoints());
     int before = host.sent.size();
     for (int i = 0; i < 200; i++) {
       host.now += 20 * MS;
@@ -342,11 +344,11 @@
 
   @Test
   void whatWasOutBeforeAStartIsOutThoughItIsListedLater() {
-    host.gateway.stillOut(host.now, Set.of("a"));
+    host.gateway.restoreEjectedEndpoints(host.now, Set.of("a"));
     host.servers(2);
     servedBy("b", 20);
-    host.gateway.stillOut(host.now, Set.of());
-    assertEquals(List.of(), host.gateway.avoided());
+    host.gateway.restoreEjectedEndpoints(host.now, Set.of());
+    assertEquals(List.of(), host.gateway.avoidedEndpoints());
   }
 
   /**
@@ -356,22 +358,24 @@
   @Test
   void aZoneOutByHandStaysOutAndComesBackBitByBit() {
     host.servers(2);
-    assertFalse(host.gateway.zonesOut().contains(0));
-    assertTrue(host.gateway.leaveZone(host.now, 0, true, 0));
-    assertTrue(host.gateway.leaveZone(host.now, 0, true, 0), "once more");
-    assertFalse(host.gateway.leaveZone(host.now, 1, true, 0), "the last one stays");
-    assertEquals(Set.of(0), host.gateway.zonesOut());
-    host.server("c", 0, Readiness.READY, 0);
-    host.gateway.list(
+    assertFalse(host.gateway.ejectedZones().contains(0));
+    assertTrue(host.gateway.setZoneEjected(host.now, 0, true, 0));
+    assertTrue(host.gateway.setZoneEjected(host.now, 0, true, 0), "once more");
+    assertFalse(host.gateway.setZoneEjected(host.now, 1, true, 0), "the last one stays");
+    assertEquals(Set.of(0), host.gateway.ejectedZones());
+    host.server("c", 0, EndpointState.READY, 0);
+    host.gateway.endpointsUpdated(
         host.now,
-        ListKind.FULL,
+        EndpointListKind.FULL,
         List.of(
-            new Server("a", 1, 0, 0, 0, Readiness.READY, host.now),
-            new Server("b", 1, 1, 1, 0, Readiness.READY, 0)));
+            new Endpoint("a", 1, 0, 0, 0, EndpointState.READY, host.now),
+            new Endpoint("b", 1, 1, 1, 0, EndpointState.READY, 0)));
     servedBy("b", 20);
-    assertEquals(new ZoneState(0, host.gateway.zone(0).since(), 1, 0, true), host.gateway.zone(0));
-    assertTrue(host.gateway.leaveZone(host.now, 0, false, 40_000 * MS));
-    assertTrue(host.gateway.leaveZone(host.now, 0, false, 1), "once more changes nothing");
+    assertEquals(
+        new ZoneStatus(0, host.gateway.zoneStatus(0).sinceNanos(), 1, 0, true),
+        host.gateway.zoneStatus(0));
+    assertTrue(host.gateway.setZoneEjected(host.now, 0, false, 40_000 * MS));
+    assertTrue(host.gateway.setZoneEjected(host.now, 0, false, 1), "once more changes nothing");
     int[] back = new int[3];
     for (int i = 0; i < 3_000; i++) {
       host.now += 20 * MS;
@@ -383,20 +387,22 @@
     // 20 s.
     assertTrue(
         back[0] > 50 && back[0] < 0.6 * back[1] && back[1] < 0.95 * back[2], Arrays.toString(back));
-    assertEquals(1, host.gateway.zone(0).share());
+    assertEquals(1, host.gateway.zoneStatus(0).trafficFraction());
   }
 
   @Test
   void zonesThatWereOutBeforeAStartAreOutThoughTheyAreListedLater() {
-    host.gateway.zonesStillOut(host.now, Set.of(0));
+    host.gateway.restoreEjectedZones(host.now, Set.of(0));
     host.servers(2);
     servedBy("b", 20);
-    host.gateway.zonesStillOut(host.now, Set.of());
-    assertEquals(Set.of(), host.gateway.zonesOut());
+    host.gateway.restoreEjectedZones(host.now, Set.of());
+    assertEquals(Set.of(), host.gateway.ejectedZones());
     host.now += 1;
-    assertTrue(host.gateway.zone(0).share() > 0 && host.gateway.zone(0).share() < 0.01);
-    host.gateway.zonesStillOut(host.now, Set.of(0));
-    assertEquals(0, host.gateway.zone(0).share(), "out again on its way back");
+    assertTrue(
+        host.gateway.zoneStatus(0).trafficFraction() > 0
+            && host.gateway.zoneStatus(0).trafficFraction() < 0.01);
+    host.gateway.restoreEjectedZones(host.now, Set.of(0));
+    assertEquals(0, host.gateway.zoneStatus(0).trafficFraction(), "out again on its way back");
   }
 
   /**
@@ -405,29 +411,32 @@
   @Test
   void aZoneOutByVerdictIsOutAndOperatorsGoBeforeIt() {
     host.servers(2);
-    host.gateway.zoneCourse(host.now, 0, new Course(0, 0, host.now, 1));
+    host.gateway.setZoneRamp(host.now, 0, new TrafficRamp(0, 0, host.now, 1));
     servedBy("b", 20);
-    assertEquals(new ZoneState(0, host.now - 400 * MS, 1, 1, false), host.gateway.zone(0));
-    assertFalse(host.gateway.leaveZone(host.now, 1, true, 0), "nothing would be left");
-    host.server("c", 2, Readiness.READY, 0);
-    assertTrue(host.gateway.leaveZone(host.now, 1, true, 0));
-    host.gateway.zoneCourse(host.now, 1, new Course(0.5, 1, host.now, 1_000 * MS));
+    assertEquals(new ZoneStatus(0, host.now - 400 * MS, 1, 1, false), host.gateway.zoneStatus(0));
+    assertFalse(host.gateway.setZoneEjected(host.now, 1, true, 0), "nothing would be left");
+    host.server("c", 2, EndpointState.READY, 0);
+    assertTrue(host.gateway.setZoneEjected(host.now, 1, true, 0));
+    host.gateway.setZoneRamp(host.now, 1, new TrafficRamp(0.5, 1, host.now, 1_000 * MS));
     servedBy("c", 5);
-    assertTrue(host.gateway.leaveZone(host.now, 1, false, 1));
+    assertTrue(host.gateway.setZoneEjected(host.now, 1, false, 1));
     host.now += 10 * MS;
-    host.gateway.zoneCourse(host.now, 1, new Course(0.5, 1, host.now, 1_000 * MS));
+    host.gateway.setZoneRamp(host.now, 1, new TrafficRamp(0.5, 1, host.now, 1_000 * MS));
     assertEquals(
-        0.5, host.gateway.zone(1).share(), 0.01, "its return by hand is over, the verdict counts");
-    host.gateway.zoneCourse(host.now, 0, null);
-    assertEquals(1, host.gateway.zone(0).share());
+        0.5,
+        host.gateway.zoneStatus(1).trafficFraction(),
+        0.01,
+        "its return by hand is over, the verdict counts");
+    host.gateway.setZoneRamp(host.now, 0, null);
+    assertEquals(1, host.gateway.zoneStatus(0).trafficFraction());
   }
 
   /** One request for each trial, and only one that may be repeated freely. */
   @Test
   void aTrialIsOneRequestThatMayBeRepeated() {
     host.servers(2);
-    host.gateway.zoneCourse(host.now, 0, new Course(0, 0, host.now, 1));
-    host.gateway.tryZone(host.now, 0);
+    host.gateway.setZoneRamp(host.now, 0, new TrafficRamp(0, 0, host.now, 1));
+    host.gateway.probeZone(host.now, 0);
     for (int requestClass : List.of(UNSAFE, KEYED_CELL)) {
       String id = host.request(requestClass, 1);
       assertEquals("b", host.attempts(id).get(0).server());
@@ -439,8 +448,8 @@
     assertEquals("b", host.attempts(trial).get(1).server(), "its second attempt is no trial");
     host.end(trial, Outcome.OK);
     servedBy("b", 5);
-    host.gateway.tryZone(host.now, 0);
-    host.gateway.leaveZone(host.now, 0, true, 0);
+    host.gateway.probeZone(host.now, 0);
+    host.gateway.setZoneEjected(host.now, 0, true, 0);
     servedBy("b", 1);
   }
 
@@ -448,8 +457,10 @@
   @Test
   void whereThereAreNoZonesServersAreChosenAsEver() {
     for (String id : List.of("a", "b")) {
-      host.gateway.list(
-          host.now, ListKind.DELTA, List.of(new Server(id, 1, -1, 0, 0, Readiness.READY, 0)));
+      host.gateway.endpointsUpdated(
+          host.now,
+          EndpointListKind.DELTA,
+          List.of(new Endpoint(id, 1, -1, 0, 0, EndpointState.READY, 0)));
     }
     for (int i = 0; i < 20; i++) {
       host.now += 20 * MS;
@@ -469,9 +480,9 @@
   @Test
   void evidenceTellsAZoneFromAServerAndSilenceBeforeItsEnd() {
     for (String id : List.of("a", "c", "e")) {
-      host.server(id, 0, Readiness.READY, 0);
+      host.server(id, 0, EndpointState.READY, 0);
     }
-    host.server("b", 1, Readiness.READY, 0);
+    host.server("b", 1, EndpointState.READY, 0);
     String bad = null;
     for (int i = 0; i < 60; i++) {
       host.now += 20 * MS;
@@ -483,9 +494,13 @@
         host.end(id, Outcome.OK);
       }
     }
-    ZoneEvidence of = host.gateway.zoneEvidence(host.now).get(0);
+    ZoneHealth of = host.gateway.zoneHealth(host.now).get(0);
     assertTrue(
-        of.bad() == 1 && of.heard() >= 2 && of.excess() < 3 && of.misses() > 0, of.toString());
+        of.failingEndpoints() == 1
+            && of.observedEndpoints() >= 2
+            && of.failureExcess() < 3
+            && of.totalFailures() > 0,
+        of.toString());
     List<String> out = new ArrayList<>();
     for (int i = 0; i < 8; i++) {
       out.add(host.request(SAFE, 1));
@@ -493,12 +508,12 @@
     List<String> there =
         out.stream().filter(id -> !host.attempts(id).get(0).server().equals("b")).toList();
     host.now += MS;
-    host.end(there.get(0), Outcome.FULL);
-    ZoneEvidence before = host.gateway.zoneEvidence(host.now).get(0);
-    assertEquals(of.misses(), before.misses(), "no room is no miss");
+    host.end(there.get(0), Outcome.REJECTED);
+    ZoneHealth before = host.gateway.zoneHealth(host.now).get(0);
+    assertEquals(of.totalFailures(), before.totalFailures(), "no room is no miss");
     host.now += 900 * MS;
     assertTrue(
-        host.gateway.zoneEvidence(host.now).get(0).excess() < 0.5,
+        host.gateway.zoneHealth(host.now).get(0).failureExcess() < 0.5,
         "they were sent before the zone last answered");
     out.forEach(id -> host.end(id, Outcome.OK));
     host.now += MS;
@@ -506,11 +521,11 @@
     host.request(SAFE, 1);
     host.request(SAFE, 1);
     host.now += 900 * MS;
-    ZoneEvidence silent = host.gateway.zoneEvidence(host.now).get(0);
+    ZoneHealth silent = host.gateway.zoneHealth(host.now).get(0);
     assertTrue(
-        silent.excess() >= 1 && silent.silent() >= 1,
+        silent.failureExcess() >= 1 && silent.unresponsiveEndpoints() >= 1,
         silent + " " + host.sent.subList(host.sent.size() - 4, host.sent.size()));
-    assertEquals(0.75, silent.share(), 1e-9);
+    assertEquals(0.75, silent.endpointFraction(), 1e-9);
   }
 
   private void servedBy(String server, int requests) {
--- a/edge/src/test/java/edgegateway/policy/ScaleMeasure.java
+++ b/edge/src/test/java/edgegateway/policy/ScaleMeasure.java
@@ -4,14 +4,14 @@
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import com.sun.management.ThreadMXBean;
-import edgegateway.policy.api.Actions;
-import edgegateway.policy.api.ListKind;
+import edgegateway.policy.api.AttemptResult;
+import edgegateway.policy.api.Endpoint;
+import edgegateway.policy.api.EndpointListKind;
+import edgegateway.policy.api.EndpointState;
 import edgegateway.policy.api.Outcome;
-import edgegateway.policy.api.Plan;
-import edgegateway.policy.api.Readiness;
+import edgegateway.policy.api.PolicyActions;
+import edgegateway.policy.api.QuotaPlan;
 import edgegateway.policy.api.Request;
-import edgegateway.policy.api.Result;
-import edgegateway.policy.api.Server;
 import java.lang.management.ManagementFactory;
 import java.util.ArrayDeque;
 import java.util.ArrayList;
@@ -48,7 +48,7 @@
   /** Edge nodes and archive servers: today's size to the target's. */
   private static final int[][] SIZES = {{100, 200}, {100, 1_000}, {300, 3_000}, {950, 8_900}};
 
-  private static final Plan PLAN = new Plan(2, 10, 0, 1, 0, 1, 0, 0, 0);
+  private static final QuotaPlan PLAN = new QuotaPlan(2, 10, 0, 1, 0, 1, 0, 0, 0);
   private static final ThreadMXBean THREADS = (ThreadMXBean) ManagementFactory.getThreadMXBean();
 
   /** What was weighed stays: nothing that becomes free may be taken off the next one. */
@@ -58,7 +58,7 @@
    * A module whose attempts are all served after 100 ms and whose calls to the counter are answered
    * after 1 ms.
    */
-  private static final class Node implements Actions {
+  private static final class Node implements PolicyActions {
     private record Attempt(long at, String id, String server) {}
 
     private record Call(long at, long name, double amount) {}
@@ -66,7 +66,7 @@
     private final ArrayDeque<Attempt> sent = new ArrayDeque<>();
     private final ArrayDeque<Call> called = new ArrayDeque<>();
     private final SplittableRandom chance = new SplittableRandom(SEED);
-    private final Gateway gateway;
+    private final GatewayPolicy gateway;
     private final int nodes;
     private long now = SECOND;
     private int ids;
@@ -74,7 +74,7 @@
 
     Node(int nodes) {
       this.nodes = nodes;
-      gateway = new Gateway(Host.settings(PLAN, nodes, 0, true, false), SEED, now, this);
+      gateway = new GatewayPolicy(Host.settings(PLAN, nodes, 0, true, false), SEED, now, this);
     }
 
     /**
@@ -86,9 +86,9 @@
         for (long until = now + SECOND / RATE; now < until; ) {
           now += Math.min(10 * MS, until - now);
           answers();
-          gateway.timer(now, 0);
+          gateway.timerFired(now, 0);
         }
-        gateway.request(
+        gateway.requestReceived(
             now,
             new Request(
                 "r" + ids++,
@@ -106,58 +106,59 @@
     private void answers() {
       while (!called.isEmpty() && called.peek().at + MS <= now) {
         Call call = called.poll();
-        gateway.counted(now, call.name, Outcome.OK, call.amount);
+        gateway.counterReplied(now, call.name, Outcome.OK, call.amount);
       }
       while (!sent.isEmpty() && sent.peek().at + 100 * MS <= now) {
         Attempt one = sent.poll();
         served++;
         gateway.attemptEnded(
-            now, new Result(one.id, Outcome.OK, now - one.at, one.server, true, 0, 0, List.of()));
+            now,
+            new AttemptResult(one.id, Outcome.OK, now - one.at, one.server, true, 0, 0, List.of()));
       }
     }
 
     @Override
-    public void send(String id, String server, long patience) {
+    public void sendAttempt(String id, String server, long patience) {
       sent.add(new Attempt(now, id, server));
     }
 
     @Override
-    public void count(long name, double amount, long lifetime) {
+    public void addToCounter(long name, double amount, long lifetime) {
       called.add(new Call(now, name, amount));
     }
 
     @Override
-    public void refuse(String id, long retryAfter) {}
+    public void reject(String id, long retryAfter) {}
 
     @Override
     public void fail(String id) {}
 
     @Override
-    public void probe(String server) {}
+    public void healthCheck(String server) {}
 
     @Override
-    public void timer(long token, long span) {}
+    public void scheduleTimer(long token, long span) {}
 
     @Override
-    public void watchList() {}
+    public void subscribeToEndpoints() {}
 
     @Override
     public void log(String text) {}
   }
 
-  private static Server server(int number, long startedAt) {
-    return new Server(
+  private static Endpoint server(int number, long startedAt) {
+    return new Endpoint(
         "s-" + Integer.toHexString(0x5be00000 + number),
         1,
         number % ZONES,
         number % CELLS,
         0,
-        Readiness.READY,
+        EndpointState.READY,
         startedAt);
   }
 
-  private static List<Server> list(int servers) {
-    List<Server> all = new ArrayList<>();
+  private static List<Endpoint> list(int servers) {
+    List<Endpoint> all = new ArrayList<>();
     for (int i = 0; i < servers; i++) {
       all.add(server(i, 0));
     }
@@ -177,13 +178,13 @@
 
   private static double[] listed(int[] size) {
     Node node = new Node(size[0]);
-    node.gateway.list(node.now, ListKind.FULL, list(size[1]));
-    List<Server> again = list(size[1]);
+    node.gateway.endpointsUpdated(node.now, EndpointListKind.FULL, list(size[1]));
+    List<Endpoint> again = list(size[1]);
     return cost(
         LISTS,
         () -> {
           for (int i = 0; i < LISTS; i++) {
-            node.gateway.list(++node.now, ListKind.FULL, again);
+            node.gateway.endpointsUpdated(++node.now, EndpointListKind.FULL, again);
           }
         });
   }
@@ -193,26 +194,32 @@
     for (int i = 0; i < LISTS; i++) {
       nodes.add(new Node(size[0]));
     }
-    List<Server> list = list(size[1]);
+    List<Endpoint> list = list(size[1]);
     return cost(
-        LISTS, () -> nodes.forEach(node -> node.gateway.list(node.now, ListKind.FULL, list)));
+        LISTS,
+        () ->
+            nodes.forEach(
+                node -> node.gateway.endpointsUpdated(node.now, EndpointListKind.FULL, list)));
   }
 
   private static double[] changed(int[] size) {
     Node node = new Node(size[0]);
-    node.gateway.list(node.now, ListKind.FULL, list(size[1]));
-    List<List<Server>> changes = new ArrayList<>();
+    node.gateway.endpointsUpdated(node.now, EndpointListKind.FULL, list(size[1]));
+    List<List<Endpoint>> changes = new ArrayList<>();
     for (int i = 0; i < CHANGES; i++) {
       changes.add(List.of(server(i * 7 % size[1], SECOND)));
     }
     return cost(
         CHANGES,
-        () -> changes.forEach(change -> node.gateway.list(++node.now, ListKind.DELTA, change)));
+        () ->
+            changes.forEach(
+                change ->
+                    node.gateway.endpointsUpdated(++node.now, EndpointListKind.DELTA, change)));
   }
 
   private static double[] asked(int[] size) {
     Node node = new Node(size[0]);
-    node.gateway.list(node.now, ListKind.FULL, list(size[1]));
+    node.gateway.endpointsUpdated(node.now, EndpointListKind.FULL, list(size[1]));
     node.requests(REQUESTS / 3, CUSTOMERS);
     int before = node.served;
     double[] cost = cost(REQUESTS, () -> node.requests(REQUESTS, CUSTOMERS));
@@ -237,21 +244,21 @@
     Node node = new Node(size[0]);
     WEIGHED.add(node);
     long before = heap();
-    node.gateway.list(node.now, ListKind.FULL, list(size[1]));
+    node.gateway.endpointsUpdated(node.now, EndpointListKind.FULL, list(size[1]));
     double bytes = heap() - before;
-    assertEquals(0, node.gateway.avoided().size());
+    assertEquals(0, node.gateway.avoidedEndpoints().size());
     return new double[] {bytes / size[1], 0};
   }
 
   /** Bytes that stay for each customer that asked once. */
   private static double[] heldByCustomer(int[] size) {
     Node node = new Node(size[0]);
-    node.gateway.list(node.now, ListKind.FULL, list(size[1]));
+    node.gateway.endpointsUpdated(node.now, EndpointListKind.FULL, list(size[1]));
     node.requests(RATE, CUSTOMERS);
     WEIGHED.add(node);
     long before = heap();
     for (int i = 0; i < MANY; i++) {
-      node.gateway.request(
+      node.gateway.requestReceived(
           node.now,
           new Request("m" + i, Host.SAFE, 0, CUSTOMERS + i, node.now + 3_000 * MS, 1, 3, 0, false));
       node.now += MS / 10;
@@ -261,7 +268,7 @@
     node.answers();
     node.called.clear();
     double bytes = heap() - before;
-    assertTrue(node.gateway.handOver(node.now).uses().size() >= MANY);
+    assertTrue(node.gateway.exportState(node.now).quotaUsages().size() >= MANY);
     return new double[] {bytes / MANY, 0};
   }
 
--- a/testbed/src/main/java/edgegateway/testbed/model/Model.java
+++ b/testbed/src/main/java/edgegateway/testbed/model/Model.java
@@ -1,9 +1,9 @@
 package edgegateway.testbed.model;
 
 import edgegateway.node.SettingsPairs;
-import edgegateway.policy.api.Readiness;
-import edgegateway.policy.api.Server;
-import edgegateway.policy.api.Settings;
+import edgegateway.policy.api.Endpoint;
+import edgegateway.policy.api.EndpointState;
+import edgegateway.policy.api.PolicySettings;
 import edgegateway.protocol.SettingsReader;
 import edgegateway.testbed.fleet.NodeConfig;
 import edgegateway.testbed.fleet.Topology;
@@ -71,7 +71,7 @@
   private final CounterHost counter;
 
   /** What discovery tells; null to be made anew. */
-  private List<Server> listed;
+  private List<Endpoint> listed;
 
   private final ArrayDeque<Script.Step> steps = new ArrayDeque<>();
 
@@ -89,7 +89,7 @@
     }
     counter = new CounterHost(timeline, topology.counter(), scenario.counter().terms());
     for (Party node : topology.nodes()) {
-      Settings settings =
+      PolicySettings settings =
           SettingsReader.read(
               SettingsPairs.of(NodeConfig.settings(topology, scenario.told(), node)));
       nodes.add(
@@ -168,7 +168,7 @@
     long used = heap() - before;
     model.finish(begun);
     model.servers.values().forEach(model::last);
-    Server first = model.list().get(0);
+    Endpoint first = model.list().get(0);
     for (int i = 0; i < CHANGES; i++) {
       model.nodes.forEach(node -> node.told(first));
     }
@@ -263,22 +263,22 @@
     lived(server.party(), server.pressure(), server.fellAt());
   }
 
-  private List<Server> list() {
+  private List<Endpoint> list() {
     if (listed == null) {
       listed = servers.values().stream().map(this::entry).toList();
     }
     return listed;
   }
 
-  private Server entry(ServerHost of) {
+  private Endpoint entry(ServerHost of) {
     int zone = topology.zones().indexOf(of.party().zone());
-    return new Server(
+    return new Endpoint(
         of.party().name(),
         CORES,
         zone,
         zone,
         0,
-        of.draining() ? Readiness.DRAINING : Readiness.READY,
+        of.draining() ? EndpointState.DRAINING : EndpointState.READY,
         of.startedAt());
   }
 
@@ -368,14 +368,14 @@
 
   private void tell(ServerHost server) {
     listed = null;
-    Server entry = entry(server);
+    Endpoint entry = entry(server);
     timeline.after(Script.TOLD, () -> nodes.forEach(node -> node.told(entry)));
   }
 
-  private void told(Party node, Server entry) {
-    if (entry.readiness() != Readiness.READY) {
+  private void told(Party node, Endpoint entry) {
+    if (entry.state() != EndpointState.READY) {
       history.accept(new Event.Told(now(), node.name(), entry.id()));
-    } else if (entry.startedAt() > 0) {
+    } else if (entry.startedAtNanos() > 0) {
       history.accept(new Event.Learned(now(), node.name(), entry.id()));
     }
   }
--- a/testbed/src/main/java/edgegateway/testbed/model/NodeHost.java
+++ b/testbed/src/main/java/edgegateway/testbed/model/NodeHost.java
@@ -2,14 +2,14 @@
 
 import edgegateway.node.zones.ZoneSettings;
 import edgegateway.node.zones.ZoneVerdicts;
-import edgegateway.policy.Gateway;
-import edgegateway.policy.api.Actions;
-import edgegateway.policy.api.ListKind;
+import edgegateway.policy.GatewayPolicy;
+import edgegateway.policy.api.AttemptResult;
+import edgegateway.policy.api.Endpoint;
+import edgegateway.policy.api.EndpointListKind;
 import edgegateway.policy.api.Outcome;
+import edgegateway.policy.api.PolicyActions;
+import edgegateway.policy.api.PolicySettings;
 import edgegateway.policy.api.Request;
-import edgegateway.policy.api.Result;
-import edgegateway.policy.api.Server;
-import edgegateway.policy.api.Settings;
 import edgegateway.testbed.model.Meter.Activity;
 import edgegateway.testbed.net.Party;
 import edgegateway.testbed.stand.ArchiveServer.Ending;
@@ -26,7 +26,7 @@
  * An edge node's machine: the program's module, and around it what the real node does on sockets,
  * without them.
  */
-final class NodeHost implements Actions, Peer {
+final class NodeHost implements PolicyActions, Peer {
   /** Whoever waits for an answer. */
   interface Client {
     /**
@@ -46,16 +46,16 @@
   record Surroundings(
       Timeline timeline,
       Network network,
-      Settings settings,
+      PolicySettings settings,
       ZoneSettings zones,
       List<String> zoneNames,
-      Supplier<List<Server>> list,
+      Supplier<List<Endpoint>> list,
       Map<String, ServerHost> servers,
       CounterHost counter,
       long keep,
       Meter meter,
       ToLongFunction<String> work,
-      BiConsumer<Party, Server> told,
+      BiConsumer<Party, Endpoint> told,
       BiConsumer<Party, String> log) {}
 
   /** As the real node: the module sees deadlines early, and what it leaves unanswered is failed. */
@@ -121,7 +121,7 @@
   private final SplittableRandom chance;
   private final Map<String, Open> open = new LinkedHashMap<>();
   private final Map<ServerHost, Pool> pools = new LinkedHashMap<>();
-  private Gateway gateway;
+  private GatewayPolicy gateway;
   private ZoneVerdicts verdicts;
   private int life;
   private boolean ready;
@@ -132,7 +132,7 @@
   /** What happened while the process stood still, and what discovery has not said. */
   private final List<Runnable> backlog = new ArrayList<>();
 
-  private final Map<String, Server> unsaid = new LinkedHashMap<>();
+  private final Map<String, Endpoint> unsaid = new LinkedHashMap<>();
 
   NodeHost(Party party, Surroundings around, SplittableRandom chance) {
     this.party = party;
@@ -168,14 +168,15 @@
       timeline.after(LOOK, this::start);
       return;
     }
-    List<Server> known = around.list.get();
+    List<Endpoint> known = around.list.get();
     known.forEach(entry -> around.told.accept(party, entry));
     soon(
         LISTENS,
         () -> {
-          gateway = new Gateway(around.settings, chance.nextLong(), timeline.now(), this);
+          gateway = new GatewayPolicy(around.settings, chance.nextLong(), timeline.now(), this);
           meter.time(
-              Activity.FIRST_LIST, () -> gateway.list(timeline.now(), ListKind.CACHED, known));
+              Activity.FIRST_LIST,
+              () -> gateway.endpointsUpdated(timeline.now(), EndpointListKind.CACHED, known));
           if (around.zones != null) {
             verdicts =
                 new ZoneVerdicts(
@@ -193,9 +194,10 @@
         HEARD,
         () -> {
           if (!deaf) {
-            List<Server> whole = around.list.get();
+            List<Endpoint> whole = around.list.get();
             meter.time(
-                Activity.WHOLE_LIST, () -> gateway.list(timeline.now(), ListKind.FULL, whole));
+                Activity.WHOLE_LIST,
+                () -> gateway.endpointsUpdated(timeline.now(), EndpointListKind.FULL, whole));
           }
         });
     soon(READY, () -> ready = true);
@@ -258,7 +260,7 @@
   void silence(boolean begins) {
     deaf = begins;
     if (!begins) {
-      List<Server> late = List.copyOf(unsaid.values());
+      List<Endpoint> late = List.copyOf(unsaid.values());
       unsaid.clear();
       late.forEach(this::told);
     }
@@ -282,7 +284,7 @@
   }
 
   /** Discovery tells of a server. */
-  void told(Server entry) {
+  void told(Endpoint entry) {
     if (deaf) {
       unsaid.put(entry.id(), entry);
     } else {
@@ -295,16 +297,18 @@
     enter(
         () -> {
           if (gateway != null) {
-            gateway.leaveZone(timeline.now(), zone, out, around.settings.rules().coldSpan());
+            gateway.setZoneEjected(
+                timeline.now(), zone, out, around.settings.rules().slowStartNanos());
           }
         });
   }
 
-  private void hear(Server entry) {
+  private void hear(Endpoint entry) {
     if (gateway != null) {
       around.told.accept(party, entry);
       meter.time(
-          Activity.CHANGE, () -> gateway.list(timeline.now(), ListKind.DELTA, List.of(entry)));
+          Activity.CHANGE,
+          () -> gateway.endpointsUpdated(timeline.now(), EndpointListKind.DELTA, List.of(entry)));
     }
   }
 
@@ -323,9 +327,9 @@
             asked.customer(),
             deadline,
             asked.units(),
-            asked.setSize(),
-            asked.setFirst(),
-            asked.repeat());
+            asked.gatewayCount(),
+            asked.firstGateway(),
+            asked.clientRetry());
     Open of = new Open(request, keyed, client);
     open.put(request.id(), of);
     soon(
@@ -336,7 +340,7 @@
             gone(request.id());
           }
         });
-    meter.time(Activity.REQUEST, () -> gateway.request(timeline.now(), request));
+    meter.time(Activity.REQUEST, () -> gateway.requestReceived(timeline.now(), request));
   }
 
   /** Whether no request is open here. */
@@ -374,7 +378,7 @@
   }
 
   private void gone(String id) {
-    gateway.clientGone(timeline.now(), id);
+    gateway.clientDisconnected(timeline.now(), id);
     settle(open.get(id));
   }
 
@@ -391,7 +395,7 @@
   }
 
   @Override
-  public void send(String id, String server, long patience) {
+  public void sendAttempt(String id, String server, long patience) {
     meter.outside(() -> begin(id, server, patience));
   }
 
@@ -459,7 +463,7 @@
                             switch (how) {
                               case SERVED, REPEATED -> Outcome.OK;
                               case FAILED -> Outcome.ERROR;
-                              case TURNED_AWAY -> Outcome.FULL;
+                              case TURNED_AWAY -> Outcome.REJECTED;
                             });
                       });
                 }
@@ -492,7 +496,7 @@
         () ->
             gateway.attemptEnded(
                 timeline.now(),
-                new Result(
+                new AttemptResult(
                     of.request.id(),
                     outcome,
                     timeline.now() - attempt.sentAt,
@@ -505,7 +509,7 @@
   }
 
   @Override
-  public void refuse(String id, long retryAfter) {
+  public void reject(String id, long retryAfter) {
     decline(id, REFUSED, retryAfter);
   }
 
@@ -524,7 +528,7 @@
   }
 
   @Override
-  public void count(long name, double amount, long lifetime) {
+  public void addToCounter(long name, double amount, long lifetime) {
     meter.outside(() -> call(name, amount, lifetime));
   }
 
@@ -532,7 +536,9 @@
     boolean[] over = new boolean[1];
     int of = life;
     CounterHost counter = around.counter;
-    soon(around.settings.counter().timeout(), () -> counted(over, of, name, Outcome.TIMEOUT, 0));
+    soon(
+        around.settings.counter().timeoutNanos(),
+        () -> counted(over, of, name, Outcome.TIMEOUT, 0));
     around.network.pass(
         party,
         counter.party(),
@@ -552,7 +558,7 @@
                                         over,
                                         of,
                                         name,
-                                        total == null ? Outcome.FULL : Outcome.OK,
+                                        total == null ? Outcome.REJECTED : Outcome.OK,
                                         total == null ? 0 : total)))));
   }
 
@@ -565,22 +571,23 @@
     if (verdicts != null && ZoneVerdicts.owns(name)) {
       verdicts.counted(timeline.now(), name, outcome, total);
     } else {
-      meter.time(Activity.COUNTED, () -> gateway.counted(timeline.now(), name, outcome, total));
+      meter.time(
+          Activity.COUNTED, () -> gateway.counterReplied(timeline.now(), name, outcome, total));
     }
   }
 
   @Override
-  public void timer(long token, long span) {
-    soon(span, () -> meter.time(Activity.TIMER, () -> gateway.timer(timeline.now(), token)));
+  public void scheduleTimer(long token, long span) {
+    soon(span, () -> meter.time(Activity.TIMER, () -> gateway.timerFired(timeline.now(), token)));
   }
 
   @Override
-  public void probe(String server) {
+  public void healthCheck(String server) {
     throw new IllegalStateException("the settings allow no probes");
   }
 
   @Override
-  public void watchList() {
+  public void subscribeToEndpoints() {
     throw new IllegalStateException("the settings tell changes of the list unasked");
   }
 
--- a/testbed/src/main/java/edgegateway/testbed/scale/ModelScale.java
+++ b/testbed/src/main/java/edgegateway/testbed/scale/ModelScale.java
@@ -88,7 +88,8 @@
     figures.put("counter-calls-per-node-s", calls / nodes / span);
     figures.put("counter-calls-per-s", calls / span);
     figures.put("counter-late-share", calls == 0 ? 0 : meter.calls(Outcome.TIMEOUT) / calls);
-    figures.put("counter-turned-away-share", calls == 0 ? 0 : meter.calls(Outcome.FULL) / calls);
+    figures.put(
+        "counter-turned-away-share", calls == 0 ? 0 : meter.calls(Outcome.REJECTED) / calls);
     double attempts = meter.opened() + meter.reused();
     figures.put("connections-opened-per-request", attempts == 0 ? 0 : meter.opened() / attempts);
     figures.put("connections-opened-per-node-s", meter.opened() / nodes / span);
