--- a/edge/src/main/java/edgegateway/node/EdgeNode.java
+++ b/edge/src/main/java/edgegateway/node/EdgeNode.java
@@ -1,11 +1,23 @@
 package edgegateway.node;
 
-import edgegateway.node.Figures.Ending;
-import edgegateway.node.connections.Budget;
-import edgegateway.node.connections.Counts;
-import edgegateway.node.connections.HeldBytes;
-import edgegateway.node.zones.ZoneVerdict;
-import edgegateway.node.zones.ZoneVerdicts;
+import edgegateway.node.clients.ClientHttpServer;
+import edgegateway.node.config.NodeConfig;
+import edgegateway.node.connections.BufferedBodies;
+import edgegateway.node.connections.ConnectionMetrics;
+import edgegateway.node.connections.DescriptorBudget;
+import edgegateway.node.counter.CounterClient;
+import edgegateway.node.discovery.DiscoveryClient;
+import edgegateway.node.lifecycle.EventLoopStallDetector;
+import edgegateway.node.metrics.NodeMetrics;
+import edgegateway.node.metrics.NodeMetrics.RequestEnd;
+import edgegateway.node.operators.EjectionFile;
+import edgegateway.node.requests.BodyRelay;
+import edgegateway.node.requests.InFlightRequest;
+import edgegateway.node.upgrade.HandoverFile;
+import edgegateway.node.upgrade.ProcessSlots;
+import edgegateway.node.upstream.UpstreamPool;
+import edgegateway.node.zones.ZoneEjectionController;
+import edgegateway.node.zones.ZoneEjectionState;
 import edgegateway.policy.GatewayPolicy;
 import edgegateway.policy.api.AttemptResult;
 import edgegateway.policy.api.EndpointListKind;
@@ -69,38 +81,38 @@
   /** Null where the loop is another's. */
   private final EventLoopGroup group;
 
-  final EventLoop loop;
+  public final EventLoop loop;
 
   /** The module's clock: the wall's time at the start, going on by the clock that never jumps. */
   private final long clockOffset = System.currentTimeMillis() * MS - System.nanoTime();
 
-  private final Map<String, OpenRequest> open = new HashMap<>();
+  private final Map<String, InFlightRequest> open = new HashMap<>();
   private final CounterClient counter;
   private final DiscoveryClient discovery;
-  final Counts counts = new Counts();
-  final HeldBytes held = new HeldBytes(counts);
-  final Figures figures;
-  final ServerPool pool;
-  final ClientServer clients;
-  final Slots slots;
-  final Relay.All relays;
-  final Standstills standstills = new Standstills(System.nanoTime());
-  private final LeftOut leftOut;
-  private final LeftOut zonesOut;
+  public final ConnectionMetrics counts = new ConnectionMetrics();
+  public final BufferedBodies held = new BufferedBodies(counts);
+  public final NodeMetrics figures;
+  public final UpstreamPool pool;
+  public final ClientHttpServer clients;
+  final ProcessSlots slots;
+  public final BodyRelay.Group relays;
+  public final EventLoopStallDetector standstills = new EventLoopStallDetector(System.nanoTime());
+  private final EjectionFile leftOut;
+  private final EjectionFile zonesOut;
   private final HandoverFile handover;
-  private Config config;
-  private volatile Budget budget;
+  private NodeConfig config;
+  private volatile DescriptorBudget budget;
   private GatewayPolicy gateway;
 
   /** Null where zones are left by hand alone. */
-  private ZoneVerdicts verdicts;
+  private ZoneEjectionController verdicts;
 
   private volatile boolean admitted;
   private volatile boolean taking;
   private boolean inside;
 
   /** {@code folder} keeps what outlives the process; null if nothing does. */
-  EdgeNode(Config config, Path folder) throws IOException {
+  public EdgeNode(NodeConfig config, Path folder) throws IOException {
     this(config, folder, new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory()), null);
   }
 
@@ -113,27 +125,27 @@
    */
   public static EdgeNode on(EventLoop loop, String configuration) throws IOException {
     try {
-      return new EdgeNode(Config.parse(configuration), null, null, loop);
-    } catch (Config.Invalid e) {
+      return new EdgeNode(NodeConfig.parse(configuration), null, null, loop);
+    } catch (NodeConfig.InvalidConfigException e) {
       throw new IllegalArgumentException(e.getMessage(), e);
     }
   }
 
-  private EdgeNode(Config config, Path folder, EventLoopGroup own, EventLoop shared)
+  private EdgeNode(NodeConfig config, Path folder, EventLoopGroup own, EventLoop shared)
       throws IOException {
     group = own;
     loop = own == null ? shared : own.next();
     this.config = config;
-    figures = new Figures(config.names().classes(), counts);
-    slots = new Slots(folder);
-    leftOut = new LeftOut(folder, "left-out");
-    zonesOut = new LeftOut(folder, "zones-out");
+    figures = new NodeMetrics(config.names().classes(), counts);
+    slots = new ProcessSlots(folder);
+    leftOut = new EjectionFile(folder, "left-out");
+    zonesOut = new EjectionFile(folder, "zones-out");
     handover = new HandoverFile(folder);
-    relays = new Relay.All(loop);
-    pool = new ServerPool(this, loop, config);
+    relays = new BodyRelay.Group(loop);
+    pool = new UpstreamPool(this, loop, config);
     counter = new CounterClient(this::counted, loop, config);
     discovery = new DiscoveryClient(this, loop, config);
-    clients = new ClientServer(this, loop, config);
+    clients = new ClientHttpServer(this, loop, config);
     bound(1).clamped().forEach(this::log);
   }
 
@@ -177,7 +189,7 @@
   }
 
   /** Makes the module, with the list as last had; nothing listens or connects by this alone. */
-  void decide() throws Exception {
+  public void decide() throws Exception {
     loop.submit(
             () -> {
               gateway = new GatewayPolicy(config.settings(), config.seed(), now(), this);
@@ -186,7 +198,7 @@
               loop.scheduleAtFixedRate(this::look, LOOK, LOOK, TimeUnit.NANOSECONDS);
               if (config.zones() != null) {
                 verdicts =
-                    new ZoneVerdicts(
+                    new ZoneEjectionController(
                         config.zones(),
                         config.settings(),
                         config.names().zones(),
@@ -198,8 +210,8 @@
                     () ->
                         event(
                             null, now -> verdicts.tick(now, figures.discoverySilence() < HEARD_MS)),
-                    ZoneVerdicts.TICK,
-                    ZoneVerdicts.TICK,
+                    ZoneEjectionController.TICK,
+                    ZoneEjectionController.TICK,
                     TimeUnit.NANOSECONDS);
               }
             })
@@ -215,7 +227,7 @@
    * Follows a new configuration's addresses of discovery and counter; all else stays as it was at
    * the start.
    */
-  void move(Config next) {
+  void move(NodeConfig next) {
     loop.execute(
         () -> {
           if (next.counter() != null && !next.counter().equals(config.counter())) {
@@ -254,14 +266,14 @@
    * An operator drains this edge node, or has it take clients again; completes with null or with
    * why not.
    */
-  CompletableFuture<String> drain(boolean on) {
+  public CompletableFuture<String> drain(boolean on) {
     return command(() -> clients.drain(on) ? null : "this process ends");
   }
 
   /**
    * An operator leaves a server out or lets it serve again; completes with null or with why not.
    */
-  CompletableFuture<String> leaveOut(String server, boolean out) {
+  public CompletableFuture<String> leaveOut(String server, boolean out) {
     return command(
         () -> {
           boolean[] listed = new boolean[1];
@@ -286,7 +298,7 @@
    * An operator leaves a zone out, or has it back over so many seconds, 0 for as long as a cold
    * server needs; completes with null or with why not.
    */
-  CompletableFuture<String> leaveZone(String name, boolean out, long seconds) {
+  public CompletableFuture<String> leaveZone(String name, boolean out, long seconds) {
     int zone = config.names().zones().indexOf(name);
     return command(
         () -> {
@@ -320,14 +332,14 @@
   }
 
   /** How each zone stands, a line each. */
-  CompletableFuture<String> zones() {
+  public CompletableFuture<String> zones() {
     return command(
         () -> {
           StringBuilder text = new StringBuilder();
           long now = now();
           for (int i = 0; i < config.names().zones().size() && gateway != null; i++) {
             ZoneStatus zone = gateway.zoneStatus(i);
-            ZoneVerdict verdict =
+            ZoneEjectionState verdict =
                 verdicts == null || zone.byOperator() ? null : verdicts.agreement().verdict(i);
             String state =
                 zone.trafficFraction() == 0
@@ -348,7 +360,7 @@
             text.append(
                 zone.byOperator()
                     ? " why=hand"
-                    : verdict == null || verdict.why() == ZoneVerdict.Why.NONE
+                    : verdict == null || verdict.why() == ZoneEjectionState.Why.NONE
                         ? ""
                         : " why="
                             + verdict.why().name().toLowerCase(Locale.ROOT)
@@ -410,12 +422,12 @@
   }
 
   /** How the descriptors are shared out now; any thread. */
-  Budget budget() {
+  public DescriptorBudget budget() {
     return budget;
   }
 
   /** No descriptor is left for an operator's call: clients give up some of theirs. */
-  void exhausted() {
+  public void exhausted() {
     loop.execute(clients::exhausted);
   }
 
@@ -423,8 +435,8 @@
    * Keeps to this process's part of the descriptors, which all processes of this edge node hold
    * together.
    */
-  private Budget bound(int processes) {
-    budget = Budget.of(config.connections(), config.sockets(), processes, pool.listed());
+  private DescriptorBudget bound(int processes) {
+    budget = DescriptorBudget.of(config.connections(), config.sockets(), processes, pool.listed());
     clients.bound(budget);
     pool.bound(budget);
     held.bound(budget);
@@ -449,7 +461,7 @@
     }
   }
 
-  long now() {
+  public long now() {
     return System.nanoTime() + clockOffset;
   }
 
@@ -457,7 +469,7 @@
    * Runs one event of the module. Sockets may report within an action, that is within an event, and
    * the module must not be entered twice: such a report waits for the loop.
    */
-  private void event(OpenRequest about, LongConsumer call) {
+  private void event(InFlightRequest about, LongConsumer call) {
     if (inside) {
       loop.execute(() -> event(about, call));
       return;
@@ -476,13 +488,13 @@
     }
   }
 
-  static void trouble(String what, Throwable e) {
+  public static void trouble(String what, Throwable e) {
     StackTraceElement[] at = e.getStackTrace();
     System.err.println(what + ": " + e + (at.length > 0 ? " at " + at[0] : ""));
   }
 
   /** The list of app servers, or changes to it. */
-  void list(Config.Roll roll, EndpointListKind kind) {
+  public void list(NodeConfig.EndpointList roll, EndpointListKind kind) {
     long read = System.nanoTime();
     pool.update(roll, kind != EndpointListKind.DELTA);
     event(
@@ -490,7 +502,7 @@
         now -> {
           figures.worded(System.nanoTime() - read);
           gateway.endpointsUpdated(
-              now, kind, roll.members().stream().map(Config.Member::server).toList());
+              now, kind, roll.entries().stream().map(NodeConfig.EndpointEntry::endpoint).toList());
         });
   }
 
@@ -517,7 +529,7 @@
    * Whether clients are wanted, and discovery was heard or silent for so long that the known list
    * must do; any thread.
    */
-  boolean ready() {
+  public boolean ready() {
     return taking && discovery.heard() && !clients.draining();
   }
 
@@ -525,19 +537,19 @@
    * What the front is told: it sees one edge node, be it this process or its successor that takes
    * clients.
    */
-  boolean healthy() {
+  public boolean healthy() {
     return admitted && discovery.heard() && (!clients.draining() || clients.succeeded());
   }
 
   /** The deadline that the module is told, for a client that waits {@code span} from now. */
-  long deadline(long now, long span) {
+  public long deadline(long now, long span) {
     return now + Math.max(MS, span - ANSWER_MARGIN);
   }
 
   /**
    * Has a request refused that can't be carried here; false if its id is that of one still open.
    */
-  boolean turnAway(OpenRequest away) {
+  public boolean turnAway(InFlightRequest away) {
     if (!enter(away)) {
       return false;
     }
@@ -545,7 +557,7 @@
     return true;
   }
 
-  private boolean enter(OpenRequest request) {
+  private boolean enter(InFlightRequest request) {
     if (open.putIfAbsent(request.request.id(), request) != null) {
       return false;
     }
@@ -554,7 +566,7 @@
   }
 
   /** Takes a request; false if its id is that of one still open. */
-  boolean take(OpenRequest taken) {
+  public boolean take(InFlightRequest taken) {
     if (!enter(taken)) {
       return false;
     }
@@ -570,7 +582,7 @@
    * For a module that is late: no request may be left without an answer when its client's time is
    * over, at {@code due}.
    */
-  private void backstop(OpenRequest of, long due) {
+  private void backstop(InFlightRequest of, long due) {
     of.due = due;
     of.overdue = at(due - LAST_MOMENT, () -> overdue(of));
   }
@@ -580,12 +592,12 @@
   }
 
   /** A part of a long body is no longer held here. */
-  void passedOn(OpenRequest of) {
+  public void passedOn(InFlightRequest of) {
     event(of, now -> gateway.bodyForwarded(now, of.request.id()));
   }
 
   /** The last byte of a long body came. */
-  void uploaded(OpenRequest of, long left) {
+  public void uploaded(InFlightRequest of, long left) {
     if (!of.answered) {
       backstop(of, now() + left);
       event(of, now -> gateway.uploadCompleted(now, of.request.id()));
@@ -593,8 +605,9 @@
   }
 
   /** An app server begins a long answer; where its pieces go, or null if nobody waits for them. */
-  Channel answerBegan(OpenRequest of, long length, long took, String server, Runnable gone) {
-    OpenRequest.Answers answers = of.answerOnce();
+  public Channel answerBegan(
+      InFlightRequest of, long length, long took, String server, Runnable gone) {
+    InFlightRequest.ResponseWriter answers = of.answerOnce();
     if (answers == null) {
       return null;
     }
@@ -608,18 +621,18 @@
   }
 
   /** A long answer has been passed on, or {@code how} else it ended; null if its client left. */
-  void answerEnded(OpenRequest of, Ending how) {
+  public void answerEnded(InFlightRequest of, RequestEnd how) {
     cancelBackstop(of);
     figures.ended(of.request.requestClass(), how);
   }
 
-  private static void cancelBackstop(OpenRequest of) {
+  private static void cancelBackstop(InFlightRequest of) {
     if (of.overdue != null) {
       of.overdue.cancel(false);
     }
   }
 
-  private void overdue(OpenRequest late) {
+  private void overdue(InFlightRequest late) {
     if (!late.answered) {
       fail(late);
       event(null, now -> gateway.clientDisconnected(now, late.request.id()));
@@ -630,7 +643,7 @@
   /**
    * The client left before its answer: what of its attempt has not begun does not begin any more.
    */
-  void clientGone(OpenRequest gone) {
+  public void clientGone(InFlightRequest gone) {
     if (answerOnce(gone, null) != null) {
       settle(gone);
       event(gone, now -> gateway.clientDisconnected(now, gone.request.id()));
@@ -642,7 +655,7 @@
    * The client ended its sending, or left, and which of these can't be asked: an answer that is on
    * its way is still its, but no attempt begins any more.
    */
-  void clientUnsure(OpenRequest unsure) {
+  public void clientUnsure(InFlightRequest unsure) {
     unsure.lastAttempt = true;
     event(unsure, now -> gateway.clientDisconnected(now, unsure.request.id()));
     unsure.withdraw();
@@ -652,7 +665,7 @@
   }
 
   /** No attempt follows: refused if none may have run. */
-  private void endLast(OpenRequest of) {
+  private void endLast(InFlightRequest of) {
     if (of.mayHaveRunSince == Long.MIN_VALUE) {
       reject(of.request.id(), 0);
     } else {
@@ -661,11 +674,11 @@
   }
 
   /** An attempt ended; {@code body} is an app server's whole 200 answer, and stays the caller's. */
-  void attemptEnded(
-      OpenRequest of, Outcome outcome, long took, String server, double units, ByteBuf body) {
+  public void attemptEnded(
+      InFlightRequest of, Outcome outcome, long took, String server, double units, ByteBuf body) {
     of.attemptOut = false;
     if (outcome == Outcome.OK) {
-      OpenRequest.Answers answers = answerOnce(of, Ending.PASSED);
+      InFlightRequest.ResponseWriter answers = answerOnce(of, RequestEnd.PASSED);
       if (answers != null) {
         answers.served(body);
       }
@@ -677,7 +690,8 @@
     settle(of);
   }
 
-  private void tellEnd(OpenRequest of, Outcome outcome, long took, String server, double units) {
+  private void tellEnd(
+      InFlightRequest of, Outcome outcome, long took, String server, double units) {
     boolean complete = of.answered;
     int attempt = of.attempts - 1;
     event(
@@ -690,8 +704,8 @@
   }
 
   /** The one place that settles how a request ends; null if that is settled already. */
-  private OpenRequest.Answers answerOnce(OpenRequest of, Ending how) {
-    OpenRequest.Answers answers = of.answerOnce();
+  private InFlightRequest.ResponseWriter answerOnce(InFlightRequest of, RequestEnd how) {
+    InFlightRequest.ResponseWriter answers = of.answerOnce();
     if (answers != null) {
       figures.ended(of.request.requestClass(), how);
     }
@@ -700,7 +714,7 @@
 
   private void counted(long name, Outcome outcome, double total) {
     figures.counted(outcome == Outcome.OK);
-    boolean ballot = verdicts != null && ZoneVerdicts.owns(name);
+    boolean ballot = verdicts != null && ZoneEjectionController.owns(name);
     event(
         null,
         now -> {
@@ -713,7 +727,7 @@
   }
 
   /** Forgets a request once it is answered and no attempt of it is out. */
-  private void settle(OpenRequest of) {
+  private void settle(InFlightRequest of) {
     if (of.answered && !of.attemptOut && open.remove(of.request.id(), of)) {
       cancelBackstop(of);
       of.release();
@@ -722,7 +736,7 @@
 
   @Override
   public void sendAttempt(String id, String server, long patience) {
-    OpenRequest of = open.get(id);
+    InFlightRequest of = open.get(id);
     if (of == null || of.answered || of.attemptOut) {
       if (of != null) {
         trouble("an attempt that may not be", new IllegalStateException(id));
@@ -736,8 +750,8 @@
 
   @Override
   public void reject(String id, long retryAfter) {
-    OpenRequest of = open.get(id);
-    OpenRequest.Answers answers = of == null ? null : answerOnce(of, Ending.DROPPED);
+    InFlightRequest of = open.get(id);
+    InFlightRequest.ResponseWriter answers = of == null ? null : answerOnce(of, RequestEnd.DROPPED);
     if (answers != null) {
       answers.refused(retryAfter);
       settle(of);
@@ -746,14 +760,14 @@
 
   @Override
   public void fail(String id) {
-    OpenRequest of = open.get(id);
+    InFlightRequest of = open.get(id);
     if (of != null) {
       fail(of);
     }
   }
 
-  private void fail(OpenRequest of) {
-    OpenRequest.Answers answers = answerOnce(of, Ending.BAD_GATEWAY);
+  private void fail(InFlightRequest of) {
+    InFlightRequest.ResponseWriter answers = answerOnce(of, RequestEnd.BAD_GATEWAY);
     if (answers != null) {
       answers.failed();
       settle(of);
--- a/edge/src/main/java/edgegateway/node/Main.java
+++ b/edge/src/main/java/edgegateway/node/Main.java
@@ -1,6 +1,12 @@
 package edgegateway.node;
 
-import edgegateway.simulator.Drill;
+import edgegateway.node.config.NodeConfig;
+import edgegateway.node.lifecycle.ClassArchive;
+import edgegateway.node.lifecycle.ConfigFileWatcher;
+import edgegateway.node.lifecycle.SignalDispositions;
+import edgegateway.node.lifecycle.WarmUp;
+import edgegateway.node.operators.OperatorServer;
+import edgegateway.simulator.SimulatorAdapter;
 import java.nio.file.Path;
 import java.util.concurrent.TimeUnit;
 import sun.misc.Signal;
@@ -21,7 +27,7 @@
   public static void main(String[] args) {
     switch (args.length == 1 ? args[0] : "") {
       case "serve" -> serve(System.getenv("GW_CONFIG"));
-      case "drill" -> Drill.main(args);
+      case "drill" -> SimulatorAdapter.main(args);
       default -> exit(2, "usage: edge-gateway.jar serve|drill");
     }
   }
@@ -32,14 +38,14 @@
       return;
     }
     try {
-      String text = Config.text(Path.of(file));
-      Config config = Config.parse(text);
+      String text = NodeConfig.text(Path.of(file));
+      NodeConfig config = NodeConfig.parse(text);
       String folder = System.getenv("TMPDIR");
       EdgeNode node =
           new EdgeNode(config, folder == null || folder.isEmpty() ? null : Path.of(folder));
       boolean upgrade = node.slots.otherLives();
       if (config.ops() != null) {
-        System.out.println("operators call at " + new OpsServer(node, config.ops()).address());
+        System.out.println("operators call at " + new OperatorServer(node, config.ops()).address());
       }
       Runtime.getRuntime().addShutdownHook(new Thread(() -> stop(node), "stop"));
       followConfiguration(node, file, text);
@@ -64,14 +70,14 @@
         warmUp(config);
         node.admit();
       }
-    } catch (Config.Invalid e) {
+    } catch (NodeConfig.InvalidConfigException e) {
       exit(1, e.getMessage());
     } catch (Exception e) {
       exit(1, "cannot start: " + e.getMessage());
     }
   }
 
-  private static void warmUp(Config config) {
+  private static void warmUp(NodeConfig config) {
     try {
       WarmUp.run(config);
     } catch (Exception e) {
@@ -82,26 +88,26 @@
 
   /** On SIGHUP; by looks at the file only where that signal can't come. */
   private static void followConfiguration(EdgeNode node, String file, String text) {
-    Dispositions signals = Dispositions.now();
-    if (signals.ignored(Dispositions.TERM)) {
+    SignalDispositions signals = SignalDispositions.now();
+    if (signals.ignored(SignalDispositions.TERM)) {
       System.out.println(
           "SIGTERM was ignored when this process began and can't be caught: drain-on, then SIGKILL");
     }
-    if (!signals.ignored(Dispositions.HUP)) {
+    if (!signals.ignored(SignalDispositions.HUP)) {
       Signal.handle(new Signal("HUP"), signal -> reload(node, file));
       return;
     }
     System.out.println(
         "SIGHUP was ignored when this process began and can't be caught: the configuration is looked at each "
-            + ConfigurationWatch.PERIOD_MS
+            + ConfigFileWatcher.PERIOD_MS
             + " ms");
-    ConfigurationWatch watch = new ConfigurationWatch(Path.of(file), text);
+    ConfigFileWatcher watch = new ConfigFileWatcher(Path.of(file), text);
     Thread looks =
         new Thread(
             () -> {
               try {
                 while (true) {
-                  Thread.sleep(ConfigurationWatch.PERIOD_MS);
+                  Thread.sleep(ConfigFileWatcher.PERIOD_MS);
                   if (watch.changed()) {
                     reload(node, file);
                   }
@@ -123,9 +129,9 @@
   static synchronized void reload(EdgeNode node, String file) {
     for (int look = 1; look <= LOOKS; look++) {
       try {
-        node.move(Config.read(Path.of(file)));
+        node.move(NodeConfig.read(Path.of(file)));
         return;
-      } catch (Config.Invalid e) {
+      } catch (NodeConfig.InvalidConfigException e) {
         if (look == 1) {
           System.err.println("the configuration stays as it was: " + e.getMessage());
         }
--- a/edge/src/main/java/edgegateway/node/ClientServer.java
+++ b/edge/src/main/java/edgegateway/node/clients/ClientHttpServer.java
@@ -1,12 +1,18 @@
-package edgegateway.node;
-
-import edgegateway.node.Figures.Ending;
-import edgegateway.node.connections.Budget;
-import edgegateway.node.connections.Carrier;
-import edgegateway.node.connections.Clients;
-import edgegateway.node.connections.HeldBytes;
-import edgegateway.node.connections.Listener;
-import edgegateway.node.connections.Tls;
+package edgegateway.node.clients;
+
+import edgegateway.node.EdgeNode;
+import edgegateway.node.config.NodeConfig;
+import edgegateway.node.connections.BufferedBodies;
+import edgegateway.node.connections.ClientConnectionTable;
+import edgegateway.node.connections.ConnectionAcceptor;
+import edgegateway.node.connections.DescriptorBudget;
+import edgegateway.node.connections.TlsTermination;
+import edgegateway.node.connections.TransportHandle;
+import edgegateway.node.lifecycle.EventLoopStallDetector;
+import edgegateway.node.metrics.NodeMetrics.RequestEnd;
+import edgegateway.node.requests.BodyRelay;
+import edgegateway.node.requests.InFlightRequest;
+import edgegateway.node.upstream.UpstreamPool;
 import edgegateway.policy.api.Idempotency;
 import edgegateway.policy.api.Request;
 import io.netty.buffer.ByteBuf;
@@ -58,13 +64,13 @@
 
 /**
  * The clients' side: reads their requests, turns away what is none, and writes the answers. Which
- * connections there are, and for how long, is for the {@link Clients} table.
+ * connections there are, and for how long, is for the {@link ClientConnectionTable} table.
  */
-final class ClientServer {
+public final class ClientHttpServer {
   private static final long MAX_CUSTOMER = 1L << 33;
   private static final long LOOK_MS = 200;
   private static final long LINGER_MS = 1_000;
-  private static final long GRACE_MS = Clients.DRAIN_GRACE / 1_000_000;
+  private static final long GRACE_MS = ClientConnectionTable.DRAIN_GRACE / 1_000_000;
 
   /**
    * When a client that ended its sending is asked whether it is still there, in milliseconds after
@@ -106,12 +112,12 @@
 
   private final EdgeNode node;
   private final EventLoop loop;
-  private final Config config;
-  private final Clients table;
-  private final Listener listener;
+  private final NodeConfig config;
+  private final ClientConnectionTable table;
+  private final ConnectionAcceptor listener;
 
   /** Null where clients' connections are plain. */
-  private final Tls tls;
+  private final TlsTermination tls;
 
   private volatile boolean draining;
 
@@ -124,31 +130,31 @@
   /** Null until it was begun to listen. */
   private CompletableFuture<Void> binding;
 
-  ClientServer(EdgeNode node, EventLoop loop, Config config) throws IOException {
+  public ClientHttpServer(EdgeNode node, EventLoop loop, NodeConfig config) throws IOException {
     this.node = node;
     this.loop = loop;
     this.config = config;
     table =
-        new Clients(
-            () -> Listener.afterNextSelect(loop, () -> table().step(System.nanoTime())),
+        new ClientConnectionTable(
+            () -> ConnectionAcceptor.afterNextSelect(loop, () -> table().step(System.nanoTime())),
             node.counts);
-    listener = new Listener(loop, this::exhausted);
-    tls = config.tls() == null ? null : new Tls(config.tls(), node.counts);
+    listener = new ConnectionAcceptor(loop, this::exhausted);
+    tls = config.tls() == null ? null : new TlsTermination(config.tls(), node.counts);
     loop.scheduleAtFixedRate(
         () -> table.look(System.nanoTime()), LOOK_MS, LOOK_MS, TimeUnit.MILLISECONDS);
   }
 
-  private Clients table() {
+  private ClientConnectionTable table() {
     return table;
   }
 
   /** Follows a new budget. */
-  void bound(Budget budget) {
+  public void bound(DescriptorBudget budget) {
     table.bound(System.nanoTime(), budget);
   }
 
   /** No descriptor is left, whatever the budget says: clients give up some of theirs. */
-  void exhausted() {
+  public void exhausted() {
     if (table.exhausted(System.nanoTime())) {
       EdgeNode.trouble(
           "clients", new IOException("no descriptor is left at " + table.open() + " connections"));
@@ -156,7 +162,7 @@
   }
 
   /** Listens; ends at once, with nothing done, if the process ends already. */
-  CompletableFuture<Void> bind() {
+  public CompletableFuture<Void> bind() {
     return CompletableFuture.supplyAsync(
             () -> {
               if (drained != null) {
@@ -178,14 +184,14 @@
     channel.pipeline().addLast(decoder, new HttpResponseEncoder(), session);
   }
 
-  void close() {
+  public void close() {
     if (tls != null) {
       tls.close();
     }
   }
 
   /** What stands on a client's connection. */
-  ChannelHandler[] handlers() {
+  public ChannelHandler[] handlers() {
     RequestDecoder decoder = new RequestDecoder();
     return new ChannelHandler[] {decoder, new HttpResponseEncoder(), new Session(decoder)};
   }
@@ -196,7 +202,7 @@
    */
   private static final class RequestDecoder extends HttpRequestDecoder {
     RequestDecoder() {
-      super(new HttpDecoderConfig().setMaxChunkSize(ServerPool.MOST_BODY));
+      super(new HttpDecoderConfig().setMaxChunkSize(UpstreamPool.MOST_BODY));
     }
 
     /** Whether a request has begun that can't be told yet. */
@@ -210,12 +216,12 @@
     }
   }
 
-  InetSocketAddress address() {
+  public InetSocketAddress address() {
     return listener.address();
   }
 
   /** Whether the front is told to send nobody; any thread. */
-  boolean draining() {
+  public boolean draining() {
     return draining;
   }
 
@@ -224,7 +230,7 @@
    * each connection ends with its next answer, and after the grace time those between requests end
    * too. The listening socket stays, for health is asked there.
    */
-  boolean drain(boolean on) {
+  public boolean drain(boolean on) {
     if (drained != null) {
       return on;
     }
@@ -239,12 +245,12 @@
   }
 
   /** Whether the process ends; any thread. */
-  boolean stopping() {
+  public boolean stopping() {
     return drained != null;
   }
 
   /** Whether another process takes this edge node's clients now; any thread. */
-  boolean succeeded() {
+  public boolean succeeded() {
     return succeeded;
   }
 
@@ -252,7 +258,7 @@
    * Drains for good: after the grace time nobody comes any more, and the listening socket goes as
    * well. Where another process takes the clients, it goes at once.
    */
-  void stop(CompletableFuture<Void> done, boolean bySuccessor) {
+  public void stop(CompletableFuture<Void> done, boolean bySuccessor) {
     succeeded = bySuccessor;
     drain(true);
     drained = done;
@@ -295,12 +301,12 @@
   }
 
   /** Reads a request; what it cannot read it names. */
-  private OpenRequest read(
+  private InFlightRequest read(
       HttpRequest message,
       ByteBuf body,
-      HeldBytes.Body holding,
-      OpenRequest.Upload upload,
-      OpenRequest.Answers answers)
+      BufferedBodies.Body holding,
+      InFlightRequest.BodyUpload upload,
+      InFlightRequest.ResponseWriter answers)
       throws Refusal {
     String uri = message.uri();
     if (!uri.equals("/api") && !uri.startsWith("/api?")) {
@@ -339,7 +345,7 @@
             (int) whole(quota.get("spread"), "X-Quota spread", 1, siblings),
             (int) whole(quota.get("first"), "X-Quota first", 0, siblings - 1L),
             "1".equals(headers.get("X-Second-Try")));
-    return new OpenRequest(request, method, uri, key, body, holding, upload, answers);
+    return new InFlightRequest(request, method, uri, key, body, holding, upload, answers);
   }
 
   private static String need(HttpHeaders headers, String name) throws Refusal {
@@ -412,16 +418,17 @@
     try {
       return customer(message.headers());
     } catch (Refusal e) {
-      return HeldBytes.STRANGER;
+      return BufferedBodies.STRANGER;
     }
   }
 
   /** A client's connection: one request at a time, what comes behind it waits its turn. */
-  private final class Session extends SimpleChannelInboundHandler<HttpObject> implements Carrier {
+  private final class Session extends SimpleChannelInboundHandler<HttpObject>
+      implements TransportHandle {
     private final RequestDecoder decoder;
     private Channel channel;
-    private Clients.Entry entry;
-    private OpenRequest current;
+    private ClientConnectionTable.Entry entry;
+    private InFlightRequest current;
     private boolean keepAlive;
     private boolean old;
     private boolean headOnly;
@@ -434,7 +441,7 @@
     /** What it takes, in bytes, and where that is counted. */
     private int behind;
 
-    private HeldBytes.Body ahead;
+    private BufferedBodies.Body ahead;
 
     /**
      * When the client was last known to be there, while it is not read; and how often it was asked
@@ -450,7 +457,7 @@
     private HttpRequest head;
 
     private ByteBuf body;
-    private HeldBytes.Body holding;
+    private BufferedBodies.Body holding;
     private Rest rest;
     private long received;
 
@@ -525,7 +532,8 @@
     /** Whether so much waits that no more is read; has it counted. */
     private boolean crowded() {
       if (behind > LITTLE_BEHIND && ahead == null) {
-        ahead = node.held.open(current == null ? HeldBytes.STRANGER : current.request.customer());
+        ahead =
+            node.held.open(current == null ? BufferedBodies.STRANGER : current.request.customer());
       } else if (behind <= LITTLE_BEHIND && ahead != null) {
         ahead.release();
         ahead = null;
@@ -642,7 +650,7 @@
     private void turnAway() {
       keepAlive = false;
       try {
-        OpenRequest away = read(head, Unpooled.EMPTY_BUFFER, holding, null, new Reply());
+        InFlightRequest away = read(head, Unpooled.EMPTY_BUFFER, holding, null, new Reply());
         current = away;
         if (!node.turnAway(away)) {
           current = null;
@@ -661,19 +669,19 @@
         body =
             last && !piece.isReadable()
                 ? Unpooled.EMPTY_BUFFER
-                : channel.alloc().buffer((int) Math.min(ServerPool.MOST_BODY, length));
+                : channel.alloc().buffer((int) Math.min(UpstreamPool.MOST_BODY, length));
       }
       body.writeBytes(piece);
       if (!holding.hold(body.capacity())) {
         turnAway();
         return;
       }
-      if (!last && body.readableBytes() <= ServerPool.MOST_BODY) {
+      if (!last && body.readableBytes() <= UpstreamPool.MOST_BODY) {
         return;
       }
       HttpRequest request = head;
       ByteBuf held = body;
-      HeldBytes.Body holds = holding;
+      BufferedBodies.Body holds = holding;
       body = null;
       holding = null;
       head = null;
@@ -695,7 +703,7 @@
       }
     }
 
-    private void take(OpenRequest taken) {
+    private void take(InFlightRequest taken) {
       current = taken;
       if (rest != null) {
         rest.of = taken;
@@ -858,7 +866,7 @@
       }
       crowded();
       drop();
-      OpenRequest left = current;
+      InFlightRequest left = current;
       Rest cut = rest;
       Runnable gone = leaves;
       current = null;
@@ -886,11 +894,11 @@
     }
 
     /** What of a long body comes after the beginning that is held. */
-    private final class Rest implements OpenRequest.Upload {
+    private final class Rest implements InFlightRequest.BodyUpload {
       private final long length;
-      private OpenRequest of;
+      private InFlightRequest of;
       private long span;
-      private Relay relay;
+      private BodyRelay relay;
       private Channel server;
       private Runnable written;
       private Runnable gone;
@@ -981,8 +989,8 @@
     }
 
     /** Writes the one answer of the request in hand. */
-    private final class Reply implements OpenRequest.Answers {
-      private OpenRequest of;
+    private final class Reply implements InFlightRequest.ResponseWriter {
+      private InFlightRequest of;
       private boolean untilClose;
 
       /** The last of a long answer, once that is here. */
@@ -991,7 +999,7 @@
       @Override
       public void served(ByteBuf whole) {
         // It is here until the client has taken it.
-        HeldBytes.Body writing = node.held.open(current.request.customer());
+        BufferedBodies.Body writing = node.held.open(current.request.customer());
         writing.keep(whole.readableBytes());
         write(HttpResponseStatus.OK, whole.retain(), 0).addListener(done -> writing.release());
       }
@@ -1040,11 +1048,12 @@
         leaves = null;
         if (whole) {
           last = written(channel.writeAndFlush(LastHttpContent.EMPTY_LAST_CONTENT));
-          last.addListener(done -> node.answerEnded(of, done.isSuccess() ? Ending.PASSED : null));
+          last.addListener(
+              done -> node.answerEnded(of, done.isSuccess() ? RequestEnd.PASSED : null));
           end(last);
           return;
         }
-        node.answerEnded(of, Ending.BAD_GATEWAY);
+        node.answerEnded(of, RequestEnd.BAD_GATEWAY);
         current = null;
         if (untilClose) {
           // Only a reset tells that it is not whole.
@@ -1064,10 +1073,10 @@
 
       @Override
       public void ask(Runnable then) {
-        OpenRequest about = current;
+        InFlightRequest about = current;
         if (channel.config().isAutoRead()) {
           // What it has to say is read meanwhile.
-          loop.schedule(then, Standstills.SETTLE, TimeUnit.NANOSECONDS);
+          loop.schedule(then, EventLoopStallDetector.SETTLE, TimeUnit.NANOSECONDS);
         } else if (old || asked >= MOST_ASKED) {
           loop.execute(
               () -> {
@@ -1100,7 +1109,7 @@
           Runnable gone = leaves;
           leaves = null;
           current = null;
-          node.answerEnded(of, Ending.BAD_GATEWAY);
+          node.answerEnded(of, RequestEnd.BAD_GATEWAY);
           reset();
           gone.run();
         } else if (last != null
--- a/edge/src/main/java/edgegateway/node/Config.java
+++ b/edge/src/main/java/edgegateway/node/config/NodeConfig.java
@@ -1,14 +1,16 @@
-package edgegateway.node;
+package edgegateway.node.config;
 
 import com.fasterxml.jackson.core.JsonProcessingException;
 import com.fasterxml.jackson.databind.JsonNode;
-import edgegateway.node.connections.Limits;
-import edgegateway.node.connections.Tls;
-import edgegateway.node.zones.ZoneSettings;
+import edgegateway.node.connections.ConnectionLimits;
+import edgegateway.node.connections.TlsTermination;
+import edgegateway.node.zones.ZoneEjectionSettings;
 import edgegateway.policy.api.Endpoint;
 import edgegateway.policy.api.EndpointState;
 import edgegateway.policy.api.PolicySettings;
-import edgegateway.protocol.SettingsReader;
+import edgegateway.protocol.Json;
+import edgegateway.protocol.PolicySettingsReader;
+import edgegateway.protocol.SettingsFlattener;
 import java.io.IOException;
 import java.net.InetSocketAddress;
 import java.nio.file.Files;
@@ -33,64 +35,66 @@
  * @param keepAlive span after which an app server closes an idle connection
  * @param names the names that stand for the settings' indices
  */
-record Config(
+public record NodeConfig(
     InetSocketAddress listen,
     InetSocketAddress discovery,
     InetSocketAddress counter,
     InetSocketAddress ops,
     long seed,
     int sockets,
-    Limits connections,
-    Tls.Settings tls,
-    ZoneSettings zones,
-    Roll known,
+    ConnectionLimits connections,
+    TlsTermination.Settings tls,
+    ZoneEjectionSettings zones,
+    EndpointList known,
     long connectTimeout,
     long keepAlive,
-    Names names,
+    SettingNames names,
     PolicySettings settings) {
 
   private static final int HANDSHAKES = 8;
 
   /** A configuration that cannot be used; the message is one plain line that names the key. */
-  static final class Invalid extends Exception {
+  public static final class InvalidConfigException extends Exception {
     private static final long serialVersionUID = 1L;
 
-    Invalid(String message) {
+    InvalidConfigException(String message) {
       super(message);
     }
   }
 
   /** Names of classes, plans, zones and machine kinds, each at its index. */
-  record Names(List<String> classes, List<String> plans, List<String> zones, List<String> kinds) {}
+  public record SettingNames(
+      List<String> classes, List<String> plans, List<String> zones, List<String> kinds) {}
 
   /** An app server and where this edge node reaches it. */
-  record Member(Endpoint server, InetSocketAddress address) {}
+  public record EndpointEntry(Endpoint endpoint, InetSocketAddress address) {}
 
   /** A message of discovery: the whole list if {@code complete}, else changed entries. */
-  record Roll(long revision, boolean complete, List<Member> members) {}
+  public record EndpointList(long revision, boolean complete, List<EndpointEntry> entries) {}
 
-  static Config read(Path file) throws Invalid {
+  public static NodeConfig read(Path file) throws InvalidConfigException {
     return parse(text(file));
   }
 
   /** What the file holds, for {@link #parse}. */
-  static String text(Path file) throws Invalid {
+  public static String text(Path file) throws InvalidConfigException {
     try {
       return Files.readString(file);
     } catch (IOException e) {
-      throw new Invalid("the configuration " + file + " cannot be read: " + e.getMessage());
+      throw new InvalidConfigException(
+          "the configuration " + file + " cannot be read: " + e.getMessage());
     }
   }
 
-  static Config parse(String text) throws Invalid {
+  public static NodeConfig parse(String text) throws InvalidConfigException {
     JsonNode root;
     try {
       root = Json.read(text);
     } catch (JsonProcessingException e) {
-      throw new Invalid(
+      throw new InvalidConfigException(
           "the configuration is not JSON: " + e.getOriginalMessage().replace('\n', ' '));
     }
-    Map<String, String> pairs = SettingsPairs.of(present(root, "settings"));
+    Map<String, String> pairs = SettingsFlattener.of(present(root, "settings"));
     List<String> required =
         new ArrayList<>(
             List.of(
@@ -109,8 +113,8 @@
                 "rules.overload-factor",
                 "rules.tip-after-ns"));
     JsonNode settings = root.path("settings");
-    Names names =
-        new Names(
+    SettingNames names =
+        new SettingNames(
             namesOf(settings, "classes"),
             namesOf(settings, "tariffs"),
             textsOf(settings, "failure-domains"),
@@ -121,7 +125,8 @@
       }
       String idempotency = "classes." + i + ".idempotency";
       if (!List.of("retryable", "dedup", "fragile").contains(pairs.getOrDefault(idempotency, ""))) {
-        throw new Invalid("settings." + idempotency + " is not retryable, dedup or fragile");
+        throw new InvalidConfigException(
+            "settings." + idempotency + " is not retryable, dedup or fragile");
       }
     }
     for (int i = 0; i < names.plans.size(); i++) {
@@ -132,18 +137,18 @@
     }
     for (String key : required) {
       if (!pairs.containsKey(key)) {
-        throw new Invalid("settings." + key + " is missing");
+        throw new InvalidConfigException("settings." + key + " is missing");
       }
       number(pairs, key);
     }
     PolicySettings read;
     try {
-      read = SettingsReader.read(pairs);
+      read = PolicySettingsReader.read(pairs);
     } catch (IllegalArgumentException e) {
-      throw new Invalid("settings." + e.getMessage());
+      throw new InvalidConfigException("settings." + e.getMessage());
     }
     boolean counted = read.counter().present();
-    return new Config(
+    return new NodeConfig(
         address(root, "listen"),
         address(root, "discovery"),
         counted ? address(root, "counter") : null,
@@ -153,22 +158,24 @@
         connections(root.path("connections")),
         tls(root.path("tls")),
         zones(root.path("zones")),
-        root.hasNonNull("known") ? roll(root.get("known"), names) : new Roll(0, true, List.of()),
+        root.hasNonNull("known")
+            ? roll(root.get("known"), names)
+            : new EndpointList(0, true, List.of()),
         (long) number(pairs, "caps.connect-timeout-ns"),
         (long) number(pairs, "caps.keepalive-ns"),
         names,
         read);
   }
 
-  private static Limits connections(JsonNode node) throws Invalid {
+  private static ConnectionLimits connections(JsonNode node) throws InvalidConfigException {
     if (node.isMissingNode()) {
-      return Limits.NONE;
+      return ConnectionLimits.NONE;
     }
     own(
         node,
         "connections",
         Set.of("clients", "archive-servers", "per-archive-server", "held-bytes", "idle-ms"));
-    return new Limits(
+    return new ConnectionLimits(
         whole(node, "connections", "clients", 1, 1 << 20),
         whole(node, "connections", "archive-servers", 1, 1 << 20),
         whole(node, "connections", "per-archive-server", 1, 1 << 20),
@@ -176,55 +183,57 @@
         whole(node, "connections", "idle-ms", 2_000, 3_600_000) * 1_000_000L);
   }
 
-  private static Tls.Settings tls(JsonNode node) throws Invalid {
+  private static TlsTermination.Settings tls(JsonNode node) throws InvalidConfigException {
     if (node.isMissingNode()) {
       return null;
     }
     own(node, "tls", Set.of("certificate", "key", "handshakes"));
     for (String key : List.of("certificate", "key")) {
       if (!node.path(key).isTextual() || node.path(key).asText().isBlank()) {
-        throw new Invalid("tls." + key + " is not the path of a file");
+        throw new InvalidConfigException("tls." + key + " is not the path of a file");
       }
     }
     int handshakes = whole(node, "tls", "handshakes", 1, 1_024);
-    return new Tls.Settings(
+    return new TlsTermination.Settings(
         node.path("certificate").asText(),
         node.path("key").asText(),
         handshakes == 0 ? HANDSHAKES : handshakes);
   }
 
-  private static ZoneSettings zones(JsonNode node) throws Invalid {
+  private static ZoneEjectionSettings zones(JsonNode node) throws InvalidConfigException {
     if (node.isMissingNode()) {
       return null;
     }
     own(node, "zones", Set.of("verdicts", "most-out-percent", "alone-after-ms"));
     String verdicts = node.path("verdicts").asText();
     if (!List.of("alone", "counter").contains(verdicts)) {
-      throw new Invalid("zones.verdicts is not alone or counter: " + node.path("verdicts"));
+      throw new InvalidConfigException(
+          "zones.verdicts is not alone or counter: " + node.path("verdicts"));
     }
     int most = whole(node, "zones", "most-out-percent", 1, 90);
     int after = whole(node, "zones", "alone-after-ms", 500, 60_000);
-    return new ZoneSettings(
-        ZoneSettings.Verdicts.valueOf(verdicts.toUpperCase(Locale.ROOT)),
-        most == 0 ? ZoneSettings.MOST_OUT : most / 100.0,
-        after == 0 ? ZoneSettings.ALONE_AFTER : after * 1_000_000L);
+    return new ZoneEjectionSettings(
+        ZoneEjectionSettings.Verdicts.valueOf(verdicts.toUpperCase(Locale.ROOT)),
+        most == 0 ? ZoneEjectionSettings.MOST_OUT : most / 100.0,
+        after == 0 ? ZoneEjectionSettings.ALONE_AFTER : after * 1_000_000L);
   }
 
   /** An object of this project's own: what it does not know may be a slip, and is told. */
-  private static void own(JsonNode node, String name, Set<String> keys) throws Invalid {
+  private static void own(JsonNode node, String name, Set<String> keys)
+      throws InvalidConfigException {
     if (!node.isObject()) {
-      throw new Invalid(name + " is not an object");
+      throw new InvalidConfigException(name + " is not an object");
     }
     for (Map.Entry<String, JsonNode> field : node.properties()) {
       if (!keys.contains(field.getKey())) {
-        throw new Invalid(name + "." + field.getKey() + " is unknown");
+        throw new InvalidConfigException(name + "." + field.getKey() + " is unknown");
       }
     }
   }
 
   /** A whole number; 0 if it is not set. */
   private static int whole(JsonNode node, String name, String key, int least, int most)
-      throws Invalid {
+      throws InvalidConfigException {
     JsonNode value = node.path(key);
     if (value.isMissingNode()) {
       return 0;
@@ -233,39 +242,43 @@
         || !value.canConvertToInt()
         || value.asInt() < least
         || value.asInt() > most) {
-      throw new Invalid(
+      throw new InvalidConfigException(
           name + "." + key + " is not a whole number from " + least + " to " + most + ": " + value);
     }
     return value.asInt();
   }
 
   /** Reads one message of discovery, entry by entry: it may be long. */
-  static Roll roll(String line, Names names) throws Invalid {
-    List<Member> members = new ArrayList<>();
+  public static EndpointList roll(String line, SettingNames names) throws InvalidConfigException {
+    List<EndpointEntry> members = new ArrayList<>();
     try {
       return roll(Json.read(line, "members", entry -> members.add(member(entry, names))), members);
     } catch (JsonProcessingException e) {
-      throw new Invalid(
+      throw new InvalidConfigException(
           "discovery's message is not JSON: " + e.getOriginalMessage().replace('\n', ' '));
     }
   }
 
-  private static Roll roll(JsonNode node, Names names) throws Invalid {
-    List<Member> members = new ArrayList<>();
+  private static EndpointList roll(JsonNode node, SettingNames names)
+      throws InvalidConfigException {
+    List<EndpointEntry> members = new ArrayList<>();
     for (JsonNode entry : present(node, "members")) {
       members.add(member(entry, names));
     }
     return roll(node, members);
   }
 
-  private static Roll roll(JsonNode node, List<Member> members) throws Invalid {
+  private static EndpointList roll(JsonNode node, List<EndpointEntry> members)
+      throws InvalidConfigException {
     if (!present(node, "members").isArray() || !present(node, "revision").isIntegralNumber()) {
-      throw new Invalid("a list of app servers without revision or members");
+      throw new InvalidConfigException("a list of app servers without revision or members");
     }
-    return new Roll(node.get("revision").asLong(), node.path("complete").asBoolean(false), members);
+    return new EndpointList(
+        node.get("revision").asLong(), node.path("complete").asBoolean(false), members);
   }
 
-  private static Member member(JsonNode entry, Names names) throws Invalid {
+  private static EndpointEntry member(JsonNode entry, SettingNames names)
+      throws InvalidConfigException {
     String id = present(entry, "id").asText();
     EndpointState readiness =
         switch (present(entry, "phase").asText()) {
@@ -276,7 +289,7 @@
     // The module's clock starts at the wall clock's time, so a start needs no more than a new unit;
     // it compares starts to tell a restart, so the same start must give the same number every time.
     long started = Math.max(0, entry.path("up_since_ms").asLong(0)) * 1_000_000L;
-    return new Member(
+    return new EndpointEntry(
         new Endpoint(
             id,
             entry.path("size").asDouble(1),
@@ -288,7 +301,8 @@
         address(entry, "host_port"));
   }
 
-  private static double number(Map<String, String> pairs, String key) throws Invalid {
+  private static double number(Map<String, String> pairs, String key)
+      throws InvalidConfigException {
     try {
       double value = Double.parseDouble(pairs.get(key));
       if (Double.isFinite(value) && value >= 0) {
@@ -297,16 +311,18 @@
     } catch (NumberFormatException e) {
       // Said below, as for a number that is none of use.
     }
-    throw new Invalid("settings." + key + " is not a number from 0: " + pairs.get(key));
+    throw new InvalidConfigException(
+        "settings." + key + " is not a number from 0: " + pairs.get(key));
   }
 
-  private static List<String> namesOf(JsonNode settings, String list) throws Invalid {
+  private static List<String> namesOf(JsonNode settings, String list)
+      throws InvalidConfigException {
     List<String> names = new ArrayList<>();
     for (JsonNode item : present(settings, list)) {
       names.add(present(item, "name").asText());
     }
     if (names.isEmpty()) {
-      throw new Invalid("settings." + list + " is empty");
+      throw new InvalidConfigException("settings." + list + " is empty");
     }
     return List.copyOf(names);
   }
@@ -317,22 +333,23 @@
     return List.copyOf(texts);
   }
 
-  private static JsonNode present(JsonNode node, String key) throws Invalid {
+  private static JsonNode present(JsonNode node, String key) throws InvalidConfigException {
     if (!node.hasNonNull(key)) {
-      throw new Invalid(key + " is missing");
+      throw new InvalidConfigException(key + " is missing");
     }
     return node.get(key);
   }
 
-  private static long seed(JsonNode seed) throws Invalid {
+  private static long seed(JsonNode seed) throws InvalidConfigException {
     try {
       return seed.isTextual() ? Long.parseUnsignedLong(seed.asText(), 16) : seed.asLong();
     } catch (NumberFormatException e) {
-      throw new Invalid("seed is not a hexadecimal number of 64 bits");
+      throw new InvalidConfigException("seed is not a hexadecimal number of 64 bits");
     }
   }
 
-  private static InetSocketAddress address(JsonNode node, String key) throws Invalid {
+  private static InetSocketAddress address(JsonNode node, String key)
+      throws InvalidConfigException {
     String text = present(node, key).asText();
     int colon = text.lastIndexOf(':');
     try {
@@ -343,6 +360,6 @@
     } catch (IllegalArgumentException e) {
       // Said below.
     }
-    throw new Invalid(key + " is not host:port: " + text);
+    throw new InvalidConfigException(key + " is not host:port: " + text);
   }
 }
--- a/edge/src/main/java/edgegateway/node/connections/HeldBytes.java
+++ b/edge/src/main/java/edgegateway/node/connections/BufferedBodies.java
@@ -9,23 +9,23 @@
  * however many hold much, a part stays free for those that hold little. Nobody's bodies are taken
  * away for it.
  */
-public final class HeldBytes {
+public final class BufferedBodies {
   /** Whose customer can't be read. */
   public static final long STRANGER = -1;
 
   private static final int OF_FREE = 2;
-  private final Counts counts;
+  private final ConnectionMetrics counts;
   private final Map<Long, Long> held = new HashMap<>();
   private long total;
   private int most;
 
   /** Nothing is held. */
-  public HeldBytes(Counts counts) {
+  public BufferedBodies(ConnectionMetrics counts) {
     this.counts = counts;
   }
 
   /** Follows a new budget. */
-  public void bound(Budget budget) {
+  public void bound(DescriptorBudget budget) {
     most = budget.heldBytes();
   }
 
--- a/edge/src/main/java/edgegateway/node/connections/Clients.java
+++ b/edge/src/main/java/edgegateway/node/connections/ClientConnectionTable.java
@@ -1,6 +1,6 @@
 package edgegateway.node.connections;
 
-import edgegateway.node.connections.Counts.Cause;
+import edgegateway.node.connections.ConnectionMetrics.CloseReason;
 import java.net.Inet6Address;
 import java.net.InetAddress;
 import java.net.InetSocketAddress;
@@ -22,7 +22,7 @@
  * the peer with the most connections gives up the one that has been idle longest, and a newcomer
  * from that peer is turned away.
  */
-public final class Clients {
+public final class ClientConnectionTable {
   private static final long MS = 1_000_000L;
 
   /** Before this no connection without a request on it may be closed, but in a drain. */
@@ -68,7 +68,7 @@
 
   /** What the table asks for beside closes. */
   public interface Host {
-    /** {@link Clients#step} is wanted when the sockets have been read once more. */
+    /** {@link ClientConnectionTable#step} is wanted when the sockets have been read once more. */
     void stepSoon();
   }
 
@@ -106,7 +106,7 @@
   }
 
   private final Host host;
-  private final Counts counts;
+  private final ConnectionMetrics counts;
   private final Map<Object, Peer> peers = new HashMap<>();
   private final Set<Entry> entries = new LinkedHashSet<>();
 
@@ -129,13 +129,13 @@
   private boolean stepping;
 
   /** An empty table. */
-  public Clients(Host host, Counts counts) {
+  public ClientConnectionTable(Host host, ConnectionMetrics counts) {
     this.host = host;
     this.counts = counts;
   }
 
   /** Follows a new budget; what is open beyond it ends as it becomes idle. */
-  public void bound(long now, Budget budget) {
+  public void bound(long now, DescriptorBudget budget) {
     most = budget.clients();
     lane = budget.lane();
     idleLimit = budget.idle();
@@ -161,7 +161,7 @@
     }
     for (Entry entry : turnedAway) {
       if (entry.state != State.BUSY && entry.state != State.ENDING) {
-        entry.end(Cause.CROWDED);
+        entry.end(CloseReason.CROWDED);
         return true;
       }
     }
@@ -200,7 +200,7 @@
   }
 
   /** A connection was accepted; null if there is no place at all for it. */
-  public Entry accepted(long now, SocketAddress from, boolean tls, Carrier carrier) {
+  public Entry accepted(long now, SocketAddress from, boolean tls, TransportHandle carrier) {
     if (full() && !lingering.isEmpty()) {
       Entry longest = lingering.iterator().next();
       longest.closed();
@@ -253,7 +253,7 @@
       }
     }
     if (victim != null) {
-      leave(victim, Cause.EVICTED);
+      leave(victim, CloseReason.EVICTED);
     }
     return victim != null;
   }
@@ -270,11 +270,11 @@
       if (victim == null) {
         return;
       }
-      leave(victim, Cause.EVICTED);
+      leave(victim, CloseReason.EVICTED);
     }
   }
 
-  private void leave(Entry entry, Cause why) {
+  private void leave(Entry entry, CloseReason why) {
     entry.leaving = true;
     entry.why = why;
     chosen.add(entry);
@@ -297,7 +297,7 @@
       Entry entry = next.next();
       next.remove();
       entry.leaving = false;
-      if (entry.why != Cause.DRAIN || draining && entry.between()) {
+      if (entry.why != CloseReason.DRAIN || draining && entry.between()) {
         entry.end(entry.why);
         closed++;
       }
@@ -319,7 +319,7 @@
   public void endIdle() {
     for (Entry entry : entries) {
       if (entry.between() && !entry.leaving && !entry.away) {
-        leave(entry, Cause.DRAIN);
+        leave(entry, CloseReason.DRAIN);
       }
     }
   }
@@ -332,7 +332,7 @@
       learned = Integer.MAX_VALUE;
     }
     for (Entry entry : new ArrayList<>(entries)) {
-      Cause late = entry.late(now);
+      CloseReason late = entry.late(now);
       if (late != null) {
         entry.end(late);
       }
@@ -343,7 +343,7 @@
   /** A client's connection: its place in the table, and its state. */
   public final class Entry {
     private final Peer peer;
-    private final Carrier carrier;
+    private final TransportHandle carrier;
     private final boolean tls;
     private final boolean away;
     private final long born;
@@ -360,9 +360,9 @@
     private boolean leaving;
     private boolean answered;
     private boolean over;
-    private Cause why;
+    private CloseReason why;
 
-    private Entry(Peer peer, Carrier carrier, boolean tls, boolean away, long now) {
+    private Entry(Peer peer, TransportHandle carrier, boolean tls, boolean away, long now) {
       this.peer = peer;
       this.carrier = carrier;
       this.tls = tls;
@@ -503,24 +503,26 @@
       counts.open.set(entries.size());
     }
 
-    private Cause late(long now) {
+    private CloseReason late(long now) {
       long waited = now - since;
       if (unwritten > 0 && now - wroteAt > STALL) {
-        return Cause.UNREAD;
+        return CloseReason.UNREAD;
       }
       if (away && state != State.BUSY && state != State.ENDING && now - born > CROWDED) {
-        return Cause.CROWDED;
+        return CloseReason.CROWDED;
       }
       return switch (state) {
-        case HANDSHAKE -> waited > HANDSHAKE ? Cause.HANDSHAKE : null;
+        case HANDSHAKE -> waited > HANDSHAKE ? CloseReason.HANDSHAKE : null;
         case NEW ->
             draining && waited > DRAIN_GRACE
-                ? Cause.DRAIN
-                : waited > headLimit() ? Cause.HEAD : null;
-        case HEAD -> waited > headLimit() ? Cause.HEAD : null;
+                ? CloseReason.DRAIN
+                : waited > headLimit() ? CloseReason.HEAD : null;
+        case HEAD -> waited > headLimit() ? CloseReason.HEAD : null;
         case IDLE ->
-            draining && waited > DRAIN_GRACE ? Cause.DRAIN : waited > idleLimit ? Cause.IDLE : null;
-        case BODY -> slow(now) ? Cause.BODY : null;
+            draining && waited > DRAIN_GRACE
+                ? CloseReason.DRAIN
+                : waited > idleLimit ? CloseReason.IDLE : null;
+        case BODY -> slow(now) ? CloseReason.BODY : null;
         case BUSY, ENDING -> null;
       };
     }
@@ -535,7 +537,7 @@
       return now - since > limit && (now - heard > PAUSE || now - since > limit + LUMP);
     }
 
-    private void end(Cause cause) {
+    private void end(CloseReason cause) {
       counts.ended(cause);
       carrier.close();
     }
--- a/edge/src/main/java/edgegateway/node/connections/Listener.java
+++ b/edge/src/main/java/edgegateway/node/connections/ConnectionAcceptor.java
@@ -29,7 +29,7 @@
  * without a descriptor left it tells so, waits a moment and tries again. All but {@link #bind} is
  * for its loop's thread.
  */
-public final class Listener {
+public final class ConnectionAcceptor {
   /** So few that each has been read once before the second next lot: half of a small lane. */
   private static final int AT_ONCE = 4;
 
@@ -52,7 +52,7 @@
   private boolean patient = true;
 
   /** {@code exhausted} is run when no descriptor is left for a connection. */
-  public Listener(EventLoop loop, Runnable exhausted) {
+  public ConnectionAcceptor(EventLoop loop, Runnable exhausted) {
     this.loop = loop;
     this.exhausted = exhausted;
   }
--- a/edge/src/main/java/edgegateway/node/connections/Limits.java
+++ b/edge/src/main/java/edgegateway/node/connections/ConnectionLimits.java
@@ -2,7 +2,7 @@
 
 /**
  * What the configuration's {@code connections} object sets; a limit that it leaves out is 0 here
- * and comes from the {@link Budget}.
+ * and comes from the {@link DescriptorBudget}.
  *
  * @param clients connections of clients
  * @param archiveServers connections to all archive servers together
@@ -10,8 +10,8 @@
  * @param heldBytes bytes of bodies that are held whole, for all requests together
  * @param idle nanoseconds after which a client's connection between requests is closed
  */
-public record Limits(
+public record ConnectionLimits(
     int clients, int archiveServers, int perArchiveServer, int heldBytes, long idle) {
   /** Nothing set. */
-  public static final Limits NONE = new Limits(0, 0, 0, 0, 0);
+  public static final ConnectionLimits NONE = new ConnectionLimits(0, 0, 0, 0, 0);
 }
--- a/edge/src/main/java/edgegateway/node/connections/Counts.java
+++ b/edge/src/main/java/edgegateway/node/connections/ConnectionMetrics.java
@@ -6,9 +6,9 @@
 import java.util.function.BiConsumer;
 
 /** The figures of connections: told on the loop, read on any thread. */
-public final class Counts {
+public final class ConnectionMetrics {
   /** Why a connection was ended by this side before its peer did. */
-  public enum Cause {
+  public enum CloseReason {
     /** No end of its TLS handshake in time. */
     HANDSHAKE,
     /** No whole head in time. */
@@ -40,9 +40,9 @@
   final AtomicLong reused = new AtomicLong();
   final AtomicLong heldBytes = new AtomicLong();
   final AtomicLong bodiesRefused = new AtomicLong();
-  private final AtomicLongArray ended = new AtomicLongArray(Cause.values().length);
+  private final AtomicLongArray ended = new AtomicLongArray(CloseReason.values().length);
 
-  void ended(Cause why) {
+  void ended(CloseReason why) {
     ended.incrementAndGet(why.ordinal());
   }
 
@@ -55,8 +55,8 @@
     to.accept("refused", refused.get());
     to.accept("half_closed", halfClosed.get());
     to.accept("descriptors_exhausted", exhausted.get());
-    for (Cause why : Cause.values()) {
-      boolean late = why != Cause.EVICTED && why != Cause.DRAIN;
+    for (CloseReason why : CloseReason.values()) {
+      boolean late = why != CloseReason.EVICTED && why != CloseReason.DRAIN;
       to.accept(
           (late ? "timed_out." : "") + why.name().toLowerCase(Locale.ROOT),
           ended.get(why.ordinal()));
--- a/edge/src/main/java/edgegateway/node/connections/Budget.java
+++ b/edge/src/main/java/edgegateway/node/connections/DescriptorBudget.java
@@ -1,6 +1,6 @@
 package edgegateway.node.connections;
 
-import edgegateway.node.discovery.Watches;
+import edgegateway.node.discovery.WatchScheduler;
 import io.netty.util.internal.PlatformDependent;
 import java.util.ArrayList;
 import java.util.List;
@@ -19,7 +19,7 @@
  * @param idle nanoseconds for which a client's connection may stay between requests
  * @param clamped what was set higher than can be given: a line each
  */
-public record Budget(
+public record DescriptorBudget(
     int clients,
     int lane,
     int archiveServers,
@@ -40,7 +40,7 @@
    */
   static final int COUNTER = 8;
 
-  static final int DISCOVERY = Watches.MOST;
+  static final int DISCOVERY = WatchScheduler.MOST;
 
   private static final int LEAST_CLIENTS = 8;
   private static final int LEAST_LANE = 2;
@@ -63,7 +63,8 @@
    * What each of so many processes may hold of an edge node's descriptors, with so many archive
    * servers listed.
    */
-  public static Budget of(Limits limits, int sockets, int processes, int listed) {
+  public static DescriptorBudget of(
+      ConnectionLimits limits, int sockets, int processes, int listed) {
     List<String> clamped = new ArrayList<>();
     int operators = Math.max(LEAST_OPERATORS, Math.min(MOST_OPERATORS, sockets / 32));
     int left = sockets / processes - RESERVE - COUNTER - DISCOVERY - operators;
@@ -85,7 +86,7 @@
     // rest.
     int memory = (int) Math.min(HELD, PlatformDependent.maxDirectMemory() / 8 * 3);
     int held = clamp("held-bytes", limits.heldBytes(), memory, clamped);
-    return new Budget(
+    return new DescriptorBudget(
         clients,
         lane,
         servers,
--- a/edge/src/main/java/edgegateway/node/connections/Handshakes.java
+++ b/edge/src/main/java/edgegateway/node/connections/HandshakeQueue.java
@@ -8,7 +8,7 @@
  * Whose TLS handshake goes on, who waits in line for its turn, and who finds no place in the line.
  * No I/O.
  */
-final class Handshakes {
+final class HandshakeQueue {
   /** A connection whose handshake may begin. */
   interface Waiting {
     void begin();
@@ -21,7 +21,7 @@
   private final Set<Waiting> running = new HashSet<>();
   private final ArrayDeque<Waiting> line = new ArrayDeque<>();
 
-  Handshakes(int most) {
+  HandshakeQueue(int most) {
     this.most = most;
   }
 
--- a/edge/src/main/java/edgegateway/node/connections/Dial.java
+++ b/edge/src/main/java/edgegateway/node/connections/OutboundConnector.java
@@ -9,8 +9,8 @@
 import java.net.InetSocketAddress;
 
 /** Connects outwards. */
-public final class Dial {
-  private Dial() {}
+public final class OutboundConnector {
+  private OutboundConnector() {}
 
   /**
    * Begins to connect; throws if there is no descriptor for it. Left to the bootstrap, that would
--- a/edge/src/main/java/edgegateway/node/connections/Tls.java
+++ b/edge/src/main/java/edgegateway/node/connections/TlsTermination.java
@@ -18,7 +18,7 @@
  * TLS on clients' connections; the handshakes' key operations run on a thread of their own. One
  * loop's thread.
  */
-public final class Tls implements AutoCloseable {
+public final class TlsTermination implements AutoCloseable {
   private static final int SESSIONS = 4_096;
   private static final long SESSION_S = 3_600;
   private static final long CLOSE_NOTIFY_MS = 1_000;
@@ -33,12 +33,12 @@
   public record Settings(String certificate, String key, int handshakes) {}
 
   private final SslContext context;
-  private final Handshakes handshakes;
-  private final Counts counts;
+  private final HandshakeQueue handshakes;
+  private final ConnectionMetrics counts;
   private final ThreadPoolExecutor keys;
 
   /** Loads certificate and key; throws if they can't be used. */
-  public Tls(Settings settings, Counts counts) throws IOException {
+  public TlsTermination(Settings settings, ConnectionMetrics counts) throws IOException {
     // A peer that asks for new keys over and over costs a signature each time.
     System.setProperty("jdk.tls.rejectClientInitiatedRenegotiation", "true");
     this.counts = counts;
@@ -54,7 +54,7 @@
       Throwable cause = e.getCause() == null ? e : e.getCause();
       throw new IOException("tls.certificate or tls.key cannot be used: " + cause.getMessage(), e);
     }
-    handshakes = new Handshakes(settings.handshakes());
+    handshakes = new HandshakeQueue(settings.handshakes());
     // Each handshake has one operation waiting at the most.
     keys =
         new ThreadPoolExecutor(
@@ -95,7 +95,7 @@
   }
 
   /** Where a connection waits for its turn. */
-  public final class Gate extends ChannelInboundHandlerAdapter implements Handshakes.Waiting {
+  public final class Gate extends ChannelInboundHandlerAdapter implements HandshakeQueue.Waiting {
     private final Runnable secured;
     private Channel channel;
 
--- a/edge/src/main/java/edgegateway/node/connections/Carrier.java
+++ b/edge/src/main/java/edgegateway/node/connections/TransportHandle.java
@@ -1,7 +1,7 @@
 package edgegateway.node.connections;
 
 /** What carries a connection's bytes. */
-public interface Carrier {
+public interface TransportHandle {
   /** Ends it at once. */
   void close();
 }
--- a/edge/src/main/java/edgegateway/node/connections/Servers.java
+++ b/edge/src/main/java/edgegateway/node/connections/UpstreamConnectionTable.java
@@ -16,7 +16,7 @@
  * a time to an archive server that is cold or failing, and later and later to one that refuses
  * them.
  */
-public final class Servers {
+public final class UpstreamConnectionTable {
   private static final long MS = 1_000_000L;
 
   /** Connections being made to one archive server at once. */
@@ -42,9 +42,9 @@
   private static final double ALPHA = 0.1;
 
   /** An attempt that wants a connection; told at once, from within an event. */
-  public interface Wanting {
+  public interface ConnectionWaiter {
     /** Goes by this one, until it is answered or lost. */
-    void use(Link link);
+    void use(UpstreamConnection link);
 
     /** There is none for it; {@code own} if that is not the archive server's fault. */
     void none(boolean own);
@@ -53,13 +53,13 @@
   /** What the connections are made of. */
   public interface Host {
     /**
-     * Begins to connect; {@link Link#connected} or {@link Link#failed} follows, never from within
-     * this call.
+     * Begins to connect; {@link UpstreamConnection#connected} or {@link UpstreamConnection#failed}
+     * follows, never from within this call.
      */
-    void dial(Link link);
+    void connect(UpstreamConnection link);
 
-    /** {@link Target#look} is wanted for this archive server after a span. */
-    void later(Target target, long span);
+    /** {@link Upstream#look} is wanted for this archive server after a span. */
+    void later(Upstream target, long span);
   }
 
   /** Why a connection could not be made. */
@@ -80,14 +80,14 @@
   }
 
   private final Host host;
-  private final Counts counts;
+  private final ConnectionMetrics counts;
   private final SplittableRandom random;
 
   /**
    * All idle connections, the one that has been so longest first: thousands of archive servers have
    * none.
    */
-  private final Set<Link> resting = new LinkedHashSet<>();
+  private final Set<UpstreamConnection> resting = new LinkedHashSet<>();
 
   private final long keep;
   private int most = Integer.MAX_VALUE;
@@ -103,7 +103,7 @@
   /**
    * {@code keepAlive} is the span after which an archive server itself closes an idle connection.
    */
-  public Servers(Host host, Counts counts, long seed, long keepAlive) {
+  public UpstreamConnectionTable(Host host, ConnectionMetrics counts, long seed, long keepAlive) {
     this.host = host;
     this.counts = counts;
     random = new SplittableRandom(seed);
@@ -122,7 +122,7 @@
   }
 
   /** Follows a new budget; idle connections beyond it go. */
-  public void bound(Budget budget) {
+  public void bound(DescriptorBudget budget) {
     most = budget.archiveServers();
     perTarget = budget.perArchiveServer();
     while (open > most && closeOldestIdle(null)) {
@@ -131,16 +131,16 @@
   }
 
   /** An archive server that was listed: one run of it at one address. */
-  public Target add(Object address, boolean cold) {
-    return new Target(address, cold);
+  public Upstream add(Object address, boolean cold) {
+    return new Upstream(address, cold);
   }
 
   /**
    * Closes the connection that has been idle longest, of another than this one; false if there is
    * none.
    */
-  private boolean closeOldestIdle(Target but) {
-    for (Link link : resting) {
+  private boolean closeOldestIdle(Upstream but) {
+    for (UpstreamConnection link : resting) {
       if (link.target != but) {
         link.end();
         return true;
@@ -163,17 +163,17 @@
   /**
    * One run of an archive server at one address, with the connections to it and who waits for one.
    */
-  public final class Target {
+  public final class Upstream {
     private final Object address;
 
     /** Nothing is known of it but that it has just begun; an answer ends that. */
     private boolean cold;
 
     /** The one used last comes first. */
-    private final ArrayDeque<Link> idle = new ArrayDeque<>();
+    private final ArrayDeque<UpstreamConnection> idle = new ArrayDeque<>();
 
-    private final Set<Link> busy = new LinkedHashSet<>();
-    private final ArrayDeque<Wanting> waiting = new ArrayDeque<>();
+    private final Set<UpstreamConnection> busy = new LinkedHashSet<>();
+    private final ArrayDeque<ConnectionWaiter> waiting = new ArrayDeque<>();
     private int dialing;
     private int failures;
     private int cap = Integer.MAX_VALUE;
@@ -189,7 +189,7 @@
 
     private double usual;
 
-    private Target(Object address, boolean cold) {
+    private Upstream(Object address, boolean cold) {
       this.address = address;
       this.cold = cold;
     }
@@ -213,8 +213,8 @@
      * Gives an attempt a connection, now or as soon as there is one, or tells it that there will be
      * none.
      */
-    public void want(long now, Wanting attempt) {
-      Link ready = distrusted ? null : idle.peek();
+    public void want(long now, ConnectionWaiter attempt) {
+      UpstreamConnection ready = distrusted ? null : idle.peek();
       if (ready != null) {
         ready.use(now, attempt);
       } else if (retired) {
@@ -226,7 +226,7 @@
     }
 
     /** The attempt wants none any more; false if it was not waiting. */
-    public boolean cancel(Wanting attempt) {
+    public boolean cancel(ConnectionWaiter attempt) {
       return waiting.remove(attempt);
     }
 
@@ -260,7 +260,7 @@
         // Those that are not trusted are better than none.
         idle.peek().use(now, waiting.poll());
       }
-      for (Wanting next = waiting.poll(); next != null; next = waiting.poll()) {
+      for (ConnectionWaiter next = waiting.poll(); next != null; next = waiting.poll()) {
         next.none(own);
       }
     }
@@ -272,7 +272,7 @@
 
     private int soonFree(long now) {
       int soon = 0;
-      for (Link link : busy) {
+      for (UpstreamConnection link : busy) {
         double left = usual - (now - link.since);
         // One that is overdue may be so for long.
         soon += left < handshake() && left > -usual ? 1 : 0;
@@ -292,7 +292,7 @@
       open++;
       counts.serversOpen.set(open);
       counts.opened.incrementAndGet();
-      host.dial(new Link(this, now));
+      host.connect(new UpstreamConnection(this, now));
       return true;
     }
 
@@ -305,8 +305,8 @@
     }
 
     /** Takes over an open connection. */
-    public Link lend(long now) {
-      Link link = new Link(this, now);
+    public UpstreamConnection lend(long now) {
+      UpstreamConnection link = new UpstreamConnection(this, now);
       open++;
       link.rest(now);
       return link;
@@ -314,8 +314,8 @@
 
     /** Who waits is sent to it no more, and its idle connections go. */
     public void clear() {
-      List.copyOf(idle).forEach(Link::end);
-      for (Wanting next = waiting.poll(); next != null; next = waiting.poll()) {
+      List.copyOf(idle).forEach(UpstreamConnection::end);
+      for (ConnectionWaiter next = waiting.poll(); next != null; next = waiting.poll()) {
         next.none(true);
       }
     }
@@ -328,37 +328,37 @@
   }
 
   /** A connection to an archive server, from the moment at which it is wanted. */
-  public final class Link {
-    private final Target target;
+  public final class UpstreamConnection {
+    private final Upstream target;
     private State state = State.DIALING;
 
     /** When it began to be made, to be used or to be idle. */
     private long since;
 
     private boolean used;
-    private Carrier carrier;
+    private TransportHandle carrier;
 
-    private Link(Target target, long now) {
+    private UpstreamConnection(Upstream target, long now) {
       this.target = target;
       since = now;
     }
 
     /** Whose it is. */
-    public Target target() {
+    public Upstream target() {
       return target;
     }
 
     /** What it is made of, as its host told. */
-    public Carrier carrier() {
+    public TransportHandle carrier() {
       return carrier;
     }
 
     /** Tells what it is made of. */
-    public void carrier(Carrier by) {
+    public void carrier(TransportHandle by) {
       carrier = by;
     }
 
-    private void use(long now, Wanting attempt) {
+    private void use(long now, ConnectionWaiter attempt) {
       noRest();
       if (used) {
         counts.reused.incrementAndGet();
@@ -392,7 +392,7 @@
         end();
         return;
       }
-      Wanting next = target.waiting.poll();
+      ConnectionWaiter next = target.waiting.poll();
       if (next == null) {
         rest(now);
       } else {
@@ -430,7 +430,7 @@
       int others = target.idle.size() + target.busy.size();
       if (target.distrusted) {
         // It is not to be reached: what is idle is dead.
-        List.copyOf(target.idle).forEach(Link::end);
+        List.copyOf(target.idle).forEach(UpstreamConnection::end);
       } else if (how == Failure.SILENT) {
         target.distrusted = target.heardAt < since;
       } else if (others > 0) {
@@ -440,7 +440,7 @@
         target.look(now);
         return;
       }
-      Wanting first = target.waiting.poll();
+      ConnectionWaiter first = target.waiting.poll();
       if (first != null) {
         first.none(false);
       }
--- a/edge/src/main/java/edgegateway/node/CounterClient.java
+++ b/edge/src/main/java/edgegateway/node/counter/CounterClient.java
@@ -1,6 +1,9 @@
-package edgegateway.node;
+package edgegateway.node.counter;
 
-import edgegateway.node.connections.Dial;
+import edgegateway.node.EdgeNode;
+import edgegateway.node.config.NodeConfig;
+import edgegateway.node.connections.OutboundConnector;
+import edgegateway.node.upstream.UpstreamPool;
 import edgegateway.policy.api.Outcome;
 import io.netty.bootstrap.Bootstrap;
 import io.netty.channel.Channel;
@@ -30,7 +33,7 @@
  * Calls to the shared counter, written one behind another on a few connections. A name always goes
  * by the same one, so that the calls of a name are counted, and told to the module, in their order.
  */
-final class CounterClient {
+public final class CounterClient {
   private static final int LINES = 4;
   private static final int MOST_PENDING = 256;
   private static final int MOST_ANSWER = 1024;
@@ -43,7 +46,7 @@
   private static final int SILENT_TIMEOUTS = 10;
 
   /** Hears how calls end. */
-  interface Listener {
+  public interface Listener {
     void counted(long name, Outcome outcome, double total);
   }
 
@@ -54,7 +57,7 @@
   private final Bootstrap bootstrap;
   private final Line[] lines = new Line[LINES];
 
-  CounterClient(Listener listener, EventLoop loop, Config config) {
+  public CounterClient(Listener listener, EventLoop loop, NodeConfig config) {
     this.listener = listener;
     this.loop = loop;
     address = config.counter();
@@ -72,7 +75,7 @@
    * Later calls go to another address; those that are out end here, for the old one answers no
    * more.
    */
-  void move(InetSocketAddress to) {
+  public void move(InetSocketAddress to) {
     address = to;
     for (Line line : lines.clone()) {
       if (line != null) {
@@ -82,7 +85,7 @@
   }
 
   /** Adds to a named number; the outcome is told later, never from within this call. */
-  void count(long name, double amount, long lifetime) {
+  public void count(long name, double amount, long lifetime) {
     int at = (int) Long.remainderUnsigned(name, LINES);
     if (lines[at] == null) {
       lines[at] = new Line(at);
@@ -143,7 +146,7 @@
       ChannelFuture connecting;
       try {
         connecting =
-            Dial.connect(
+            OutboundConnector.connect(
                 bootstrap
                     .clone()
                     .handler(
@@ -153,7 +156,7 @@
                             made.pipeline()
                                 .addLast(
                                     new HttpRequestEncoder(),
-                                    new ServerPool.AnswerDecoder(),
+                                    new UpstreamPool.UpstreamResponseDecoder(),
                                     new HttpObjectAggregator(MOST_ANSWER),
                                     Line.this);
                           }
--- a/edge/src/main/java/edgegateway/node/DiscoveryClient.java
+++ b/edge/src/main/java/edgegateway/node/discovery/DiscoveryClient.java
@@ -1,8 +1,8 @@
-package edgegateway.node;
+package edgegateway.node.discovery;
 
-import edgegateway.node.connections.Dial;
-import edgegateway.node.discovery.JsonObjects;
-import edgegateway.node.discovery.Watches;
+import edgegateway.node.EdgeNode;
+import edgegateway.node.config.NodeConfig;
+import edgegateway.node.connections.OutboundConnector;
 import edgegateway.policy.api.EndpointListKind;
 import io.netty.bootstrap.Bootstrap;
 import io.netty.buffer.ByteBufUtil;
@@ -31,9 +31,9 @@
 
 /**
  * Follows the list of app servers on the sockets; when it is asked for, and whose word counts, is
- * for {@link Watches}.
+ * for {@link WatchScheduler}.
  */
-final class DiscoveryClient implements Watches.Host {
+public final class DiscoveryClient implements WatchScheduler.Host {
   /**
    * A whole list of some 14,000 entries; the heap bears that beside what it has
    * (docs/design/discovery.md).
@@ -50,49 +50,50 @@
 
   private final EdgeNode node;
   private final EventLoop loop;
-  private final Config.Names names;
+  private final NodeConfig.SettingNames names;
   private final Bootstrap bootstrap;
-  private final Watches watches;
-  private final Map<Watches.Watch, Channel> channels = new HashMap<>();
+  private final WatchScheduler watches;
+  private final Map<WatchScheduler.Watch, Channel> channels = new HashMap<>();
   private final CompletableFuture<Void> first = new CompletableFuture<>();
   private InetSocketAddress address;
   private boolean deaf;
   private ScheduledFuture<?> overdue;
 
-  DiscoveryClient(EdgeNode node, EventLoop loop, Config config) {
+  public DiscoveryClient(EdgeNode node, EventLoop loop, NodeConfig config) {
     this.node = node;
     this.loop = loop;
     names = config.names();
     address = config.discovery();
-    watches = new Watches(this, config.seed());
+    watches = new WatchScheduler(this, config.seed());
     bootstrap =
         new Bootstrap()
             .group(loop)
             .option(
                 ChannelOption.CONNECT_TIMEOUT_MILLIS,
-                (int) TimeUnit.NANOSECONDS.toMillis(Watches.ANSWER));
+                (int) TimeUnit.NANOSECONDS.toMillis(WatchScheduler.ANSWER));
   }
 
-  void start(long known) {
+  public void start(long known) {
     node.figures.discoveryHeard();
     // A discovery that is down must not keep the edge node from serving by the list it has.
     loop.schedule(() -> first.complete(null), PATIENCE_MS, TimeUnit.MILLISECONDS);
     watches.start(System.nanoTime(), known);
-    loop.scheduleAtFixedRate(this::look, Watches.LOOK, Watches.LOOK, TimeUnit.NANOSECONDS);
+    loop.scheduleAtFixedRate(
+        this::look, WatchScheduler.LOOK, WatchScheduler.LOOK, TimeUnit.NANOSECONDS);
   }
 
   /** Ends when a first message has come, or has been waited for long enough; any thread. */
-  CompletableFuture<Void> first() {
+  public CompletableFuture<Void> first() {
     return first;
   }
 
   /** Whether a first message has come, or has been waited for long enough; any thread. */
-  boolean heard() {
+  public boolean heard() {
     return first.isDone();
   }
 
   /** The version of the list that is held; on the loop only. */
-  long revision() {
+  public long revision() {
     return watches.revision();
   }
 
@@ -100,7 +101,7 @@
    * Goes on at another address at once; what the old one says until the new one speaks is still
    * heard.
    */
-  void move(InetSocketAddress to) {
+  public void move(InetSocketAddress to) {
     System.out.println("discovery is followed from " + address + " to " + to);
     address = to;
     watches.move(System.nanoTime());
@@ -109,7 +110,8 @@
   private void look() {
     long now = System.nanoTime();
     if (!watches.sound(now)
-        && node.figures.discoverySilence() >= TimeUnit.NANOSECONDS.toMillis(Watches.SILENCE)) {
+        && node.figures.discoverySilence()
+            >= TimeUnit.NANOSECONDS.toMillis(WatchScheduler.SILENCE)) {
       missed();
     }
     watches.look(now);
@@ -154,11 +156,11 @@
   }
 
   @Override
-  public void open(Watches.Watch watch) {
+  public void open(WatchScheduler.Watch watch) {
     Channel channel;
     try {
       channel =
-          Dial.connect(
+          OutboundConnector.connect(
                   bootstrap
                       .clone()
                       .handler(
@@ -181,14 +183,14 @@
   }
 
   @Override
-  public void close(Watches.Watch watch) {
+  public void close(WatchScheduler.Watch watch) {
     Channel channel = channels.remove(watch);
     if (channel != null) {
       channel.close();
     }
   }
 
-  private void ended(Watches.Watch watch) {
+  private void ended(WatchScheduler.Watch watch) {
     channels.remove(watch);
     if (watch.isOpen()) {
       watches.ended(System.nanoTime(), watch);
@@ -200,11 +202,12 @@
 
   /** One watch: a chunked answer of JSON objects, with an empty line each 2 s. */
   private final class Reader extends SimpleChannelInboundHandler<HttpObject> {
-    private final Watches.Watch watch;
-    private final JsonObjects objects = new JsonObjects(MOST_OBJECT, this::read, this::emptyLine);
+    private final WatchScheduler.Watch watch;
+    private final JsonObjectSplitter objects =
+        new JsonObjectSplitter(MOST_OBJECT, this::read, this::emptyLine);
     private boolean ended;
 
-    Reader(Watches.Watch watch) {
+    Reader(WatchScheduler.Watch watch) {
       this.watch = watch;
     }
 
@@ -241,10 +244,10 @@
     }
 
     private void read(String text) {
-      Config.Roll roll;
+      NodeConfig.EndpointList roll;
       try {
-        roll = Config.roll(text, names);
-      } catch (Config.Invalid e) {
+        roll = NodeConfig.roll(text, names);
+      } catch (NodeConfig.InvalidConfigException e) {
         throw new IllegalArgumentException(e.getMessage(), e);
       }
       if (watches.takes(System.nanoTime(), watch, roll.revision(), roll.complete())) {
--- a/edge/src/main/java/edgegateway/node/discovery/JsonObjects.java
+++ b/edge/src/main/java/edgegateway/node/discovery/JsonObjectSplitter.java
@@ -9,7 +9,7 @@
  * lines, or one behind the other. An empty line between two of them is told too. What an object
  * holds is not looked at: that is for a parser.
  */
-public final class JsonObjects {
+public final class JsonObjectSplitter {
   private final int most;
   private final Consumer<String> object;
   private final Runnable emptyLine;
@@ -22,7 +22,7 @@
   /**
    * {@code most} is how many bytes an object may have; an empty line is told as {@code emptyLine}.
    */
-  public JsonObjects(int most, Consumer<String> object, Runnable emptyLine) {
+  public JsonObjectSplitter(int most, Consumer<String> object, Runnable emptyLine) {
     this.most = most;
     this.object = object;
     this.emptyLine = emptyLine;
--- a/edge/src/main/java/edgegateway/node/discovery/Watches.java
+++ b/edge/src/main/java/edgegateway/node/discovery/WatchScheduler.java
@@ -14,7 +14,7 @@
  * A watch that falls silent is replaced after {@link #SILENCE}. Both together, and a second for a
  * loop that stands still, stay below the 6 s.
  */
-public final class Watches {
+public final class WatchScheduler {
   private static final long MS = 1_000_000L;
 
   /** A sound watch says something each 2 s. */
@@ -81,7 +81,7 @@
   private long outdatedSince = Long.MAX_VALUE;
 
   /** None yet; {@code seed} is its only source of chance. */
-  public Watches(Host host, long seed) {
+  public WatchScheduler(Host host, long seed) {
     this.host = host;
     random = new SplittableRandom(seed);
   }
--- a/edge/src/main/java/edgegateway/node/ClassArchive.java
+++ b/edge/src/main/java/edgegateway/node/lifecycle/ClassArchive.java
@@ -1,4 +1,4 @@
-package edgegateway.node;
+package edgegateway.node.lifecycle;
 
 import java.io.IOException;
 import java.nio.file.Files;
@@ -8,13 +8,13 @@
  * Whether this process's classes come from the archive that the build made ({@code
  * deploy/archive.sh}). The JVM passes over an archive that does not fit and only starts slower.
  */
-final class ClassArchive {
+public final class ClassArchive {
   private static final String SUFFIX = ".jsa";
 
   private ClassArchive() {}
 
   /** As the kernel tells it; false where it does not. */
-  static boolean inUse() {
+  public static boolean inUse() {
     try {
       return mapped(Files.readString(Path.of("/proc/self/maps")), System.getProperty("java.home"));
     } catch (IOException e) {
@@ -23,7 +23,7 @@
   }
 
   /** Whether {@code maps}, as in proc(5), name an archive other than those that the JDK brings. */
-  static boolean mapped(String maps, String jdk) {
+  public static boolean mapped(String maps, String jdk) {
     return maps.lines().anyMatch(line -> line.endsWith(SUFFIX) && !line.contains(jdk));
   }
 }
--- a/edge/src/main/java/edgegateway/node/ConfigurationWatch.java
+++ b/edge/src/main/java/edgegateway/node/lifecycle/ConfigFileWatcher.java
@@ -1,4 +1,4 @@
-package edgegateway.node;
+package edgegateway.node.lifecycle;
 
 import java.io.IOException;
 import java.nio.file.Files;
@@ -9,12 +9,12 @@
  * Notices a new configuration by looking at its file, for a process that no SIGHUP reaches. Not
  * thread-safe.
  */
-final class ConfigurationWatch {
+public final class ConfigFileWatcher {
   /**
    * Between two looks: the platform counts what discovery tells as told 4 s after a new
    * configuration.
    */
-  static final long PERIOD_MS = 500;
+  public static final long PERIOD_MS = 500;
 
   /**
    * Writes that follow each other within a tick of the file system's clock may leave the same time.
@@ -27,7 +27,7 @@
   private long readAt;
 
   /** {@code followed} is the text that is followed now. */
-  ConfigurationWatch(Path file, String followed) {
+  public ConfigFileWatcher(Path file, String followed) {
     this.file = file;
     text = followed;
   }
@@ -36,7 +36,7 @@
    * Whether the file now holds another text than at the last look; one that is gone or can't be
    * read does not.
    */
-  boolean changed() {
+  public boolean changed() {
     try {
       BasicFileAttributes now = Files.readAttributes(file, BasicFileAttributes.class);
       if (seen != null
--- a/edge/src/main/java/edgegateway/node/Standstills.java
+++ b/edge/src/main/java/edgegateway/node/lifecycle/EventLoopStallDetector.java
@@ -1,4 +1,4 @@
-package edgegateway.node;
+package edgegateway.node.lifecycle;
 
 import java.util.concurrent.TimeUnit;
 
@@ -7,32 +7,32 @@
  * answered, and what is known of a client is as old as the standstill is long. Times are
  * nanoseconds of one clock.
  */
-final class Standstills {
+public final class EventLoopStallDetector {
   /** The module's timer comes each 10 ms; one that comes this late tells of a standstill. */
   static final long LATE = TimeUnit.MILLISECONDS.toNanos(50);
 
   /**
    * After one the sockets are read, and clients that ended their sending are asked, and may answer.
    */
-  static final long SETTLE = TimeUnit.MILLISECONDS.toNanos(20);
+  public static final long SETTLE = TimeUnit.MILLISECONDS.toNanos(20);
 
   private long ticked;
   private long settled;
 
   /** The loop ran now. */
-  Standstills(long now) {
+  public EventLoopStallDetector(long now) {
     ticked = now;
     settled = now;
   }
 
   /** The loop's timer came. */
-  void tick(long now) {
+  public void tick(long now) {
     look(now);
     ticked = now;
   }
 
   /** Whether there was none of late. */
-  boolean none(long now) {
+  public boolean none(long now) {
     look(now);
     return now - settled >= 0;
   }
--- a/edge/src/main/java/edgegateway/node/Dispositions.java
+++ b/edge/src/main/java/edgegateway/node/lifecycle/SignalDispositions.java
@@ -1,4 +1,4 @@
-package edgegateway.node;
+package edgegateway.node.lifecycle;
 
 import java.io.IOException;
 import java.nio.file.Files;
@@ -9,23 +9,23 @@
  * ignored when it began, as {@code nohup} and a shell's {@code trap ''} hand them down through
  * every exec, and {@link sun.misc.Signal#handle} then does nothing and says nothing.
  */
-final class Dispositions {
+public final class SignalDispositions {
   /** Signals' numbers on Linux (signal(7)). */
-  static final int HUP = 1;
+  public static final int HUP = 1;
 
-  static final int TERM = 15;
+  public static final int TERM = 15;
 
   private static final Path STATUS = Path.of("/proc/self/status");
   private static final String IGNORED = "SigIgn:";
 
   private final long ignored;
 
-  private Dispositions(long ignored) {
+  private SignalDispositions(long ignored) {
     this.ignored = ignored;
   }
 
   /** As the kernel tells them now; where it does not, none counts as ignored. */
-  static Dispositions now() {
+  public static SignalDispositions now() {
     try {
       return parse(Files.readString(STATUS));
     } catch (IOException e) {
@@ -37,8 +37,8 @@
    * Reads the text of {@code /proc/PID/status} (proc(5)): a mask in hexadecimal, the lowest bit for
    * signal 1.
    */
-  static Dispositions parse(String status) {
-    return new Dispositions(
+  public static SignalDispositions parse(String status) {
+    return new SignalDispositions(
         status
             .lines()
             .filter(line -> line.startsWith(IGNORED))
@@ -47,7 +47,7 @@
             .orElse(0L));
   }
 
-  boolean ignored(int signal) {
+  public boolean ignored(int signal) {
     return (ignored >>> signal - 1 & 1) != 0;
   }
 }
--- a/edge/src/main/java/edgegateway/node/WarmUp.java
+++ b/edge/src/main/java/edgegateway/node/lifecycle/WarmUp.java
@@ -1,5 +1,7 @@
-package edgegateway.node;
+package edgegateway.node.lifecycle;
 
+import edgegateway.node.EdgeNode;
+import edgegateway.node.config.NodeConfig;
 import edgegateway.policy.api.CounterSettings;
 import edgegateway.policy.api.Endpoint;
 import edgegateway.policy.api.EndpointState;
@@ -20,7 +22,7 @@
  * requests are made up and go through an edge node of their own, on connections in memory: nothing
  * listens, connects or leaves the process.
  */
-final class WarmUp {
+public final class WarmUp {
   /** Code is compiled after some 200 runs, and not all of it is run for each request. */
   private static final int REQUESTS = 2_000;
 
@@ -31,7 +33,7 @@
   /** On a small part of a core all of them take too long for a node that others are waiting for. */
   private static final long MOST = TimeUnit.MILLISECONDS.toNanos(3_000);
 
-  private final Config config;
+  private final NodeConfig config;
   private final EdgeNode node;
   private final List<EmbeddedChannel> servers = new ArrayList<>();
   private EmbeddedChannel client;
@@ -39,7 +41,7 @@
   private int sent;
   private int served;
 
-  private WarmUp(Config config, EdgeNode node) {
+  private WarmUp(NodeConfig config, EdgeNode node) {
     this.config = config;
     this.node = node;
   }
@@ -47,12 +49,12 @@
   /**
    * Returns when the requests are through or have taken their longest; says how many were served.
    */
-  static int run(Config real) throws Exception {
+  public static int run(NodeConfig real) throws Exception {
     long began = System.nanoTime();
-    if (real.known().members().isEmpty()) {
+    if (real.known().entries().isEmpty()) {
       return 0;
     }
-    Config config = alone(real);
+    NodeConfig config = alone(real);
     try (EdgeNode node = new EdgeNode(config, null)) {
       WarmUp warmUp = new WarmUp(config, node);
       node.decide();
@@ -74,7 +76,7 @@
   /**
    * The same settings with no counter, and a list in which every server is ready and leads nowhere.
    */
-  private static Config alone(Config real) {
+  private static NodeConfig alone(NodeConfig real) {
     PolicySettings s = real.settings();
     PolicySettings settings =
         new PolicySettings(
@@ -93,9 +95,9 @@
                 s.counter().reportsTrueUnits(),
                 s.counter().maxRequestUnits()),
             s.rules());
-    List<Config.Member> members =
-        real.known().members().stream()
-            .map(Config.Member::server)
+    List<NodeConfig.EndpointEntry> members =
+        real.known().entries().stream()
+            .map(NodeConfig.EndpointEntry::endpoint)
             .map(
                 e ->
                     new Endpoint(
@@ -106,9 +108,9 @@
                         e.machineType(),
                         EndpointState.READY,
                         0))
-            .map(e -> new Config.Member(e, real.listen()))
+            .map(e -> new NodeConfig.EndpointEntry(e, real.listen()))
             .toList();
-    return new Config(
+    return new NodeConfig(
         real.listen(),
         real.discovery(),
         null,
@@ -118,7 +120,7 @@
         real.connections(),
         null,
         null,
-        new Config.Roll(0, true, members),
+        new NodeConfig.EndpointList(0, true, members),
         real.connectTimeout(),
         real.keepAlive(),
         real.names(),
@@ -127,9 +129,9 @@
 
   private void connect() {
     client = new EmbeddedChannel(node.clients.handlers());
-    for (Config.Member member : config.known().members()) {
+    for (NodeConfig.EndpointEntry member : config.known().entries()) {
       EmbeddedChannel server = new EmbeddedChannel(node.pool.handlers());
-      node.pool.lend(member.server().id(), server);
+      node.pool.lend(member.endpoint().id(), server);
       servers.add(server);
     }
   }
--- a/edge/src/main/java/edgegateway/node/Figures.java
+++ b/edge/src/main/java/edgegateway/node/metrics/NodeMetrics.java
@@ -1,6 +1,6 @@
-package edgegateway.node;
+package edgegateway.node.metrics;
 
-import edgegateway.node.connections.Counts;
+import edgegateway.node.connections.ConnectionMetrics;
 import java.util.List;
 import java.util.Locale;
 import java.util.concurrent.TimeUnit;
@@ -12,15 +12,15 @@
  * What operators read of an edge node: counted on its loop, read on any thread, all from 0 with the
  * process.
  */
-final class Figures {
+public final class NodeMetrics {
   /** How a request ended for its client. */
-  enum Ending {
+  public enum RequestEnd {
     PASSED,
     DROPPED,
     BAD_GATEWAY
   }
 
-  private static final int ENDINGS = Ending.values().length;
+  private static final int ENDINGS = RequestEnd.values().length;
   private static final String[] ZONES = {"zones.away", "zones.calls", "zones.trials"};
   private final List<String> classes;
   private final AtomicLongArray ended;
@@ -31,7 +31,7 @@
   private final AtomicInteger known = new AtomicInteger();
   private final AtomicInteger skipped = new AtomicInteger();
 
-  private final Counts connections;
+  private final ConnectionMetrics connections;
   private volatile long discoveryAt = System.nanoTime();
 
   /** Written on the loop alone. */
@@ -42,18 +42,18 @@
   /** Zones away, calls about zones, trials; null where zones are left by hand alone. */
   private volatile long[] zones;
 
-  Figures(List<String> classes, Counts connections) {
+  public NodeMetrics(List<String> classes, ConnectionMetrics connections) {
     this.classes = classes;
     this.connections = connections;
     ended = new AtomicLongArray(classes.size() * ENDINGS);
   }
 
-  void taken() {
+  public void taken() {
     inProgress.incrementAndGet();
   }
 
   /** A request has ended; {@code how} is null if its client left before the answer. */
-  void ended(int requestClass, Ending how) {
+  public void ended(int requestClass, RequestEnd how) {
     inProgress.decrementAndGet();
     if (how != null) {
       ended.incrementAndGet(requestClass * ENDINGS + how.ordinal());
@@ -61,12 +61,12 @@
   }
 
   /** An attempt was written whole to an app server. */
-  void tried() {
+  public void tried() {
     tries.incrementAndGet();
   }
 
   /** A call to the counter has ended; {@code answered} unless it was turned away, late or lost. */
-  void counted(boolean answered) {
+  public void counted(boolean answered) {
     counterCalls.incrementAndGet();
     if (!answered) {
       counterUnanswered.incrementAndGet();
@@ -74,7 +74,7 @@
   }
 
   /** How many servers the list holds, and how many of these are avoided. */
-  void servers(int listed, int avoided) {
+  public void servers(int listed, int avoided) {
     known.set(listed);
     skipped.set(avoided);
   }
@@ -83,32 +83,32 @@
    * How many zones are out or on their way by verdict, calls to the counter about zones, requests
    * sent to try one.
    */
-  void zones(long away, long calls, long trials) {
+  public void zones(long away, long calls, long trials) {
     zones = new long[] {away, calls, trials};
   }
 
   /** A line of discovery came, or the first one is waited for from now on. */
-  void discoveryHeard() {
+  public void discoveryHeard() {
     discoveryAt = System.nanoTime();
   }
 
   /** For how long nothing was heard of discovery, in milliseconds; a line comes every 2 s. */
-  long discoverySilence() {
+  public long discoverySilence() {
     return TimeUnit.NANOSECONDS.toMillis(System.nanoTime() - discoveryAt);
   }
 
   /** A timer of the module ran so late, in nanoseconds: so long the loop was at something else. */
-  void late(long span) {
+  public void late(long span) {
     standstill = Math.max(standstill, span);
   }
 
   /** Word of discovery reached the module so long after it was read, in nanoseconds. */
-  void worded(long span) {
+  public void worded(long span) {
     wordWait = Math.max(wordWait, span);
   }
 
   /** The worst of both since the process began, in a line. */
-  String worst() {
+  public String worst() {
     return "longest standstill of the loop "
         + TimeUnit.NANOSECONDS.toMillis(standstill)
         + " ms, longest wait of discovery's word "
@@ -117,10 +117,10 @@
   }
 
   /** A figure a line. */
-  String text() {
+  public String text() {
     StringBuilder text = new StringBuilder();
     for (int i = 0; i < classes.size(); i++) {
-      for (Ending how : Ending.values()) {
+      for (RequestEnd how : RequestEnd.values()) {
         line(
             text,
             "handled." + classes.get(i) + "." + how.name().toLowerCase(Locale.ROOT),
--- a/edge/src/main/java/edgegateway/node/LeftOut.java
+++ b/edge/src/main/java/edgegateway/node/operators/EjectionFile.java
@@ -1,8 +1,10 @@
-package edgegateway.node;
+package edgegateway.node.operators;
 
 import com.fasterxml.jackson.databind.JsonNode;
 import com.fasterxml.jackson.databind.node.ArrayNode;
 import com.fasterxml.jackson.databind.node.JsonNodeFactory;
+import edgegateway.node.EdgeNode;
+import edgegateway.protocol.Json;
 import java.io.IOException;
 import java.nio.file.Files;
 import java.nio.file.Path;
@@ -12,19 +14,19 @@
 import java.util.TreeSet;
 
 /** A file that keeps, over an upgrade, which app servers, or which zones, are out by hand. */
-final class LeftOut {
+public final class EjectionFile {
   private final Path file;
   private FileTime seen;
 
   /** {@code folder} is null where nothing outlives the process; {@code name} without its ending. */
-  LeftOut(Path folder, String name) {
+  public EjectionFile(Path folder, String name) {
     file = folder == null ? null : folder.resolve(name + ".json");
   }
 
   /**
    * The ids on file if another process wrote it since it was last read or written here, else null.
    */
-  Set<String> changed() {
+  public Set<String> changed() {
     try {
       if (file == null || !Files.exists(file)) {
         return null;
@@ -48,7 +50,7 @@
   }
 
   /** On return the ids are on file. */
-  void write(Set<String> ids) throws IOException {
+  public void write(Set<String> ids) throws IOException {
     if (file != null) {
       Path draft = file.resolveSibling(file.getFileName() + "." + ProcessHandle.current().pid());
       ArrayNode list = JsonNodeFactory.instance.arrayNode();
--- a/edge/src/main/java/edgegateway/node/OpsServer.java
+++ b/edge/src/main/java/edgegateway/node/operators/OperatorServer.java
@@ -1,6 +1,7 @@
-package edgegateway.node;
+package edgegateway.node.operators;
 
-import edgegateway.node.connections.Listener;
+import edgegateway.node.EdgeNode;
+import edgegateway.node.connections.ConnectionAcceptor;
 import io.netty.channel.Channel;
 import io.netty.channel.ChannelFutureListener;
 import io.netty.channel.ChannelHandlerContext;
@@ -26,7 +27,7 @@
  * own, so that a busy client loop makes no answer late: figures are read as they stand, and
  * commands go to that loop.
  */
-final class OpsServer implements AutoCloseable {
+public final class OperatorServer implements AutoCloseable {
   private static final int MOST_LINE = 512;
   private static final int CALL_MS = 5_000;
   private static final Set<String> NAMED = Set.of("set-down", "set-up", "zone-out", "zone-in");
@@ -41,14 +42,15 @@
   /** Open connections, the oldest first; told on the one loop only. */
   private final Set<Channel> callers = new LinkedHashSet<>();
 
-  private final Listener listener;
+  private final ConnectionAcceptor listener;
   private final int callersAtOnce;
 
   /** Listens when it returns. */
-  OpsServer(EdgeNode node, InetSocketAddress at) throws InterruptedException, ExecutionException {
+  public OperatorServer(EdgeNode node, InetSocketAddress at)
+      throws InterruptedException, ExecutionException {
     this.node = node;
     callersAtOnce = node.budget().operators();
-    listener = new Listener(group.next(), node::exhausted);
+    listener = new ConnectionAcceptor(group.next(), node::exhausted);
     listener
         .bind(
             at,
@@ -64,7 +66,7 @@
         .get();
   }
 
-  InetSocketAddress address() {
+  public InetSocketAddress address() {
     return listener.address();
   }
 
@@ -77,7 +79,8 @@
   private CompletableFuture<String> answer(String line) {
     String[] words = line.strip().split("\\s+");
     if (words[0].equals("zone-in") && words.length == 3 && SECONDS.matcher(words[2]).matches()) {
-      return node.leaveZone(words[1], false, Long.parseLong(words[2])).thenApply(OpsServer::said);
+      return node.leaveZone(words[1], false, Long.parseLong(words[2]))
+          .thenApply(OperatorServer::said);
     }
     boolean named = NAMED.contains(words[0]);
     if (words.length != (named ? 2 : 1)) {
@@ -91,13 +94,13 @@
       case "check" ->
           CompletableFuture.completedFuture(node.ready() ? YES : NO + "takes no clients now\n");
       case "vars" -> CompletableFuture.completedFuture(node.figures.text() + "--\n");
-      case "set-down" -> node.leaveOut(words[1], true).thenApply(OpsServer::said);
-      case "set-up" -> node.leaveOut(words[1], false).thenApply(OpsServer::said);
+      case "set-down" -> node.leaveOut(words[1], true).thenApply(OperatorServer::said);
+      case "set-up" -> node.leaveOut(words[1], false).thenApply(OperatorServer::said);
       case "zones" -> node.zones().thenApply(text -> text + "--\n");
-      case "zone-out" -> node.leaveZone(words[1], true, 0).thenApply(OpsServer::said);
-      case "zone-in" -> node.leaveZone(words[1], false, 0).thenApply(OpsServer::said);
-      case "drain-on" -> node.drain(true).thenApply(OpsServer::said);
-      case "drain-off" -> node.drain(false).thenApply(OpsServer::said);
+      case "zone-out" -> node.leaveZone(words[1], true, 0).thenApply(OperatorServer::said);
+      case "zone-in" -> node.leaveZone(words[1], false, 0).thenApply(OperatorServer::said);
+      case "drain-on" -> node.drain(true).thenApply(OperatorServer::said);
+      case "drain-off" -> node.drain(false).thenApply(OperatorServer::said);
       default -> CompletableFuture.completedFuture(NO + "no such call\n");
     };
   }
--- a/edge/src/main/java/edgegateway/node/Relay.java
+++ b/edge/src/main/java/edgegateway/node/requests/BodyRelay.java
@@ -1,4 +1,4 @@
-package edgegateway.node;
+package edgegateway.node.requests;
 
 import io.netty.buffer.ByteBuf;
 import io.netty.channel.Channel;
@@ -15,11 +15,11 @@
  * sink, and all relays together have a bound on that, of which each has an equal share: a slow peer
  * holds up nobody else.
  */
-final class Relay {
+public final class BodyRelay {
   /** What a piece takes beside its bytes. */
   private static final int PIECE = 256;
 
-  private final All all;
+  private final Group all;
   private final Channel from;
   private final Channel to;
   private int onWay;
@@ -27,14 +27,14 @@
   private boolean over;
   private long progress = System.nanoTime();
 
-  private Relay(All all, Channel from, Channel to) {
+  private BodyRelay(Group all, Channel from, Channel to) {
     this.all = all;
     this.from = from;
     this.to = to;
   }
 
   /** Takes the bytes over; they go out when the source's read is complete. */
-  void piece(ByteBuf bytes) {
+  public void piece(ByteBuf bytes) {
     if (over || !bytes.isReadable()) {
       bytes.release();
       return;
@@ -52,7 +52,7 @@
   }
 
   /** What was read has been told; more is read when there is room. */
-  void readComplete() {
+  public void readComplete() {
     reading = false;
     to.flush();
     pump();
@@ -66,7 +66,7 @@
   }
 
   /** The body is through, or one of its ends is gone. */
-  void end() {
+  public void end() {
     over = true;
     all.running.remove(this);
   }
@@ -74,7 +74,7 @@
   /**
    * All relays of an edge node, and the bodies that are held whole until they turn out to be long.
    */
-  static final class All {
+  public static final class Group {
     /** Of the 32 MB that buffers may take; the rest is for what is held whole and for reads. */
     private static final int MOST_ON_WAY = 8 << 20;
 
@@ -86,15 +86,15 @@
 
     private static final long LOOK_MS = 500;
 
-    private final Set<Relay> running = new LinkedHashSet<>();
+    private final Set<BodyRelay> running = new LinkedHashSet<>();
 
-    All(EventLoop loop) {
+    public Group(EventLoop loop) {
       loop.scheduleAtFixedRate(this::endStalled, LOOK_MS, LOOK_MS, TimeUnit.MILLISECONDS);
     }
 
     /** Begins to read {@code from} by need. */
-    Relay start(Channel from, Channel to) {
-      Relay relay = new Relay(this, from, to);
+    public BodyRelay start(Channel from, Channel to) {
+      BodyRelay relay = new BodyRelay(this, from, to);
       running.add(relay);
       from.config().setAutoRead(false);
       // The read in which it begins is still going on.
@@ -108,7 +108,7 @@
 
     private void endStalled() {
       long due = System.nanoTime() - STALL;
-      for (Relay relay : List.copyOf(running)) {
+      for (BodyRelay relay : List.copyOf(running)) {
         if (relay.progress - due < 0) {
           // With something on its way the sink takes nothing; else the source gives nothing. Not by
           // a close: to a
--- a/edge/src/main/java/edgegateway/node/OpenRequest.java
+++ b/edge/src/main/java/edgegateway/node/requests/InFlightRequest.java
@@ -1,6 +1,6 @@
-package edgegateway.node;
+package edgegateway.node.requests;
 
-import edgegateway.node.connections.HeldBytes;
+import edgegateway.node.connections.BufferedBodies;
 import edgegateway.policy.api.Request;
 import io.netty.buffer.ByteBuf;
 import io.netty.channel.Channel;
@@ -8,9 +8,9 @@
 import io.netty.util.concurrent.Future;
 
 /** A request that was taken: what goes on to app servers, and what is still owed to its client. */
-final class OpenRequest {
+public final class InFlightRequest {
   /** Where the one final answer goes; told on the loop only. */
-  interface Answers {
+  public interface ResponseWriter {
     /** Passes on an app server's answer; the buffer stays the caller's. */
     void served(ByteBuf body);
 
@@ -51,7 +51,7 @@
   }
 
   /** The rest of a long body, which is still coming in; told on the loop only. */
-  interface Upload {
+  public interface BodyUpload {
     /** How long the whole body is; -1 if that is not told. */
     long length();
 
@@ -68,54 +68,54 @@
     boolean complete();
   }
 
-  final Request request;
-  final HttpMethod method;
-  final String uri;
-  final String key;
+  public final Request request;
+  public final HttpMethod method;
+  public final String uri;
+  public final String key;
 
   /** The body, or its beginning where there is an upload. */
-  final ByteBuf body;
+  public final ByteBuf body;
 
-  private final HeldBytes.Body holding;
-  private final Answers answers;
-  final Upload upload;
-  int attempts;
-  boolean attemptOut;
+  private final BufferedBodies.Body holding;
+  private final ResponseWriter answers;
+  public final BodyUpload upload;
+  public int attempts;
+  public boolean attemptOut;
 
   /**
    * Run to end the attempt that is out, so far as it has not begun to be written; null if there is
    * none.
    */
-  Runnable withdrawal;
+  public Runnable withdrawal;
 
   /** When the first attempt was chosen that may have run; {@link Long#MIN_VALUE} if none was. */
-  long mayHaveRunSince = Long.MIN_VALUE;
+  public long mayHaveRunSince = Long.MIN_VALUE;
 
   /** Whether no attempt follows the one that is out. */
-  boolean lastAttempt;
+  public boolean lastAttempt;
 
-  boolean answered;
+  public boolean answered;
 
   /**
    * When its client's time is over, on the node's clock; not known before the last byte of its body
    * came.
    */
-  long due;
+  public long due;
 
-  Future<?> overdue;
+  public Future<?> overdue;
 
   /**
    * Takes over the body and what is told to be held of it; {@code upload} is null if that is whole.
    */
-  OpenRequest(
+  public InFlightRequest(
       Request request,
       HttpMethod method,
       String uri,
       String key,
       ByteBuf body,
-      HeldBytes.Body holding,
-      Upload upload,
-      Answers answers) {
+      BufferedBodies.Body holding,
+      BodyUpload upload,
+      ResponseWriter answers) {
     this.request = request;
     this.method = method;
     this.uri = uri;
@@ -127,35 +127,35 @@
   }
 
   /** An attempt that still waits for its connection is not made any more. */
-  void withdraw() {
+  public void withdraw() {
     if (withdrawal != null) {
       withdrawal.run();
     }
   }
 
   /** Lets the body go. */
-  void release() {
+  public void release() {
     body.release();
     holding.release();
   }
 
   /** Whether its client would have been seen to leave by now. */
-  boolean clientSeen() {
+  public boolean clientSeen() {
     return answers.seen();
   }
 
   /** Finds out whether its client is still there, and goes on then. */
-  void askClient(Runnable then) {
+  public void askClient(Runnable then) {
     answers.ask(then);
   }
 
   /** Where the rest of a long answer goes, once that has begun. */
-  Answers passedAnswer() {
+  public ResponseWriter passedAnswer() {
     return answers;
   }
 
   /** The answers' side if nothing was answered yet, else null: a request has one final answer. */
-  Answers answerOnce() {
+  public ResponseWriter answerOnce() {
     if (answered) {
       return null;
     }
--- a/edge/src/main/java/edgegateway/node/HandoverFile.java
+++ b/edge/src/main/java/edgegateway/node/upgrade/HandoverFile.java
@@ -1,5 +1,6 @@
-package edgegateway.node;
+package edgegateway.node.upgrade;
 
+import edgegateway.node.EdgeNode;
 import edgegateway.policy.api.QuotaUsage;
 import edgegateway.policy.api.StateTransfer;
 import java.io.ByteArrayInputStream;
@@ -17,19 +18,19 @@
  * The file by which the process that an upgrade ends tells the other one what it knows. Plain
  * numbers: at that moment both are short of CPU time, and a library's code would be cold.
  */
-final class HandoverFile {
+public final class HandoverFile {
   /** Changes with the form; another version's file is passed over. */
   private static final int FORM = 0x5eed0001;
 
   private final Path file;
 
   /** {@code folder} is null where there is nothing to share. */
-  HandoverFile(Path folder) {
+  public HandoverFile(Path folder) {
     file = folder == null ? null : folder.resolve("handover");
   }
 
   /** What an earlier upgrade left is of no more use. */
-  void discard() throws IOException {
+  public void discard() throws IOException {
     if (file != null) {
       Files.deleteIfExists(file);
     }
@@ -39,7 +40,7 @@
    * Without it the other process begins with nothing: a failure must not keep this one from its
    * end.
    */
-  void write(StateTransfer from) {
+  public void write(StateTransfer from) {
     try {
       Path draft = file.resolveSibling("handover.draft");
       Files.write(draft, bytes(from));
@@ -82,7 +83,7 @@
   }
 
   /** What the other process has told, once; null if nothing, or nothing that can be read. */
-  StateTransfer read() {
+  public StateTransfer read() {
     try {
       if (file == null || !Files.exists(file)) {
         return null;
--- a/edge/src/main/java/edgegateway/node/Slots.java
+++ b/edge/src/main/java/edgegateway/node/upgrade/ProcessSlots.java
@@ -1,5 +1,6 @@
-package edgegateway.node;
+package edgegateway.node.upgrade;
 
+import edgegateway.node.EdgeNode;
 import java.io.IOException;
 import java.nio.channels.FileChannel;
 import java.nio.channels.FileLock;
@@ -12,7 +13,7 @@
  * lives and another while it takes clients. A lock ends with its process, however that ends; the
  * file itself means nothing.
  */
-final class Slots {
+public final class ProcessSlots {
   /** A look from the other process holds a byte for a moment. */
   private static final int TRIES = 1_000;
 
@@ -25,7 +26,7 @@
   private FileLock taking;
 
   /** Takes a slot; {@code folder} is null where there is nothing to share. */
-  Slots(Path folder) {
+  public ProcessSlots(Path folder) {
     FileChannel opened = null;
     int slot = 0;
     try {
@@ -46,17 +47,17 @@
   }
 
   /** Whether another process of this edge node lives. */
-  boolean otherLives() {
+  public boolean otherLives() {
     return held(1 - mine);
   }
 
   /** Whether another process of this edge node takes clients. */
-  boolean otherTakes() {
+  public boolean otherTakes() {
     return held(3 - mine);
   }
 
   /** From now on this process takes clients, or no more. */
-  void take(boolean on) {
+  public void take(boolean on) {
     try {
       if (on && taking == null && living != null) {
         for (int tries = 0; taking == null && tries < TRIES; tries++) {
--- a/edge/src/main/java/edgegateway/node/ServerPool.java
+++ b/edge/src/main/java/edgegateway/node/upstream/UpstreamPool.java
@@ -1,11 +1,15 @@
-package edgegateway.node;
-
-import edgegateway.node.connections.Budget;
-import edgegateway.node.connections.Carrier;
-import edgegateway.node.connections.Dial;
-import edgegateway.node.connections.HeldBytes;
-import edgegateway.node.connections.Servers;
-import edgegateway.node.connections.Servers.Failure;
+package edgegateway.node.upstream;
+
+import edgegateway.node.EdgeNode;
+import edgegateway.node.config.NodeConfig;
+import edgegateway.node.connections.BufferedBodies;
+import edgegateway.node.connections.DescriptorBudget;
+import edgegateway.node.connections.OutboundConnector;
+import edgegateway.node.connections.TransportHandle;
+import edgegateway.node.connections.UpstreamConnectionTable;
+import edgegateway.node.connections.UpstreamConnectionTable.Failure;
+import edgegateway.node.requests.BodyRelay;
+import edgegateway.node.requests.InFlightRequest;
 import edgegateway.policy.api.EndpointState;
 import edgegateway.policy.api.Idempotency;
 import edgegateway.policy.api.Outcome;
@@ -51,11 +55,12 @@
 
 /**
  * The app servers' side: attempts on connections, one at a time on each, and their outcomes. Which
- * connection an attempt goes by, and whether a new one is made, is for {@link Servers}.
+ * connection an attempt goes by, and whether a new one is made, is for {@link
+ * UpstreamConnectionTable}.
  */
-final class ServerPool implements Servers.Host {
+public final class UpstreamPool implements UpstreamConnectionTable.Host {
   /** The longest body that is held whole. */
-  static final int MOST_BODY = 64 * 1024;
+  public static final int MOST_BODY = 64 * 1024;
 
   private static final int FIRST_PIECE = 512;
 
@@ -78,16 +83,16 @@
   private final EventLoop loop;
   private final Bootstrap bootstrap;
   private final Map<String, Listed> listed = new HashMap<>();
-  private final Servers servers;
+  private final UpstreamConnectionTable servers;
   private final long coldSpan;
   private final List<RequestClass> classes;
 
-  ServerPool(EdgeNode node, EventLoop loop, Config config) {
+  public UpstreamPool(EdgeNode node, EventLoop loop, NodeConfig config) {
     this.node = node;
     this.loop = loop;
     coldSpan = config.settings().rules().slowStartNanos();
     classes = config.settings().requestClasses();
-    servers = new Servers(this, node.counts, config.seed(), config.keepAlive());
+    servers = new UpstreamConnectionTable(this, node.counts, config.seed(), config.keepAlive());
     bootstrap =
         new Bootstrap()
             .group(loop)
@@ -113,13 +118,13 @@
   }
 
   /** What stands on a connection to an app server. */
-  ChannelHandler[] handlers() {
-    AnswerDecoder decoder = new AnswerDecoder();
+  public ChannelHandler[] handlers() {
+    UpstreamResponseDecoder decoder = new UpstreamResponseDecoder();
     return new ChannelHandler[] {new HttpRequestEncoder(), decoder, new Connection(decoder)};
   }
 
   /** Takes over an open connection that has these handlers. */
-  void lend(String server, Channel channel) {
+  public void lend(String server, Channel channel) {
     Connection made = channel.pipeline().get(Connection.class);
     made.begin(listed.get(server).target.lend(System.nanoTime()));
   }
@@ -129,10 +134,10 @@
    * without a colon for an empty header. The status line may have no reason, and a body that tells
    * no length goes on until its connection ends.
    */
-  static final class AnswerDecoder extends HttpResponseDecoder {
+  public static final class UpstreamResponseDecoder extends HttpResponseDecoder {
     private boolean headers;
 
-    AnswerDecoder() {
+    public UpstreamResponseDecoder() {
       super(new HttpDecoderConfig().setMaxChunkSize(MOST_BODY));
     }
 
@@ -142,13 +147,13 @@
     }
 
     @Override
-    protected HttpMessage createMessage(String[] statusLine) {
+    public HttpMessage createMessage(String[] statusLine) {
       headers = true;
       return super.createMessage(statusLine);
     }
 
     @Override
-    protected boolean isContentAlwaysEmpty(HttpMessage answer) {
+    public boolean isContentAlwaysEmpty(HttpMessage answer) {
       headers = false;
       if (answer.headers().contains(HttpHeaderNames.TRANSFER_ENCODING)
           && !HttpUtil.isTransferEncodingChunked(answer)) {
@@ -172,15 +177,15 @@
    * What the list says of an app server, and the connections to it: a restart or a move makes new
    * ones.
    */
-  private record Listed(Config.Member member, Servers.Target target) {
-    boolean same(Config.Member other) {
+  private record Listed(NodeConfig.EndpointEntry member, UpstreamConnectionTable.Upstream target) {
+    boolean same(NodeConfig.EndpointEntry other) {
       return member.address().equals(other.address())
-          && member.server().startedAtNanos() == other.server().startedAtNanos()
-          && ready() == (other.server().state() == EndpointState.READY);
+          && member.endpoint().startedAtNanos() == other.endpoint().startedAtNanos()
+          && ready() == (other.endpoint().state() == EndpointState.READY);
     }
 
     boolean ready() {
-      return member.server().state() == EndpointState.READY;
+      return member.endpoint().state() == EndpointState.READY;
     }
   }
 
@@ -188,20 +193,20 @@
    * Follows the list: connections to what is gone, has moved or has restarted are of no more use.
    * Nor are those to what leaves: whoever waits for one would be sent to it after it was told.
    */
-  void update(Config.Roll roll, boolean whole) {
+  public void update(NodeConfig.EndpointList roll, boolean whole) {
     Set<String> named = new HashSet<>();
-    for (Config.Member member : roll.members()) {
-      String id = member.server().id();
+    for (NodeConfig.EndpointEntry member : roll.entries()) {
+      String id = member.endpoint().id();
       named.add(id);
       Listed known = listed.get(id);
-      boolean gone = member.server().state() == EndpointState.REMOVED;
+      boolean gone = member.endpoint().state() == EndpointState.REMOVED;
       boolean same = known != null && known.same(member);
       if (known != null && (gone || !same)) {
         known.target.retire();
         listed.remove(id);
       }
       if (!gone && !same) {
-        long started = member.server().startedAtNanos();
+        long started = member.endpoint().startedAtNanos();
         boolean cold = started > 0 && node.now() - started < coldSpan;
         Listed next = new Listed(member, servers.add(member.address(), cold));
         listed.put(id, next);
@@ -225,7 +230,7 @@
   }
 
   /** Begins an attempt; its outcome is told later, never from within this call. */
-  void send(OpenRequest of, String server, long patience) {
+  public void send(InFlightRequest of, String server, long patience) {
     Listed to = listed.get(server);
     Attempt attempt = new Attempt(of, server, patience, to == null ? null : to.target);
     of.withdrawal = attempt::withdraw;
@@ -238,12 +243,12 @@
   }
 
   /** Follows a new budget. */
-  void bound(Budget budget) {
+  public void bound(DescriptorBudget budget) {
     servers.bound(budget);
   }
 
   /** How many servers the list holds. */
-  int listed() {
+  public int listed() {
     return listed.size();
   }
 
@@ -251,7 +256,7 @@
    * What still waits for a connection to this server is sent to it no more, and its idle
    * connections go.
    */
-  void leaveOut(String server) {
+  public void leaveOut(String server) {
     Listed known = listed.get(server);
     if (known != null) {
       known.target.clear();
@@ -259,10 +264,11 @@
   }
 
   @Override
-  public void dial(Servers.Link link) {
+  public void connect(UpstreamConnectionTable.UpstreamConnection link) {
     ChannelFuture connecting;
     try {
-      connecting = Dial.connect(bootstrap, (InetSocketAddress) link.target().address());
+      connecting =
+          OutboundConnector.connect(bootstrap, (InetSocketAddress) link.target().address());
     } catch (IOException e) {
       EdgeNode.trouble("app servers", e);
       loop.execute(() -> link.failed(System.nanoTime(), Failure.OWN));
@@ -283,16 +289,16 @@
   }
 
   @Override
-  public void later(Servers.Target target, long span) {
+  public void later(UpstreamConnectionTable.Upstream target, long span) {
     loop.schedule(() -> target.look(System.nanoTime()), span, TimeUnit.NANOSECONDS);
   }
 
   /** One sending of a request to an app server; it ends exactly once. */
-  private final class Attempt implements Servers.Wanting {
-    private final OpenRequest of;
+  private final class Attempt implements UpstreamConnectionTable.ConnectionWaiter {
+    private final InFlightRequest of;
     private final String server;
     private final long patience;
-    private final Servers.Target target;
+    private final UpstreamConnectionTable.Upstream target;
     private long sentAt = System.nanoTime();
 
     /** Whether a long answer is passed on: for the module the attempt was over when that began. */
@@ -305,7 +311,7 @@
      * What it may go by, while its client is asked whether it is still there; and how often that
      * was.
      */
-    private Servers.Link kept;
+    private UpstreamConnectionTable.UpstreamConnection kept;
 
     private int asked;
 
@@ -315,7 +321,8 @@
     private Connection on;
     private Future<?> expiry;
 
-    Attempt(OpenRequest of, String server, long patience, Servers.Target target) {
+    Attempt(
+        InFlightRequest of, String server, long patience, UpstreamConnectionTable.Upstream target) {
       this.of = of;
       this.server = server;
       this.patience = patience;
@@ -332,7 +339,7 @@
     }
 
     @Override
-    public void use(Servers.Link link) {
+    public void use(UpstreamConnectionTable.UpstreamConnection link) {
       if (link.target().retired() || System.nanoTime() - lastBegin >= 0) {
         // Its server leaves; the loop stood still, or the timer for it comes next.
         end(Outcome.NOT_SENT, 0, null);
@@ -347,7 +354,7 @@
     }
 
     private void goOn() {
-      Servers.Link link = kept;
+      UpstreamConnectionTable.UpstreamConnection link = kept;
       kept = null;
       if (link != null) {
         use(link);
@@ -453,25 +460,25 @@
 
   /** A connection to an app server. */
   private final class Connection extends SimpleChannelInboundHandler<HttpObject>
-      implements Carrier {
-    private final AnswerDecoder decoder;
+      implements TransportHandle {
+    private final UpstreamResponseDecoder decoder;
     private Channel channel;
-    private Servers.Link link;
+    private UpstreamConnectionTable.UpstreamConnection link;
     private Attempt attempt;
 
     /** The answer so far: its head, its body while that is held, and whether all of it is here. */
     private HttpResponse answer;
 
     private ByteBuf held;
-    private HeldBytes.Body holding;
+    private BufferedBodies.Body holding;
     private boolean interim;
     private boolean whole;
     private boolean stray;
 
     /** Where a long answer goes on to, and when its first piece did. */
-    private Relay relay;
+    private BodyRelay relay;
 
-    Connection(AnswerDecoder decoder) {
+    Connection(UpstreamResponseDecoder decoder) {
       this.decoder = decoder;
     }
 
@@ -481,7 +488,7 @@
       channel = context.channel();
     }
 
-    void begin(Servers.Link made) {
+    void begin(UpstreamConnectionTable.UpstreamConnection made) {
       link = made;
       link.carrier(this);
     }
@@ -627,7 +634,7 @@
     private void finish() {
       HttpResponse head = answer;
       ByteBuf body = held == null ? Unpooled.EMPTY_BUFFER : held;
-      HeldBytes.Body holds = holding;
+      BufferedBodies.Body holds = holding;
       Attempt answered = attempt;
       boolean passed = relay != null;
       if (passed) {
--- a/edge/src/main/java/edgegateway/node/zones/CounterBallots.java
+++ b/edge/src/main/java/edgegateway/node/zones/CounterVoteTransport.java
@@ -12,7 +12,7 @@
  * tally. A call is never repeated, so a vote counts once or not at all; a name that was flushed
  * begins at 0, so a tally can only be too low.
  */
-final class CounterBallots implements Ballots {
+final class CounterVoteTransport implements ZoneVoteTransport {
   /** What the counter offers. */
   interface Counter {
     /** Adds to a name and tells the total later. */
@@ -25,15 +25,15 @@
   private final Counter counter;
   private final long[] zones;
   private final long lifetime;
-  private final Map<Long, ArrayDeque<Ballot>> asked = new HashMap<>();
+  private final Map<Long, ArrayDeque<ZoneVote>> asked = new HashMap<>();
 
   /**
    * {@code zones} are the settings' names; names live for two windows, the present one and the
    * nodes' clocks' difference.
    */
-  CounterBallots(Counter counter, List<String> zones, long window) {
+  CounterVoteTransport(Counter counter, List<String> zones, long window) {
     this.counter = counter;
-    this.zones = zones.stream().mapToLong(CounterBallots::hash).toArray();
+    this.zones = zones.stream().mapToLong(CounterVoteTransport::hash).toArray();
     lifetime = 2 * window;
   }
 
@@ -54,21 +54,21 @@
     return new SplittableRandom(z).nextLong();
   }
 
-  long name(Ballot ballot) {
+  long name(ZoneVote ballot) {
     return MARK | mix(mix(zones[ballot.zone()] + ballot.question().ordinal()) + ballot.window());
   }
 
   @Override
-  public void cast(long now, Ballot ballot, boolean mine) {
+  public void cast(long now, ZoneVote ballot, boolean mine) {
     long name = name(ballot);
     asked.computeIfAbsent(name, any -> new ArrayDeque<>()).add(ballot);
     counter.count(name, mine ? 1 : 0, lifetime);
   }
 
   /** The ballot of the oldest call of a name that has ended; null if there is none. */
-  Ballot ended(long name) {
-    ArrayDeque<Ballot> of = asked.get(name);
-    Ballot ballot = of == null ? null : of.poll();
+  ZoneVote ended(long name) {
+    ArrayDeque<ZoneVote> of = asked.get(name);
+    ZoneVote ballot = of == null ? null : of.poll();
     if (of != null && of.isEmpty()) {
       asked.remove(name);
     }
--- a/edge/src/main/java/edgegateway/node/zones/ZoneAgreement.java
+++ b/edge/src/main/java/edgegateway/node/zones/ZoneConsensus.java
@@ -14,7 +14,7 @@
  * class on a given clock, evidence and tallies in, courses and trials out. Times are nanoseconds of
  * a wall clock that never runs backwards in one life; one caller at a time.
  */
-public final class ZoneAgreement {
+public final class ZoneConsensus {
   /** What it asks for. */
   public interface Actions {
     /** From now on a zone's part of the work is so; null: as ever. */
@@ -38,7 +38,7 @@
    * @param coldRamp the same where they are not
    */
   public record Terms(
-      ZoneSettings settings,
+      ZoneEjectionSettings settings,
       int me,
       int siblings,
       List<String> zones,
@@ -85,11 +85,11 @@
   private static final int SILENT = 3;
 
   private final Terms terms;
-  private final Ballots ballots;
+  private final ZoneVoteTransport ballots;
   private final Actions out;
   private final SplittableRandom chance;
   private final long born;
-  private final Map<Integer, ZoneMachine> machines = new HashMap<>();
+  private final Map<Integer, ZoneStateMachine> machines = new HashMap<>();
   private Map<Integer, ZoneHealth> evidence = Map.of();
   private int unanswered;
   private long calls;
@@ -99,7 +99,7 @@
   private boolean voting = true;
 
   /** Begins with all zones in; {@code seed} is its only source of chance. */
-  public ZoneAgreement(Terms terms, Ballots ballots, long seed, long now, Actions out) {
+  public ZoneConsensus(Terms terms, ZoneVoteTransport ballots, long seed, long now, Actions out) {
     this.terms = terms;
     this.ballots = ballots;
     this.out = out;
@@ -183,13 +183,13 @@
     return of != null && bearable(away(zone) + of.endpointFraction());
   }
 
-  private ZoneMachine machine(int zone) {
+  private ZoneStateMachine machine(int zone) {
     return machines.computeIfAbsent(
-        zone, any -> new ZoneMachine(zone, this, terms, out, chance.split()));
+        zone, any -> new ZoneStateMachine(zone, this, terms, out, chance.split()));
   }
 
   /** How many nodes have voted on a ballot; more than there are is nobody's word. */
-  public void tallied(long now, Ballot ballot, double total) {
+  public void tallied(long now, ZoneVote ballot, double total) {
     unanswered = 0;
     int witnesses = (int) Math.rint(total);
     if (witnesses > terms.siblings()) {
@@ -213,7 +213,8 @@
 
   /** Whether there is no fleet to hear. */
   boolean alone() {
-    return terms.settings().verdicts() == ZoneSettings.Verdicts.ALONE || unanswered >= SILENT;
+    return terms.settings().verdicts() == ZoneEjectionSettings.Verdicts.ALONE
+        || unanswered >= SILENT;
   }
 
   /**
@@ -222,14 +223,14 @@
    * @param votedIn the window of this question's last vote
    * @return the window of its last vote now
    */
-  long ask(long now, int zone, Ballot.Question question, boolean mine, long votedIn) {
-    if (terms.settings().verdicts() == ZoneSettings.Verdicts.ALONE) {
+  long ask(long now, int zone, ZoneVote.Question question, boolean mine, long votedIn) {
+    if (terms.settings().verdicts() == ZoneEjectionSettings.Verdicts.ALONE) {
       return votedIn;
     }
     long window = window(now);
     boolean votes = mine && voting && votedIn != window && window * WINDOW >= born;
     calls++;
-    ballots.cast(now, new Ballot(zone, question, window), votes);
+    ballots.cast(now, new ZoneVote(zone, question, window), votes);
     return votes ? window : votedIn;
   }
 
@@ -263,7 +264,7 @@
   }
 
   /** How a zone stands. */
-  public ZoneVerdict verdict(int zone) {
+  public ZoneEjectionState verdict(int zone) {
     return machine(zone).verdict();
   }
 
@@ -279,6 +280,6 @@
 
   /** Zones that are out or on their way. */
   public long zonesAway() {
-    return machines.values().stream().filter(ZoneMachine::away).count();
+    return machines.values().stream().filter(ZoneStateMachine::away).count();
   }
 }
--- a/edge/src/main/java/edgegateway/node/zones/ZoneVerdicts.java
+++ b/edge/src/main/java/edgegateway/node/zones/ZoneEjectionController.java
@@ -12,7 +12,7 @@
  * Joins the agreement on zones to a node's module and to its shared counter; its host calls it as
  * it calls the module.
  */
-public final class ZoneVerdicts implements ZoneAgreement.Actions {
+public final class ZoneEjectionController implements ZoneConsensus.Actions {
   /** How often {@link #tick} is to be called, nanoseconds. */
   public static final long TICK = 100_000_000L;
 
@@ -27,15 +27,15 @@
 
   private final GatewayPolicy gateway;
   private final PolicyActions host;
-  private final CounterBallots ballots;
-  private final ZoneAgreement agreement;
+  private final CounterVoteTransport ballots;
+  private final ZoneConsensus agreement;
 
   /** Of the event that is on. */
   private long now;
 
   /** {@code zones} are the zones' names in the settings' order. */
-  public ZoneVerdicts(
-      ZoneSettings of,
+  public ZoneEjectionController(
+      ZoneEjectionSettings of,
       PolicySettings settings,
       List<String> zones,
       long seed,
@@ -44,13 +44,16 @@
       PolicyActions host) {
     this.gateway = gateway;
     this.host = host;
-    ballots = new CounterBallots(host::addToCounter, zones, ZoneAgreement.WINDOW);
+    ballots = new CounterVoteTransport(host::addToCounter, zones, ZoneConsensus.WINDOW);
     boolean counted = settings.counter().present();
-    ZoneSettings able =
-        counted ? of : new ZoneSettings(ZoneSettings.Verdicts.ALONE, of.mostOut(), of.aloneAfter());
+    ZoneEjectionSettings able =
+        counted
+            ? of
+            : new ZoneEjectionSettings(
+                ZoneEjectionSettings.Verdicts.ALONE, of.mostOut(), of.aloneAfter());
     agreement =
-        new ZoneAgreement(
-            new ZoneAgreement.Terms(
+        new ZoneConsensus(
+            new ZoneConsensus.Terms(
                 able,
                 settings.nodeIndex(),
                 Math.max(1, settings.nodeCount()),
@@ -84,13 +87,13 @@
 
   /** Whether a name of the counter is this one's. */
   public static boolean owns(long name) {
-    return CounterBallots.owns(name);
+    return CounterVoteTransport.owns(name);
   }
 
   /** A call of its own to the counter has ended; as an event of the module's. */
   public void counted(long at, long name, Outcome outcome, double total) {
     now = at;
-    Ballot ballot = ballots.ended(name);
+    ZoneVote ballot = ballots.ended(name);
     if (ballot != null && outcome == Outcome.OK) {
       agreement.tallied(now, ballot, total);
     } else if (ballot != null) {
@@ -99,7 +102,7 @@
   }
 
   /** Who decides, for what operators read and for the end of this process. */
-  public ZoneAgreement agreement() {
+  public ZoneConsensus agreement() {
     return agreement;
   }
 
--- a/edge/src/main/java/edgegateway/node/zones/ZoneSettings.java
+++ b/edge/src/main/java/edgegateway/node/zones/ZoneEjectionSettings.java
@@ -9,7 +9,7 @@
  * @param aloneAfter for how long a node must find a zone bad by itself until it leaves it without
  *     the others, nanoseconds
  */
-public record ZoneSettings(Verdicts verdicts, double mostOut, long aloneAfter) {
+public record ZoneEjectionSettings(Verdicts verdicts, double mostOut, long aloneAfter) {
   /** Who judges. */
   public enum Verdicts {
     /** Each node by itself. */
--- a/edge/src/main/java/edgegateway/node/zones/ZoneVerdict.java
+++ b/edge/src/main/java/edgegateway/node/zones/ZoneEjectionState.java
@@ -8,7 +8,7 @@
  * @param since when that began, on the module's clock; 0 for always
  * @param relapses how often it went out again on its way back, of late
  */
-public record ZoneVerdict(State state, Why why, int witnesses, long since, int relapses) {
+public record ZoneEjectionState(State state, Why why, int witnesses, long since, int relapses) {
   /** Where a zone stands. */
   public enum State {
     /** Used as ever. */
--- a/edge/src/main/java/edgegateway/node/zones/ZoneMachine.java
+++ b/edge/src/main/java/edgegateway/node/zones/ZoneStateMachine.java
@@ -1,15 +1,15 @@
 package edgegateway.node.zones;
 
-import edgegateway.node.zones.Ballot.Question;
-import edgegateway.node.zones.ZoneVerdict.State;
-import edgegateway.node.zones.ZoneVerdict.Why;
+import edgegateway.node.zones.ZoneEjectionState.State;
+import edgegateway.node.zones.ZoneEjectionState.Why;
+import edgegateway.node.zones.ZoneVote.Question;
 import edgegateway.policy.api.TrafficRamp;
 import edgegateway.policy.api.ZoneHealth;
 import java.util.Locale;
 import java.util.SplittableRandom;
 
 /** One zone's way out and back, as one node sees it. */
-final class ZoneMachine {
+final class ZoneStateMachine {
   private static final long NEVER = Long.MIN_VALUE;
 
   /** An accusation holds so long after the evidence went: who has left meets nothing more. */
@@ -55,9 +55,9 @@
   private static final int RELAPSE = 3;
 
   private final int zone;
-  private final ZoneAgreement agreement;
-  private final ZoneAgreement.Terms terms;
-  private final ZoneAgreement.Actions out;
+  private final ZoneConsensus agreement;
+  private final ZoneConsensus.Terms terms;
+  private final ZoneConsensus.Actions out;
   private final SplittableRandom chance;
   private State state = State.IN;
   private Why why = Why.NONE;
@@ -82,11 +82,11 @@
 
   private int failed;
 
-  ZoneMachine(
+  ZoneStateMachine(
       int zone,
-      ZoneAgreement agreement,
-      ZoneAgreement.Terms terms,
-      ZoneAgreement.Actions out,
+      ZoneConsensus agreement,
+      ZoneConsensus.Terms terms,
+      ZoneConsensus.Actions out,
       SplittableRandom chance) {
     this.zone = zone;
     this.agreement = agreement;
@@ -99,8 +99,8 @@
     return state == State.LEAVING || state == State.OUT || state == State.RETURNING;
   }
 
-  ZoneVerdict verdict() {
-    return new ZoneVerdict(state, why, witnesses, since, relapses);
+  ZoneEjectionState verdict() {
+    return new ZoneEjectionState(state, why, witnesses, since, relapses);
   }
 
   /** {@code comparable} is whether some other zone is well. */
@@ -143,7 +143,7 @@
 
   /** Votes once in each window, for those who come to the same view later than this node. */
   private void affirm(long now, Question question) {
-    if (votedIn[question.ordinal()] != ZoneAgreement.window(now) && why == Why.FLEET) {
+    if (votedIn[question.ordinal()] != ZoneConsensus.window(now) && why == Why.FLEET) {
       ask(now, question, true);
     }
   }
@@ -157,11 +157,11 @@
   }
 
   /** So many nodes said so on a ballot. */
-  void tallied(long now, Ballot ballot, int votes) {
+  void tallied(long now, ZoneVote ballot, int votes) {
     // What was said before a zone came back, or went out again, is not about now.
     boolean old =
         (state == State.RETURNING || relapses > 0)
-            && ballot.window() <= ZoneAgreement.window(since);
+            && ballot.window() <= ZoneConsensus.window(since);
     if (old) {
       return;
     }
@@ -214,7 +214,7 @@
       affirm(now, Question.FAILING);
       return;
     }
-    long window = ZoneAgreement.window(now);
+    long window = ZoneConsensus.window(now);
     boolean alone = why == Why.ALONE || agreement.alone();
     boolean passed = (alone || elected(window)) && passed(now, of, alone ? PASSES_ALONE : PASSES);
     // Whoever found it well before and has not heard that others did goes by its own word.
@@ -237,7 +237,7 @@
 
   /** Sends trials, one after the other; after one that failed they begin anew, later. */
   private boolean passed(long now, ZoneHealth of, int enough) {
-    long window = ZoneAgreement.window(now);
+    long window = ZoneConsensus.window(now);
     if (triedIn != window) {
       triedIn = window;
       tryAt = Math.max(tryAt, now);
--- a/edge/src/main/java/edgegateway/node/zones/Ballot.java
+++ b/edge/src/main/java/edgegateway/node/zones/ZoneVote.java
@@ -6,7 +6,7 @@
  * @param zone its number in the settings
  * @param window the number of the span, by the wall clock
  */
-public record Ballot(int zone, Question question, long window) {
+public record ZoneVote(int zone, Question question, long window) {
   /** What a vote says. */
   public enum Question {
     /** My attempts in this zone fail, while others of mine succeed. */
--- a/edge/src/main/java/edgegateway/node/zones/Ballots.java
+++ b/edge/src/main/java/edgegateway/node/zones/ZoneVoteTransport.java
@@ -1,11 +1,11 @@
 package edgegateway.node.zones;
 
 /** Carries votes between the nodes. Each call may be lost; none may count twice. */
-public interface Ballots {
+public interface ZoneVoteTransport {
   /**
    * Asks how many nodes have voted, and votes first if {@code mine}. The tally, which includes that
-   * vote, comes later by {@link ZoneAgreement#tallied}, or {@link ZoneAgreement#unanswered} says
+   * vote, comes later by {@link ZoneConsensus#tallied}, or {@link ZoneConsensus#unanswered} says
    * that it does not.
    */
-  void cast(long now, Ballot ballot, boolean mine);
+  void cast(long now, ZoneVote ballot, boolean mine);
 }
--- a/edge/src/main/java/edgegateway/node/Json.java
+++ b/edge/src/main/java/edgegateway/protocol/Json.java
@@ -1,4 +1,4 @@
-package edgegateway.node;
+package edgegateway.protocol;
 
 import com.fasterxml.jackson.core.JsonFactory;
 import com.fasterxml.jackson.core.JsonParser;
@@ -9,6 +9,7 @@
 import com.fasterxml.jackson.databind.node.JsonNodeFactory;
 import com.fasterxml.jackson.databind.node.MissingNode;
 import com.fasterxml.jackson.databind.node.ObjectNode;
+import edgegateway.node.config.NodeConfig;
 import java.io.IOException;
 import java.io.UncheckedIOException;
 
@@ -16,7 +17,7 @@
  * JSON text as a tree, as {@code ObjectMapper.readTree} gives it, without the mapper: making one
  * costs an edge node more processor time at its start than reading its whole configuration.
  */
-final class Json {
+public final class Json {
   private static final JsonFactory FACTORY = new JsonFactory();
   private static final JsonNodeFactory NODES = JsonNodeFactory.instance;
 
@@ -26,7 +27,7 @@
    * The first value in {@code text}; a missing node if there is none. Nesting is bounded by the
    * parser.
    */
-  static JsonNode read(String text) throws JsonProcessingException {
+  public static JsonNode read(String text) throws JsonProcessingException {
     try (JsonParser parser = FACTORY.createParser(text)) {
       return parser.nextToken() == null ? MissingNode.getInstance() : node(parser);
     } catch (JsonProcessingException e) {
@@ -38,8 +39,8 @@
   }
 
   /** Takes the items of a list, in their order. */
-  interface Items {
-    void take(JsonNode item) throws Config.Invalid;
+  public interface Items {
+    void take(JsonNode item) throws NodeConfig.InvalidConfigException;
   }
 
   /**
@@ -47,8 +48,8 @@
    * kept, so that a long list is never a tree as a whole. What is told before a fault in the text
    * is told all the same.
    */
-  static JsonNode read(String text, String list, Items items)
-      throws JsonProcessingException, Config.Invalid {
+  public static JsonNode read(String text, String list, Items items)
+      throws JsonProcessingException, NodeConfig.InvalidConfigException {
     try (JsonParser parser = FACTORY.createParser(text)) {
       JsonToken first = parser.nextToken();
       if (first != JsonToken.START_OBJECT) {
--- a/edge/src/main/java/edgegateway/protocol/SettingsReader.java
+++ b/edge/src/main/java/edgegateway/protocol/PolicySettingsReader.java
@@ -18,10 +18,10 @@
  * wire and the real edge node's configuration share it, so that both run the module on the same
  * reading of the same names.
  */
-public final class SettingsReader {
+public final class PolicySettingsReader {
   private final Map<String, String> pairs;
 
-  private SettingsReader(Map<String, String> pairs) {
+  private PolicySettingsReader(Map<String, String> pairs) {
     this.pairs = pairs;
   }
 
@@ -43,7 +43,7 @@
    * commas.
    */
   public static PolicySettings read(Map<String, String> pairs) {
-    return new SettingsReader(pairs).settings();
+    return new PolicySettingsReader(pairs).settings();
   }
 
   private PolicySettings settings() {
--- a/edge/src/main/java/edgegateway/node/SettingsPairs.java
+++ b/edge/src/main/java/edgegateway/protocol/SettingsFlattener.java
@@ -1,4 +1,4 @@
-package edgegateway.node;
+package edgegateway.protocol;
 
 import com.fasterxml.jackson.databind.JsonNode;
 import java.util.ArrayList;
@@ -7,11 +7,11 @@
 import java.util.Map;
 
 /**
- * The settings' tree as the path=value pairs that {@link edgegateway.protocol.SettingsReader}
+ * The settings' tree as the path=value pairs that {@link edgegateway.protocol.PolicySettingsReader}
  * reads.
  */
-public final class SettingsPairs {
-  private SettingsPairs() {}
+public final class SettingsFlattener {
+  private SettingsFlattener() {}
 
   /**
    * A list of objects has its length under {@code .count}, plain values are joined by commas, nulls
--- a/edge/src/main/java/edgegateway/simulator/MalformedInput.java
+++ b/edge/src/main/java/edgegateway/simulator/MalformedInputException.java
@@ -1,10 +1,10 @@
 package edgegateway.simulator;
 
 /** Input that is not of the wire; the message names the line and what is wrong with it. */
-final class MalformedInput extends Exception {
+final class MalformedInputException extends Exception {
   private static final long serialVersionUID = 1L;
 
-  MalformedInput(long lineNumber, String line, String why) {
+  MalformedInputException(long lineNumber, String line, String why) {
     super(
         "line "
             + lineNumber
--- a/edge/src/main/java/edgegateway/simulator/Drill.java
+++ b/edge/src/main/java/edgegateway/simulator/SimulatorAdapter.java
@@ -8,8 +8,8 @@
 import java.nio.charset.StandardCharsets;
 
 /** The adapter's entry point: plays many gateways on the simulator's wire until its input ends. */
-public final class Drill {
-  private Drill() {}
+public final class SimulatorAdapter {
+  private SimulatorAdapter() {}
 
   /** Runs the drill; the only argument is the word {@code drill}. */
   public static void main(String[] args) {
@@ -22,7 +22,7 @@
         new BufferedWriter(new OutputStreamWriter(System.out, StandardCharsets.UTF_8), 1 << 16);
     try {
       new WireReader(in, new WireWriter(out)).run();
-    } catch (MalformedInput e) {
+    } catch (MalformedInputException e) {
       System.err.println(e.getMessage());
       System.exit(1);
     } catch (IOException e) {
--- a/edge/src/main/java/edgegateway/simulator/WireReader.java
+++ b/edge/src/main/java/edgegateway/simulator/WireReader.java
@@ -7,7 +7,7 @@
 import edgegateway.policy.api.EndpointState;
 import edgegateway.policy.api.Outcome;
 import edgegateway.policy.api.Request;
-import edgegateway.protocol.SettingsReader;
+import edgegateway.protocol.PolicySettingsReader;
 import java.io.BufferedReader;
 import java.io.IOException;
 import java.util.ArrayList;
@@ -33,7 +33,7 @@
   }
 
   /** Plays batches until the input ends. */
-  void run() throws IOException, MalformedInput {
+  void run() throws IOException, MalformedInputException {
     while (next()) {
       if (!parts[0].equals("mark")) {
         throw malformed("a batch begins with 'mark'");
@@ -66,7 +66,7 @@
     return true;
   }
 
-  private void event() throws IOException, MalformedInput {
+  private void event() throws IOException, MalformedInputException {
     int node = integer(1);
     switch (parts[0]) {
       case "start" -> {
@@ -74,7 +74,8 @@
         try {
           gateways.put(
               node,
-              new GatewayPolicy(SettingsReader.read(parts, 3), seed, now, out.actionsOf(node)));
+              new GatewayPolicy(
+                  PolicySettingsReader.read(parts, 3), seed, now, out.actionsOf(node)));
         } catch (IllegalArgumentException e) {
           throw malformed("bad settings (" + e.getMessage() + ")");
         }
@@ -118,7 +119,7 @@
     }
   }
 
-  private void view(int node) throws IOException, MalformedInput {
+  private void view(int node) throws IOException, MalformedInputException {
     GatewayPolicy gateway = gateway(node);
     EndpointListKind kind =
         switch (integer(3)) {
@@ -148,7 +149,7 @@
     gateway.endpointsUpdated(now, kind, entries);
   }
 
-  private GatewayPolicy gateway(int node) throws MalformedInput {
+  private GatewayPolicy gateway(int node) throws MalformedInputException {
     GatewayPolicy gateway = gateways.get(node);
     if (gateway == null) {
       throw malformed("instance " + node + " was not started");
@@ -156,7 +157,7 @@
     return gateway;
   }
 
-  private Outcome outcome(int at) throws MalformedInput {
+  private Outcome outcome(int at) throws MalformedInputException {
     return switch (text(at)) {
       case "S" -> Outcome.OK;
       case "E" -> Outcome.ERROR;
@@ -170,18 +171,18 @@
     };
   }
 
-  private String text(int at) throws MalformedInput {
+  private String text(int at) throws MalformedInputException {
     if (at >= parts.length || parts[at].isEmpty()) {
       throw malformed("value " + at + " is missing");
     }
     return parts[at];
   }
 
-  private boolean absent(int at) throws MalformedInput {
+  private boolean absent(int at) throws MalformedInputException {
     return text(at).equals("-");
   }
 
-  private int integer(int at) throws MalformedInput {
+  private int integer(int at) throws MalformedInputException {
     long value = whole(at);
     if (value != (int) value) {
       throw malformed("value " + at + " is out of range");
@@ -189,7 +190,7 @@
     return (int) value;
   }
 
-  private long whole(int at) throws MalformedInput {
+  private long whole(int at) throws MalformedInputException {
     try {
       return absent(at) ? 0 : Long.parseLong(parts[at]);
     } catch (NumberFormatException e) {
@@ -197,7 +198,7 @@
     }
   }
 
-  private double number(int at) throws MalformedInput {
+  private double number(int at) throws MalformedInputException {
     try {
       double value = absent(at) ? 0 : Double.parseDouble(parts[at]);
       if (!Double.isFinite(value)) {
@@ -209,7 +210,7 @@
     }
   }
 
-  private List<Double> numbers(int at) throws MalformedInput {
+  private List<Double> numbers(int at) throws MalformedInputException {
     List<Double> values = new ArrayList<>();
     if (at < parts.length && !absent(at)) {
       for (String value : parts[at].split(",")) {
@@ -223,7 +224,7 @@
     return values;
   }
 
-  private MalformedInput malformed(String why) {
-    return new MalformedInput(lineNumber, line, why);
+  private MalformedInputException malformed(String why) {
+    return new MalformedInputException(lineNumber, line, why);
   }
 }
--- a/edge/src/test/java/edgegateway/node/LeftClientsTest.java
+++ b/edge/src/test/java/edgegateway/node/ClientDisconnectTest.java
@@ -27,7 +27,7 @@
  * tenth of a second later. Each crossing is forced.
  */
 @Timeout(60)
-class LeftClientsTest extends NodeTest {
+class ClientDisconnectTest extends NodeTest {
   /** Beyond this an attempt for a client that left is a break. */
   private static final long BREAK = TimeUnit.MILLISECONDS.toNanos(100);
 
@@ -58,7 +58,7 @@
     assertEquals(List.of(), sentOn, "sent on for clients that had left");
   }
 
-  private void note(Peer.Message came, String wanted, Reading how, boolean reset) {
+  private void note(FakePeer.Message came, String wanted, Reading how, boolean reset) {
     if (came == null || !wanted.equals(came.headers().get("x-trace-id"))) {
       sentOn.add(how + (reset ? " reset" : " closed"));
     }
@@ -83,7 +83,7 @@
   }
 
   /** One connection to the archive server: the next attempt has to wait for it. */
-  private EdgeNode narrow(Peer server) throws Exception {
+  private EdgeNode narrow(FakePeer server) throws Exception {
     return serving(
         server.address(),
         text ->
@@ -161,11 +161,11 @@
     for (Reading how : Reading.values()) {
       for (boolean reset : new boolean[] {false, true}) {
         CompletableFuture<Void> go = new CompletableFuture<>();
-        Peer server =
+        FakePeer server =
             peer(
                 m -> {
                   go.join();
-                  m.answer(Peer.ok("", "held"));
+                  m.answer(FakePeer.ok("", "held"));
                 });
         EdgeNode node = narrow(server);
         Socket first = client(node);
@@ -176,11 +176,11 @@
         awaitLog(node, "app.in_progress=2");
         awaitBreak(leave(second, reset));
         go.complete(null);
-        assertEquals("held", Peer.read(first).body());
+        assertEquals("held", FakePeer.read(first).body());
         awaitLog(node, "app.in_progress=0");
         Socket third = client(node);
         order(third, "t-3");
-        assertEquals("held", Peer.read(third).body());
+        assertEquals("held", FakePeer.read(third).body());
         note(server.next(), "t-3", how, reset);
       }
     }
@@ -195,9 +195,9 @@
         counting =
             m -> {
               go.join();
-              m.answer(Peer.ok("", "1"));
+              m.answer(FakePeer.ok("", "1"));
             };
-        Peer server = peer(m -> m.answer(Peer.ok("", "done")));
+        FakePeer server = peer(m -> m.answer(FakePeer.ok("", "done")));
         EdgeNode node =
             serving(
                 server.address(),
@@ -221,7 +221,7 @@
         awaitLog(node, "app.in_progress=0");
         Socket next = client(node);
         order(next, "t-next");
-        assertEquals("done", Peer.read(next).body());
+        assertEquals("done", FakePeer.read(next).body());
         note(server.next(), "t-next", how, reset);
       }
     }
@@ -239,7 +239,7 @@
       Socket client = client(node);
       ask(client, "t-left", how);
       Socket first = server.accept();
-      assertEquals("t-left", Peer.read(first).headers().get("x-trace-id"));
+      assertEquals("t-left", FakePeer.read(first).headers().get("x-trace-id"));
       Set<Integer> full = fill(server);
       leave(first, true);
       awaitLog(node, "app.connections.archive_servers.opened=2");
@@ -282,7 +282,7 @@
     late.setSoTimeout(10_000);
     awaitLog(node, "app.in_progress=0");
     write(client(node), "POST /api", headers("t-next", "order", "20000"), "book");
-    note(Peer.read(late), "t-next", how, reset);
+    note(FakePeer.read(late), "t-next", how, reset);
   }
 
   /** Connects until nobody more is taken; the ports that came. */
@@ -309,7 +309,7 @@
   void noAttemptBeginsRightBehindAStandstillInWhichItsClientLeft() throws Exception {
     for (boolean reset : new boolean[] {false, true}) {
       List<CompletableFuture<Void>> goes = new ArrayList<>();
-      Peer server =
+      FakePeer server =
           peer(
               m -> {
                 CompletableFuture<Void> go = new CompletableFuture<>();
@@ -317,7 +317,7 @@
                   goes.add(go);
                 }
                 go.join();
-                m.answer(Peer.ok("", "held"));
+                m.answer(FakePeer.ok("", "held"));
               });
       EdgeNode node = narrow(server);
       for (int round = 0; round < 10; round++) {
@@ -345,7 +345,7 @@
         go.complete(null);
         awaitBreak(left);
         still.complete(null);
-        assertEquals("held", Peer.read(first).body());
+        assertEquals("held", FakePeer.read(first).body());
         awaitLog(node, "app.in_progress=0");
         if (!server.seen.isEmpty()) {
           note(server.next(), "none", Reading.ON, reset);
@@ -368,11 +368,11 @@
             Reading.BODY,
             Reading.LONG_BODY)) {
       CompletableFuture<Void> go = new CompletableFuture<>();
-      Peer server =
+      FakePeer server =
           peer(
               m -> {
                 go.join();
-                m.answer(Peer.ok("Connection: close\r\n", "held"));
+                m.answer(FakePeer.ok("Connection: close\r\n", "held"));
                 m.socket().close();
               });
       EdgeNode node = narrow(server);
@@ -384,10 +384,10 @@
       awaitLog(node, "app.in_progress=2");
       awaitBreak(System.nanoTime());
       go.complete(null);
-      assertEquals("held", Peer.read(first).body());
+      assertEquals("held", FakePeer.read(first).body());
       int lines = 0;
-      Peer.Message answer = Peer.read(second);
-      for (; answer.first().contains(" 100 "); answer = Peer.read(second)) {
+      FakePeer.Message answer = FakePeer.read(second);
+      for (; answer.first().contains(" 100 "); answer = FakePeer.read(second)) {
         lines++;
       }
       assertEquals("200", status(answer), how.toString());
@@ -400,11 +400,11 @@
   @Test
   void anOldClientThatIsNotReadIsRefusedRatherThanSentOnBlindly() throws Exception {
     CompletableFuture<Void> go = new CompletableFuture<>();
-    Peer server =
+    FakePeer server =
         peer(
             m -> {
               go.join();
-              m.answer(Peer.ok("", "held"));
+              m.answer(FakePeer.ok("", "held"));
             });
     EdgeNode node = narrow(server);
     Socket first = client(node);
@@ -415,8 +415,8 @@
     awaitLog(node, "app.in_progress=2");
     awaitBreak(System.nanoTime());
     go.complete(null);
-    assertEquals("held", Peer.read(first).body());
-    assertEquals("503", status(Peer.read(second)));
+    assertEquals("held", FakePeer.read(first).body());
+    assertEquals("503", status(FakePeer.read(second)));
     assertTrue(server.seen.isEmpty());
   }
 }
--- a/edge/src/test/java/edgegateway/node/ConnectionsMeasure.java
+++ b/edge/src/test/java/edgegateway/node/ConnectionsMeasure.java
@@ -102,7 +102,7 @@
     return jars.split(",");
   }
 
-  private static String[] members(Peer... servers) {
+  private static String[] members(FakePeer... servers) {
     String[] members = new String[servers.length];
     for (int i = 0; i < members.length; i++) {
       members[i] = member("s-" + i, servers[i].address(), "Ready", 0);
@@ -110,8 +110,8 @@
     return members;
   }
 
-  private static String[] many(Peer server, int names) {
-    Peer[] servers = new Peer[names];
+  private static String[] many(FakePeer server, int names) {
+    FakePeer[] servers = new FakePeer[names];
     Arrays.fill(servers, server);
     return members(servers);
   }
@@ -142,7 +142,7 @@
 
   @Test
   void wellBehavedPeersBesideAGreedyOne() throws Exception {
-    Peer server = peer(m -> m.answer(Peer.ok("", "x")));
+    FakePeer server = peer(m -> m.answer(FakePeer.ok("", "x")));
     for (int round = 0; round < ROUNDS; round++) {
       for (String jar : jars()) {
         try (Program program = new Program(jar, 256, many(server, 40))) {
@@ -210,7 +210,7 @@
 
   @Test
   void requestsInHandDuringASurge() throws Exception {
-    Peer server = peer(m -> m.answer(Peer.ok("", "x")));
+    FakePeer server = peer(m -> m.answer(FakePeer.ok("", "x")));
     for (int round = 0; round < ROUNDS; round++) {
       for (String jar : jars()) {
         for (int newcomers : new int[] {0, 2_000}) {
@@ -269,19 +269,19 @@
     for (int round = 0; round < ROUNDS; round++) {
       for (String jar : jars()) {
         for (boolean burst : new boolean[] {false, true}) {
-          Peer[] servers = new Peer[burst ? 4 : 20];
+          FakePeer[] servers = new FakePeer[burst ? 4 : 20];
           for (int i = 0; i < servers.length; i++) {
             servers[i] =
                 peer(
                     m -> {
                       Thread.sleep(20);
-                      m.answer(Peer.ok("", "x"));
+                      m.answer(FakePeer.ok("", "x"));
                     });
           }
           try (Program program = new Program(jar, 256, members(servers))) {
-            int before = Arrays.stream(servers).mapToInt(Peer::accepted).sum();
+            int before = Arrays.stream(servers).mapToInt(FakePeer::accepted).sum();
             int requests = burst ? bursts(program.at) : thin(program.at);
-            int opened = Arrays.stream(servers).mapToInt(Peer::accepted).sum() - before;
+            int opened = Arrays.stream(servers).mapToInt(FakePeer::accepted).sum() - before;
             System.out.printf(
                 "connections, %s %s %d: %d for %d requests%n",
                 burst ? "bursts" : "thin", jar, round, opened, requests);
@@ -332,7 +332,7 @@
   }
 
   private EdgeNode here(TestCertificate certificate) throws Exception {
-    Peer server = peer(m -> m.answer(Peer.ok("", "x")));
+    FakePeer server = peer(m -> m.answer(FakePeer.ok("", "x")));
     String text = config(member("s-0", server.address(), "Ready", 0));
     return start(
         certificate == null
--- a/edge/src/test/java/edgegateway/node/ConnectionsTest.java
+++ b/edge/src/test/java/edgegateway/node/ConnectionsTest.java
@@ -7,6 +7,7 @@
 import static org.junit.jupiter.api.Assertions.assertThrows;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
+import edgegateway.node.config.NodeConfig;
 import io.netty.buffer.PooledByteBufAllocator;
 import io.netty.util.ResourceLeakDetector;
 import java.io.IOException;
@@ -56,7 +57,7 @@
     }
   }
 
-  private EdgeNode bounded(String limits, Peer... servers) throws Exception {
+  private EdgeNode bounded(String limits, FakePeer... servers) throws Exception {
     String[] members = new String[servers.length];
     for (int i = 0; i < members.length; i++) {
       members[i] = member("s-" + i, servers[i].address(), "Ready", 0);
@@ -67,7 +68,7 @@
   }
 
   /** Under many names: the module lets some out for each. */
-  private static String[] many(Peer server) {
+  private static String[] many(FakePeer server) {
     String[] members = new String[40];
     for (int i = 0; i < members.length; i++) {
       members[i] = member("s-" + i, server.address(), "Ready", 0);
@@ -97,7 +98,7 @@
   /** How a peer's connection ended: a status, or "closed". */
   private static String end(Socket socket) throws IOException {
     try {
-      Peer.Message answer = Peer.read(socket);
+      FakePeer.Message answer = FakePeer.read(socket);
       return answer == null ? "closed" : status(answer);
     } catch (SocketTimeoutException e) {
       return "unheard";
@@ -109,7 +110,7 @@
   /** Silent connections once took every place, or the place of whoever had been there longest. */
   @Test
   void silentClientsGiveWayToOthersAndKeepNobodyOut() throws Exception {
-    Peer server = peer(m -> m.answer(Peer.ok("", "x")));
+    FakePeer server = peer(m -> m.answer(FakePeer.ok("", "x")));
     EdgeNode node = bounded("{\"clients\":16}", server);
     Socket lone = from(2, node);
     assertEquals("200", ask(lone, "t-lone"));
@@ -132,7 +133,7 @@
   /** Bytes that are here already when room is wanted belong to a request that is taken. */
   @Test
   void anEvictionLosesNoRequestThatIsOnItsWay() throws Exception {
-    Peer server = peer(m -> m.answer(Peer.ok("", "x")));
+    FakePeer server = peer(m -> m.answer(FakePeer.ok("", "x")));
     EdgeNode node = bounded("{\"clients\":12}", server);
     List<Socket> kept = new ArrayList<>();
     for (int i = 0; i < 12; i++) {
@@ -164,11 +165,11 @@
   @Test
   void withoutAPlaceARequestIsRefusedAndHealthStillTold() throws Exception {
     CompletableFuture<Void> go = new CompletableFuture<>();
-    Peer server =
+    FakePeer server =
         peer(
             m -> {
               go.join();
-              m.answer(Peer.ok("", "x"));
+              m.answer(FakePeer.ok("", "x"));
             });
     EdgeNode node = bounded("{\"clients\":8}", server);
     List<Socket> busy = new ArrayList<>();
@@ -179,10 +180,10 @@
     await(node, "in_progress", 8);
     Socket away = from(1, node);
     write(away, "POST /api", headers("away", "order", "20000"), "book");
-    Peer.Message answer = Peer.read(away);
+    FakePeer.Message answer = FakePeer.read(away);
     assertEquals("503", status(answer));
     assertEquals("close", answer.headers().get("connection"));
-    assertNull(Peer.read(away));
+    assertNull(FakePeer.read(away));
     Socket long_ = from(1, node);
     long_
         .getOutputStream()
@@ -191,13 +192,13 @@
                     + lines(headers("long", "order", "20000"))
                     + "Expect: 100-continue\r\nContent-Length: 60000\r\n\r\n")
                 .getBytes(StandardCharsets.UTF_8));
-    assertEquals("503", status(Peer.read(long_)), "it is told before its body came");
+    assertEquals("503", status(FakePeer.read(long_)), "it is told before its body came");
     Socket bad = from(1, node);
     write(bad, "POST /api", Map.of(), "");
     assertEquals("400", end(bad));
     Socket front = from(1, node);
     write(front, "GET /_health", Map.of(), "");
-    assertEquals("503", status(Peer.read(front)), "not admitted yet");
+    assertEquals("503", status(FakePeer.read(front)), "not admitted yet");
     assertEquals(1 + 1 + 1 + 1, figure(node, "connections.refused"));
     assertEquals(2, figure(node, "handled.order.dropped"));
     go.complete(null);
@@ -230,13 +231,13 @@
 
   private void surge(String when) throws Exception {
     CompletableFuture<Void> go = new CompletableFuture<>();
-    Peer server =
+    FakePeer server =
         peer(
             m -> {
               if (m.headers().get("x-trace-id").startsWith("hand")) {
                 go.join();
               }
-              m.answer(Peer.ok("", "x"));
+              m.answer(FakePeer.ok("", "x"));
             });
     String[] members = many(server);
     EdgeNode node = start(config(members), folder);
@@ -251,7 +252,7 @@
     if (when.equals("upgrade")) {
       next =
           new EdgeNode(
-              Config.parse(config(members).replace("127.0.0.1:0", "127.0.0.1:" + at.getPort())),
+              NodeConfig.parse(config(members).replace("127.0.0.1:0", "127.0.0.1:" + at.getPort())),
               folder);
       toClose.add(next);
       next.succeed();
@@ -308,11 +309,11 @@
   @Test
   void whoEndsItsSendingGetsItsAnswers() throws Exception {
     CompletableFuture<Void> go = new CompletableFuture<>();
-    Peer server =
+    FakePeer server =
         peer(
             m -> {
               go.join();
-              m.answer(Peer.ok("", m.headers().get("x-trace-id")));
+              m.answer(FakePeer.ok("", m.headers().get("x-trace-id")));
             });
     EdgeNode node = node(server);
     Socket client = client(node);
@@ -328,31 +329,31 @@
     for (int i = 0; i < 3; i++) {
       assertEquals("t-" + i, answer(client).body());
     }
-    assertNull(Peer.read(client));
-    Peer.Message last = answer(single);
+    assertNull(FakePeer.read(client));
+    FakePeer.Message last = answer(single);
     assertEquals("t-single", last.body());
     assertEquals("close", last.headers().get("connection"));
-    assertNull(Peer.read(single));
+    assertNull(FakePeer.read(single));
     Socket half = client(node);
     order(half, "t-9");
     half.getOutputStream().write("POST /api HT".getBytes(StandardCharsets.UTF_8));
     half.shutdownOutput();
     assertEquals("t-9", answer(half).body());
-    assertNull(Peer.read(half));
+    assertNull(FakePeer.read(half));
     await(node, "connections.open", 0);
   }
 
-  private static Peer.Message answer(Socket from) throws IOException {
-    Peer.Message answer = Peer.read(from);
+  private static FakePeer.Message answer(Socket from) throws IOException {
+    FakePeer.Message answer = FakePeer.read(from);
     while (answer.first().contains(" 100 ")) {
-      answer = Peer.read(from);
+      answer = FakePeer.read(from);
     }
     return answer;
   }
 
   @Test
   void whoClosesIsGoneAtOnce() throws Exception {
-    Peer server = peer(m -> {});
+    FakePeer server = peer(m -> {});
     EdgeNode node = node(server);
     Socket client = client(node);
     order(client, "t-1");
@@ -367,13 +368,13 @@
   @Test
   void resetsAnywhereCostNothingElse() throws Exception {
     CompletableFuture<Void> go = new CompletableFuture<>();
-    Peer server =
+    FakePeer server =
         peer(
             m -> {
               if (m.headers().get("x-trace-id").startsWith("wait")) {
                 go.join();
               }
-              m.answer(Peer.ok("", "x".repeat(60_000)));
+              m.answer(FakePeer.ok("", "x".repeat(60_000)));
             });
     EdgeNode node = start(config(many(server)));
     Socket well = client(node);
@@ -417,7 +418,8 @@
   @Test
   void whoNeverReadsIsGivenUp() throws Exception {
     byte[] body = new byte[65_000];
-    Peer server = peer(m -> m.answer(Peer.ok("", new String(body, StandardCharsets.US_ASCII))));
+    FakePeer server =
+        peer(m -> m.answer(FakePeer.ok("", new String(body, StandardCharsets.US_ASCII))));
     EdgeNode node = node(server);
     Socket client = new Socket();
     client.setReceiveBufferSize(4_096);
@@ -433,7 +435,7 @@
 
   @Test
   void noCustomersBodiesCrowdOutAnothers() throws Exception {
-    Peer server = peer(m -> m.answer(Peer.ok("", "x")));
+    FakePeer server = peer(m -> m.answer(FakePeer.ok("", "x")));
     EdgeNode node = bounded("{\"held-bytes\":400000}", server);
     List<Socket> greedy = new ArrayList<>();
     int refused = 0;
@@ -473,7 +475,7 @@
   @Test
   void answersThatFindNoRoomArePassedOnInPieces() throws Exception {
     String body = "y".repeat(60_000);
-    Peer server = peer(m -> m.answer(Peer.ok("", body)));
+    FakePeer server = peer(m -> m.answer(FakePeer.ok("", body)));
     EdgeNode node = bounded("{\"held-bytes\":131072}", server);
     List<Socket> clients = new ArrayList<>();
     for (int i = 0; i < 16; i++) {
@@ -481,7 +483,7 @@
       write(clients.get(i), "GET /api", headers("t-" + i, "lookup", "20000"), "");
     }
     for (Socket client : clients) {
-      assertTrue(body.equals(Peer.read(client).body()));
+      assertTrue(body.equals(FakePeer.read(client).body()));
     }
     await(node, "connections.held_bytes", 0);
   }
@@ -492,11 +494,11 @@
    */
   @Test
   void aSilentServersConnectionIsNotUsedAgain() throws Exception {
-    Peer silent =
+    FakePeer silent =
         peer(
             m -> {
               if (!m.headers().get("x-trace-id").equals("t-1")) {
-                m.answer(Peer.ok("", "x"));
+                m.answer(FakePeer.ok("", "x"));
               }
             });
     EdgeNode node = node(silent);
@@ -521,9 +523,9 @@
               try (Socket only = listening.accept()) {
                 listening.close();
                 closed.complete(null);
-                for (Peer.Message m = Peer.read(only); m != null; m = Peer.read(only)) {
+                for (FakePeer.Message m = FakePeer.read(only); m != null; m = FakePeer.read(only)) {
                   Thread.sleep(20);
-                  m.answer(Peer.ok("", "x"));
+                  m.answer(FakePeer.ok("", "x"));
                 }
               } catch (IOException | InterruptedException e) {
                 // The test is over.
@@ -552,8 +554,8 @@
   /** An address that moves: nothing for the new server goes by connections of the old one. */
   @Test
   void aServerBackColdOrElsewhereGetsNewConnections() throws Exception {
-    Peer old = peer(m -> m.answer(Peer.ok("", "old")));
-    Peer moved = peer(m -> m.answer(Peer.ok("", "new")));
+    FakePeer old = peer(m -> m.answer(FakePeer.ok("", "old")));
+    FakePeer moved = peer(m -> m.answer(FakePeer.ok("", "new")));
     CompletableFuture<Void> go = new CompletableFuture<>();
     String line =
         "{\"revision\":8,\"complete\":true,\"members\":["
@@ -608,13 +610,15 @@
                 "connections.held-bytes is not a whole number"));
     for (Map.Entry<String, String> one : broken.entrySet()) {
       String text = good.replace("\"counter\"", "\"connections\":" + one.getKey() + ",\"counter\"");
-      String said = assertThrows(Config.Invalid.class, () -> Config.parse(text)).getMessage();
+      String said =
+          assertThrows(NodeConfig.InvalidConfigException.class, () -> NodeConfig.parse(text))
+              .getMessage();
       assertTrue(said.startsWith(one.getValue()), said);
       assertFalse(said.contains("\n"), said);
     }
-    EdgeNode node = bounded("{\"clients\":100000}", peer(m -> m.answer(Peer.ok("", "x"))));
+    EdgeNode node = bounded("{\"clients\":100000}", peer(m -> m.answer(FakePeer.ok("", "x"))));
     assertEquals(1, node.budget().clamped().size());
-    assertEquals(Config.parse(good).sockets(), 1_024);
+    assertEquals(NodeConfig.parse(good).sockets(), 1_024);
     assertTrue(node.budget().clients() < 1_024);
   }
 
@@ -624,7 +628,7 @@
    */
   @Test
   void descriptorsThatRunOutFromOutsideAreSurvived() throws Exception {
-    Peer server = peer(m -> m.answer(Peer.ok("", "x")));
+    FakePeer server = peer(m -> m.answer(FakePeer.ok("", "x")));
     CompletableFuture<Void> never = new CompletableFuture<>();
     discovery =
         peer(
@@ -673,8 +677,8 @@
    */
   @Test
   void idleClientsKeepNobodyElseFromTheDescriptors() throws Exception {
-    Peer leaves = peer(m -> m.answer(Peer.ok("", "first")));
-    Peer stays = peer(m -> m.answer(Peer.ok("", "second")));
+    FakePeer leaves = peer(m -> m.answer(FakePeer.ok("", "first")));
+    FakePeer stays = peer(m -> m.answer(FakePeer.ok("", "second")));
     CompletableFuture<Void> never = new CompletableFuture<>();
     AtomicBoolean away = new AtomicBoolean(true);
     String change =
@@ -743,7 +747,7 @@
     while (true) {
       try (Socket client = from(9, at)) {
         write(client, "GET /api", headers, "");
-        Peer.Message answer = Peer.read(client);
+        FakePeer.Message answer = FakePeer.read(client);
         if (answer != null) {
           assertEquals("200", status(answer));
           return answer.body();
@@ -792,13 +796,13 @@
     ResourceLeakDetector.Level before = ResourceLeakDetector.getLevel();
     ResourceLeakDetector.setLevel(ResourceLeakDetector.Level.PARANOID);
     try {
-      Peer server =
+      FakePeer server =
           peer(
               m ->
                   m.answer(
                       m.headers().get("x-trace-id").endsWith("3")
                           ? "HTTP/1.1 200 OK\r\nbroken\r\n\r\n"
-                          : Peer.ok("", "x".repeat(2_000))));
+                          : FakePeer.ok("", "x".repeat(2_000))));
       EdgeNode node = node(server, peer(m -> m.socket().close()));
       ExecutorService callers = Executors.newFixedThreadPool(16);
       toClose.add(callers::shutdownNow);
--- a/edge/src/test/java/edgegateway/node/EdgeNodeTest.java
+++ b/edge/src/test/java/edgegateway/node/EdgeNodeTest.java
@@ -7,6 +7,9 @@
 import static org.junit.jupiter.api.Assertions.assertThrows;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
+import edgegateway.node.config.NodeConfig;
+import edgegateway.node.counter.CounterClient;
+import edgegateway.node.lifecycle.WarmUp;
 import io.netty.channel.EventLoop;
 import io.netty.channel.EventLoopGroup;
 import io.netty.channel.MultiThreadIoEventLoopGroup;
@@ -38,14 +41,14 @@
 class EdgeNodeTest extends NodeTest {
   @Test
   void passesARequestOnAndItsAnswerBackOverOneConnection() throws Exception {
-    Peer server = peer(m -> m.answer(Peer.ok("X-Units-Charged: 3\r\n", "done")));
+    FakePeer server = peer(m -> m.answer(FakePeer.ok("X-Units-Charged: 3\r\n", "done")));
     Socket client = client(node(server));
     for (String id : List.of("t-1", "t-2")) {
       order(client, id);
-      Peer.Message answer = Peer.read(client);
+      FakePeer.Message answer = FakePeer.read(client);
       assertEquals("200", status(answer));
       assertEquals("done", answer.body());
-      Peer.Message sent = server.next();
+      FakePeer.Message sent = server.next();
       assertEquals("POST /api?slot=4 HTTP/1.1", sent.first());
       assertEquals("book", sent.body());
       assertEquals(id, sent.headers().get("x-trace-id"));
@@ -58,18 +61,20 @@
   /** A null channel in the connect's listener once failed every first request on a connection. */
   @Test
   void theFirstRequestOnANewConnectionIsServed() throws Exception {
-    assertEquals("200", ask(client(node(peer(m -> m.answer(Peer.ok("", "x"))))), "t-1"));
+    assertEquals("200", ask(client(node(peer(m -> m.answer(FakePeer.ok("", "x"))))), "t-1"));
   }
 
   /** Made-up requests go the whole way in the process, and none of them out of it. */
   @Test
   void theWarmUpServesAndReachesNobody() throws Exception {
-    Peer server = peer(m -> m.answer(Peer.ok("", "x")));
-    assertTrue(WarmUp.run(Config.parse(config(member("s-0", server.address(), "Ready", 0)))) > 0);
-    for (Peer peer : List.of(server, counter, discovery)) {
+    FakePeer server = peer(m -> m.answer(FakePeer.ok("", "x")));
+    assertTrue(
+        WarmUp.run(NodeConfig.parse(config(member("s-0", server.address(), "Ready", 0)))) > 0);
+    for (FakePeer peer : List.of(server, counter, discovery)) {
       assertTrue(peer.seen.isEmpty());
     }
-    assertEquals(0, WarmUp.run(Config.parse(config())), "without a list there is nobody to serve");
+    assertEquals(
+        0, WarmUp.run(NodeConfig.parse(config())), "without a list there is nobody to serve");
   }
 
   /**
@@ -79,23 +84,23 @@
   @Test
   void aNodeThatIsNotAdmittedYetServesAndSaysSo() throws Exception {
     discovery = peer(m -> m.answer("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"));
-    EdgeNode node = node(peer(m -> m.answer(Peer.ok("", "x"))));
+    EdgeNode node = node(peer(m -> m.answer(FakePeer.ok("", "x"))));
     Socket client = client(node);
     assertEquals("200", ask(client, "t-1"));
     write(client, "GET /_health", Map.of(), "");
-    assertEquals("503", status(Peer.read(client)));
+    assertEquals("503", status(FakePeer.read(client)));
     node.admit();
     String health;
     do {
       write(client, "GET /_health", Map.of(), "");
-      health = status(Peer.read(client));
+      health = status(FakePeer.read(client));
     } while (health.equals("503"));
     assertEquals("200", health);
   }
 
   @Test
   void whatIsNoRequestIsTurnedAwayAtOnce() throws Exception {
-    Peer server = peer(m -> m.answer(Peer.ok("", "x")));
+    FakePeer server = peer(m -> m.answer(FakePeer.ok("", "x")));
     EdgeNode node = node(server);
     Map<String, String> bad =
         new TreeMap<>(
@@ -119,7 +124,7 @@
       headers.put(one.getKey(), one.getValue());
       Socket client = client(node);
       write(client, "POST /api", headers, "");
-      assertEquals("400", status(Peer.read(client)), one.getKey());
+      assertEquals("400", status(FakePeer.read(client)), one.getKey());
     }
     for (String quota :
         List.of(
@@ -132,29 +137,29 @@
       headers.put("X-Quota", quota);
       Socket client = client(node);
       write(client, "POST /api", headers, "");
-      assertEquals("400", status(Peer.read(client)), quota);
+      assertEquals("400", status(FakePeer.read(client)), quota);
     }
     Map<String, String> good = headers("t-1", "order", "20000");
     Socket client = client(node);
     write(client, "GET /api", good, "");
-    assertEquals("405", status(Peer.read(client)));
+    assertEquals("405", status(FakePeer.read(client)));
     write(client, "POST /elsewhere", good, "");
-    assertEquals("404", status(Peer.read(client)));
+    assertEquals("404", status(FakePeer.read(client)));
     client
         .getOutputStream()
         .write(
             "POST /api HTTP/1.1\r\nContent-Length: 40000000\r\n\r\n"
                 .getBytes(StandardCharsets.UTF_8));
-    assertEquals("413", status(Peer.read(client)));
+    assertEquals("413", status(FakePeer.read(client)));
     Socket noise = client(node);
     noise.getOutputStream().write("\u0001noise\r\n\r\n".getBytes(StandardCharsets.UTF_8));
-    assertEquals("400", status(Peer.read(noise)));
+    assertEquals("400", status(FakePeer.read(noise)));
     assertTrue(server.seen.isEmpty(), "none of these may reach an app server");
   }
 
   @Test
   void whoBringsNoWholeRequestIsCutOff() throws Exception {
-    EdgeNode node = node(peer(m -> m.answer(Peer.ok("", "x"))));
+    EdgeNode node = node(peer(m -> m.answer(FakePeer.ok("", "x"))));
     for (String part :
         List.of(
             "",
@@ -162,13 +167,13 @@
             "POST /api HTTP/1.1\r\nHost: app.svc\r\nContent-Length: 9\r\n\r\nha")) {
       Socket client = client(node);
       client.getOutputStream().write(part.getBytes(StandardCharsets.UTF_8));
-      assertNull(Peer.read(client), part);
+      assertNull(FakePeer.read(client), part);
     }
   }
 
   @Test
   void aRequestThatCanBeReadInTwoWaysIsNone() throws Exception {
-    Peer server = peer(m -> m.answer(Peer.ok("", "x")));
+    FakePeer server = peer(m -> m.answer(FakePeer.ok("", "x")));
     EdgeNode node = node(server);
     for (String twice :
         List.of("Transfer-Encoding: chunked", "X-Trace-Id: t-2", "Content-Length: 1")) {
@@ -176,7 +181,7 @@
       headers.put("X-Note", "x\r\n" + twice);
       Socket client = client(node);
       write(client, "POST /api", headers, "0\r\n\r\n");
-      assertEquals("400", status(Peer.read(client)), twice);
+      assertEquals("400", status(FakePeer.read(client)), twice);
     }
     assertTrue(server.seen.isEmpty());
   }
@@ -184,24 +189,24 @@
   /** A line of requests longer than what may wait once cost all of them their answers. */
   @Test
   void pipelinedRequestsAreAllAnsweredInTheirOrder() throws Exception {
-    Peer server = peer(m -> m.answer(Peer.ok("", m.headers().get("x-trace-id"))));
+    FakePeer server = peer(m -> m.answer(FakePeer.ok("", m.headers().get("x-trace-id"))));
     Socket client = client(node(server));
     for (int i = 0; i < 40; i++) {
       order(client, "t-" + i);
     }
     for (int i = 0; i < 40; i++) {
-      assertEquals("t-" + i, Peer.read(client).body());
+      assertEquals("t-" + i, FakePeer.read(client).body());
     }
   }
 
   @Test
   void aSecondRequestOfAnOpenIdIsTurnedAwayAndTheFirstIsServed() throws Exception {
     CompletableFuture<Void> go = new CompletableFuture<>();
-    Peer server =
+    FakePeer server =
         peer(
             m -> {
               go.join();
-              m.answer(Peer.ok("", "x"));
+              m.answer(FakePeer.ok("", "x"));
             });
     EdgeNode node = node(server);
     Socket first = client(node);
@@ -209,16 +214,16 @@
     server.next();
     assertEquals("409", ask(client(node), "t-1"));
     go.complete(null);
-    assertEquals("200", status(Peer.read(first)));
+    assertEquals("200", status(FakePeer.read(first)));
   }
 
   @Test
   void aTurnedAwayAttemptGoesElsewhereUnseen() throws Exception {
-    Peer full =
+    FakePeer full =
         peer(m -> m.answer("HTTP/1.1 503 Full\r\nX-Never-Ran: 1\r\nContent-Length: 0\r\n\r\n"));
-    Peer gone = peer(m -> {});
+    FakePeer gone = peer(m -> {});
     gone.close();
-    Peer good = peer(m -> m.answer(Peer.ok("", "x")));
+    FakePeer good = peer(m -> m.answer(FakePeer.ok("", "x")));
     Socket client = client(node(full, gone, good));
     for (int i = 0; i < 8; i++) {
       assertEquals("200", ask(client, "t-" + i));
@@ -238,7 +243,7 @@
             "HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nhalf",
             "",
             "HTTP/1.1 200 OK\r\nTransfer-Encoding: gzip\r\n\r\nno end told")) {
-      Peer server =
+      FakePeer server =
           peer(
               m -> {
                 m.answer(answer);
@@ -248,7 +253,7 @@
               });
       Socket client = client(node(server));
       write(client, "POST /api", headers("t-1", "strict", "20000"), "book");
-      assertEquals("502", status(Peer.read(client)), answer);
+      assertEquals("502", status(FakePeer.read(client)), answer);
       server.next();
       assertTrue(server.seen.isEmpty(), "it must have been sent once: " + answer);
     }
@@ -262,33 +267,33 @@
   void anAnswerThatCannotBeReadIsNotPassedOn() throws Exception {
     for (String answer :
         List.of(
-            Peer.ok("no colon here\r\n", "x"),
-            Peer.ok("X-Note : a space\r\n", "x"),
-            Peer.ok("Content-Length: 3\r\n", "x"),
+            FakePeer.ok("no colon here\r\n", "x"),
+            FakePeer.ok("X-Note : a space\r\n", "x"),
+            FakePeer.ok("Content-Length: 3\r\n", "x"),
             "ICY 200 OK\r\nContent-Length: 1\r\n\r\nx",
             "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n1\r\nx\r\nzz\r\nx\r\n0\r\n\r\n")) {
-      Peer server = peer(m -> m.answer(answer));
+      FakePeer server = peer(m -> m.answer(answer));
       Socket client = client(node(server));
       write(client, "POST /api", headers("t-1", "strict", "20000"), "book");
-      assertEquals("502", status(Peer.read(client)), answer);
+      assertEquals("502", status(FakePeer.read(client)), answer);
     }
-    Peer server =
+    FakePeer server =
         peer(
             m ->
                 m.answer(
                     "HTTP/1.1 103 Early Hints\r\nLink: </a>\r\n\r\n"
-                        + Peer.ok("X-Empty:\r\n", "x")));
+                        + FakePeer.ok("X-Empty:\r\n", "x")));
     assertEquals("200", ask(client(node(server)), "t-2"));
   }
 
   /** A status line that gives no reason ends in a space, and once failed its answer. */
   @Test
   void anAnswerNeedsNoReasonInItsStatusLine() throws Exception {
-    Peer server = peer(m -> m.answer("HTTP/1.1 200 \r\nContent-Length: 1\r\n\r\nx"));
+    FakePeer server = peer(m -> m.answer("HTTP/1.1 200 \r\nContent-Length: 1\r\n\r\nx"));
     Socket client = client(node(server));
     for (String id : List.of("t-1", "t-2")) {
       write(client, "POST /api", headers(id, "strict", "20000"), "book");
-      assertEquals("200", status(Peer.read(client)));
+      assertEquals("200", status(FakePeer.read(client)));
     }
   }
 
@@ -299,11 +304,11 @@
   @Test
   void whatFollowsAnAnswerIsNobodysAnswer() throws Exception {
     CompletableFuture<Void> go = new CompletableFuture<>();
-    Peer server =
+    FakePeer server =
         peer(
             m -> {
               go.join();
-              m.answer(Peer.ok("", m.headers().get("x-trace-id")) + Peer.ok("", "stray"));
+              m.answer(FakePeer.ok("", m.headers().get("x-trace-id")) + FakePeer.ok("", "stray"));
             });
     EdgeNode node = node(server);
     List<Socket> clients = new ArrayList<>();
@@ -316,11 +321,11 @@
     Socket front = client(node);
     for (int i = 0; i < 2; i++) {
       write(front, "GET /_health", Map.of(), "");
-      Peer.read(front);
+      FakePeer.read(front);
     }
     go.complete(null);
     for (int i = 0; i < clients.size(); i++) {
-      Peer.Message answer = Peer.read(clients.get(i));
+      FakePeer.Message answer = FakePeer.read(clients.get(i));
       assertEquals("200", status(answer));
       assertEquals("t-" + i, answer.body());
     }
@@ -332,10 +337,10 @@
    */
   @Test
   void silenceIsAnsweredAndItsConnectionClosed() throws Exception {
-    Peer server = peer(m -> {});
+    FakePeer server = peer(m -> {});
     Socket client = client(node(server));
     write(client, "POST /api", headers("t-1", "strict", "2500"), "book");
-    assertEquals("502", status(Peer.read(client)));
+    assertEquals("502", status(FakePeer.read(client)));
     server.next();
     assertNotNull(server.ended.poll(60, TimeUnit.SECONDS), "the silent connection must be closed");
   }
@@ -343,11 +348,11 @@
   @Test
   void aDrainAnswersWhatWasTakenAndClosesTheRest() throws Exception {
     CompletableFuture<Void> go = new CompletableFuture<>();
-    Peer server =
+    FakePeer server =
         peer(
             m -> {
               go.join();
-              m.answer(Peer.ok("", "x"));
+              m.answer(FakePeer.ok("", "x"));
             });
     EdgeNode node = node(server);
     Socket busy = client(node);
@@ -361,10 +366,10 @@
     assertFalse(drained.isDone());
     go.complete(null);
     for (Socket client : List.of(busy, late)) {
-      Peer.Message answer = Peer.read(client);
+      FakePeer.Message answer = FakePeer.read(client);
       assertEquals("200", status(answer));
       assertEquals("close", answer.headers().get("connection"));
-      assertNull(Peer.read(client));
+      assertNull(FakePeer.read(client));
     }
     drained.get(60, TimeUnit.SECONDS);
     // The kernel lets go of a listening socket only when the selector next runs: until then it may
@@ -380,8 +385,8 @@
 
   @Test
   void aWatchThatEndsGoesOnAfterItsLastRevision() throws Exception {
-    Peer moved = peer(m -> m.answer(Peer.ok("", "new")));
-    Peer old = peer(m -> m.answer(Peer.ok("", "old")));
+    FakePeer moved = peer(m -> m.answer(FakePeer.ok("", "new")));
+    FakePeer old = peer(m -> m.answer(FakePeer.ok("", "old")));
     String line =
         "{\"revision\":8,\"complete\":false,\"members\":["
             + member("s-0", moved.address(), "Ready", System.currentTimeMillis() - 60_000)
@@ -403,7 +408,7 @@
     EdgeNode node = node(old);
     Socket client = client(node);
     order(client, "t-1");
-    assertEquals("old", Peer.read(client).body());
+    assertEquals("old", FakePeer.read(client).body());
     go.complete(null);
     String call = discovery.next().first();
     assertTrue(call.contains("watch=1&after=5"));
@@ -416,13 +421,13 @@
     // used.
     assertNotNull(old.ended.poll(60, TimeUnit.SECONDS));
     order(client, "t-2");
-    assertEquals("new", Peer.read(client).body());
+    assertEquals("new", FakePeer.read(client).body());
   }
 
   /** The program's own process: a JVM left to itself ends on SIGHUP. */
   @Test
   void onSighupDiscoveryAndCounterAreFollowedToTheirNewAddresses() throws Exception {
-    Peer server = peer(m -> m.answer(Peer.ok("", "x")));
+    FakePeer server = peer(m -> m.answer(FakePeer.ok("", "x")));
     CompletableFuture<Void> never = new CompletableFuture<>();
     discovery = peer(m -> never.join());
     Path file = Files.createTempFile("node", ".json");
@@ -430,9 +435,9 @@
     Process process = serve(file, List.of());
     discovery.next();
     InetSocketAddress at = servingAt(process);
-    Peer oldCounter = counter;
+    FakePeer oldCounter = counter;
     discovery = peer(m -> never.join());
-    counter = peer(m -> m.answer(Peer.ok("", "1")));
+    counter = peer(m -> m.answer(FakePeer.ok("", "1")));
     Files.writeString(file, config(member("s-0", server.address(), "Ready", 0)));
     signal(process, "HUP");
     assertTrue(discovery.next().first().contains("watch=1"));
@@ -445,7 +450,7 @@
       headers.put("Cookie", "customer=00000000" + (10000000 + i));
       headers.put("X-Quota", "units=1,spread=2,first=0");
       write(client, "POST /api", headers, "");
-      assertNotNull(Peer.read(client));
+      assertNotNull(FakePeer.read(client));
     }
     assertTrue(counter.next().first().startsWith("POST /tally/"));
     assertTrue(oldCounter.seen.isEmpty());
@@ -492,7 +497,7 @@
    */
   @Test
   void anErrorOfDiscoveryIsNoList() throws Exception {
-    Peer server = peer(m -> m.answer(Peer.ok("", "x")));
+    FakePeer server = peer(m -> m.answer(FakePeer.ok("", "x")));
     String list = "{\"revision\":9,\"complete\":true,\"members\":[]}\n";
     discovery =
         peer(
@@ -517,14 +522,14 @@
         m -> {
           if (counter.seen.size() == 1) {
             go.join();
-            m.answer(Peer.ok("", "77"));
+            m.answer(FakePeer.ok("", "77"));
           } else {
-            m.answer(Peer.ok("", "88"));
+            m.answer(FakePeer.ok("", "88"));
           }
         };
     BlockingQueue<String> told = new LinkedBlockingQueue<>();
-    Config config =
-        Config.parse(
+    NodeConfig config =
+        NodeConfig.parse(
             config().replace("\"count-wait-ns\": 50000000", "\"count-wait-ns\": 2000000000"));
     try (var group = new CloseableGroup()) {
       EventLoop loop = group.loops.next();
@@ -554,16 +559,16 @@
   void aTotalThatCannotBeReadEndsTheConnection() throws Exception {
     for (String answer :
         List.of(
-            Peer.ok("", "x"),
-            Peer.ok("", "NaN"),
-            Peer.ok("", "1f"),
-            Peer.ok("", ""),
-            Peer.ok("no colon\r\n", "5"),
+            FakePeer.ok("", "x"),
+            FakePeer.ok("", "NaN"),
+            FakePeer.ok("", "1f"),
+            FakePeer.ok("", ""),
+            FakePeer.ok("no colon\r\n", "5"),
             "HTTP/1.1 500 No\r\nContent-Length: 0\r\n\r\n")) {
-      Peer broken = peer(m -> m.answer(answer));
+      FakePeer broken = peer(m -> m.answer(answer));
       BlockingQueue<String> told = new LinkedBlockingQueue<>();
-      Config config =
-          Config.parse(
+      NodeConfig config =
+          NodeConfig.parse(
               config()
                   .replace(counter.address(), broken.address())
                   .replace("\"count-wait-ns\": 50000000", "\"count-wait-ns\": 30000000000"));
@@ -629,7 +634,9 @@
                 broken.put(good.replaceFirst("\\{", "{\"zones\":" + zones + ","), said));
     for (Map.Entry<String, String> one : broken.entrySet()) {
       String said =
-          assertThrows(Config.Invalid.class, () -> Config.parse(one.getKey())).getMessage();
+          assertThrows(
+                  NodeConfig.InvalidConfigException.class, () -> NodeConfig.parse(one.getKey()))
+              .getMessage();
       assertTrue(said.startsWith(one.getValue()), said);
       assertFalse(said.contains("\n"), said);
     }
@@ -666,7 +673,7 @@
                         + "\r\n"
                         + list
                         + "\r\n"));
-    Peer server = peer(m -> m.answer(Peer.ok("", "served")));
+    FakePeer server = peer(m -> m.answer(FakePeer.ok("", "served")));
     EdgeNode node = node(server);
     for (int calls = 0; calls < 3; calls++) {
       assertTrue(discovery.next().first().contains("after=5"));
