--- a/edge/src/test/java/edgegateway/node/Peer.java
+++ b/edge/src/test/java/edgegateway/node/FakePeer.java
@@ -19,7 +19,7 @@
  * A scripted HTTP/1.1 peer on loopback: whatever an edge node connects to, written on plain
  * sockets.
  */
-final class Peer implements AutoCloseable {
+final class FakePeer implements AutoCloseable {
   /** What came: the request line, the headers by lower-case name, the body. */
   record Message(String first, Map<String, String> headers, String body, Socket socket) {
     void answer(String text) throws IOException {
@@ -39,7 +39,7 @@
 
   private final AtomicInteger accepted = new AtomicInteger();
 
-  Peer(Script script) throws IOException {
+  FakePeer(Script script) throws IOException {
     daemon(
         () -> {
           while (true) {
--- a/edge/src/test/java/edgegateway/node/LongBodyTest.java
+++ b/edge/src/test/java/edgegateway/node/LongBodyTest.java
@@ -231,7 +231,7 @@
   @Test
   void anAnswerThatIsNotWholeInItsClientsTimeIsCutSoThatTheClientCanTell() throws Exception {
     byte[] piece = new byte[20_000];
-    Peer server =
+    FakePeer server =
         peer(
             m -> {
               OutputStream out = m.socket().getOutputStream();
@@ -445,7 +445,7 @@
                             .readNBytes(
                                 Integer.parseInt(
                                     head.replaceAll("(?is).*content-length: (\\d+).*", "$1"))));
-                say(socket.getOutputStream(), Peer.ok("", "done"));
+                say(socket.getOutputStream(), FakePeer.ok("", "done"));
               }
             });
     EdgeNode node = start(config(member("s-0", at, "Ready", 0)));
@@ -455,15 +455,15 @@
         order("t-1", "Expect: 100-continue\r\nContent-Length: " + BODY.length));
     assertTrue(head(client.getInputStream()).startsWith("HTTP/1.1 100"));
     client.getOutputStream().write(BODY);
-    assertEquals("done", Peer.read(client).body());
+    assertEquals("done", FakePeer.read(client).body());
     assertArrayEquals(BODY, came.poll(30, TimeUnit.SECONDS));
     say(client.getOutputStream(), order("t-2", "Transfer-Encoding: chunked"));
     client.getOutputStream().write(chunked(BODY));
     // The next one comes right behind it.
     order(client, "t-3");
-    assertEquals("done", Peer.read(client).body());
+    assertEquals("done", FakePeer.read(client).body());
     assertArrayEquals(BODY, came.poll(30, TimeUnit.SECONDS));
-    assertEquals("done", Peer.read(client).body());
+    assertEquals("done", FakePeer.read(client).body());
     assertEquals("book", new String(came.poll(30, TimeUnit.SECONDS), StandardCharsets.UTF_8));
   }
 
@@ -536,27 +536,27 @@
 
   @Test
   void aHeadRequestGetsNoBodyAndAnUnknownExpectationANo() throws Exception {
-    EdgeNode node = node(peer(m -> m.answer(Peer.ok("", "x"))));
+    EdgeNode node = node(peer(m -> m.answer(FakePeer.ok("", "x"))));
     Socket client = client(node);
     say(client.getOutputStream(), "HEAD /_health HTTP/1.1\r\n\r\nGET /nowhere HTTP/1.1\r\n\r\n");
     assertTrue(head(client.getInputStream()).startsWith("HTTP/1.1 405"));
     assertTrue(head(client.getInputStream()).startsWith("HTTP/1.1 404"));
     Socket other = client(node);
     say(other.getOutputStream(), order("t-1", "Expect: a-miracle\r\nContent-Length: 4"));
-    assertEquals("417", status(Peer.read(other)));
-    assertNull(Peer.read(other));
+    assertEquals("417", status(FakePeer.read(other)));
+    assertNull(FakePeer.read(other));
   }
 
   /** A second request on a connection that stops half-way once kept its place for good. */
   @Test
   void whoStopsHalfWayThroughALaterRequestIsCutOff() throws Exception {
-    EdgeNode node = node(peer(m -> m.answer(Peer.ok("", "x"))));
+    EdgeNode node = node(peer(m -> m.answer(FakePeer.ok("", "x"))));
     for (String part :
         new String[] {"GET /api HT", "POST /api HTTP/1.1\r\nContent-Length: 9\r\n\r\nha"}) {
       Socket client = client(node);
       assertEquals("200", ask(client, "t-" + part.length()));
       say(client.getOutputStream(), part);
-      assertNull(Peer.read(client), part);
+      assertNull(FakePeer.read(client), part);
     }
   }
 }
--- a/edge/src/test/java/edgegateway/node/NodeTest.java
+++ b/edge/src/test/java/edgegateway/node/NodeTest.java
@@ -3,6 +3,7 @@
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertNotNull;
 
+import edgegateway.node.config.NodeConfig;
 import java.io.IOException;
 import java.net.InetSocketAddress;
 import java.net.Socket;
@@ -21,9 +22,9 @@
   private static final String UNCHANGED =
       "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n1\r\n\n\r\n";
   final List<AutoCloseable> toClose = new ArrayList<>();
-  Peer discovery;
-  Peer counter;
-  volatile Peer.Script counting = m -> m.answer(Peer.ok("", "1"));
+  FakePeer discovery;
+  FakePeer counter;
+  volatile FakePeer.Script counting = m -> m.answer(FakePeer.ok("", "1"));
 
   @BeforeEach
   void peers() throws IOException {
@@ -38,8 +39,8 @@
     }
   }
 
-  Peer peer(Peer.Script script) throws IOException {
-    Peer peer = new Peer(script);
+  FakePeer peer(FakePeer.Script script) throws IOException {
+    FakePeer peer = new FakePeer(script);
     toClose.add(peer);
     return peer;
   }
@@ -64,7 +65,7 @@
         .replace("MEMBERS", String.join(",", members));
   }
 
-  EdgeNode node(Peer... servers) throws Exception {
+  EdgeNode node(FakePeer... servers) throws Exception {
     String[] members = new String[servers.length];
     for (int i = 0; i < members.length; i++) {
       members[i] = member("s-" + i, servers[i].address(), "Ready", 0);
@@ -77,7 +78,7 @@
   }
 
   EdgeNode start(String config, Path folder) throws Exception {
-    EdgeNode node = new EdgeNode(Config.parse(config), folder);
+    EdgeNode node = new EdgeNode(NodeConfig.parse(config), folder);
     toClose.add(node);
     node.start();
     return node;
@@ -166,13 +167,13 @@
     write(to, "POST /api?slot=4", headers(id, "order", "20000"), "book");
   }
 
-  static String status(Peer.Message answer) {
+  static String status(FakePeer.Message answer) {
     assertNotNull(answer, "the connection ended without an answer");
     return answer.first().split(" ")[1];
   }
 
   static String ask(Socket client, String id) throws IOException {
     order(client, id);
-    return status(Peer.read(client));
+    return status(FakePeer.read(client));
   }
 }
--- a/edge/src/test/java/edgegateway/node/OpsServerTest.java
+++ b/edge/src/test/java/edgegateway/node/OperatorServerTest.java
@@ -5,6 +5,7 @@
 import static org.junit.jupiter.api.Assertions.assertNull;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
+import edgegateway.node.operators.OperatorServer;
 import java.io.IOException;
 import java.net.InetSocketAddress;
 import java.net.Socket;
@@ -22,16 +23,16 @@
 
 /** What operators ask of an edge node, on loopback sockets. */
 @Timeout(60)
-class OpsServerTest extends NodeTest {
+class OperatorServerTest extends NodeTest {
   @TempDir Path folder;
 
-  private OpsServer ops(EdgeNode node) throws Exception {
-    OpsServer ops = new OpsServer(node, new InetSocketAddress("127.0.0.1", 0));
+  private OperatorServer ops(EdgeNode node) throws Exception {
+    OperatorServer ops = new OperatorServer(node, new InetSocketAddress("127.0.0.1", 0));
     toClose.add(ops);
     return ops;
   }
 
-  private static String call(OpsServer ops, String line) throws IOException {
+  private static String call(OperatorServer ops, String line) throws IOException {
     try (Socket socket = new Socket(ops.address().getAddress(), ops.address().getPort())) {
       socket.setSoTimeout(60_000);
       socket.getOutputStream().write(line.getBytes(StandardCharsets.UTF_8));
@@ -39,11 +40,11 @@
     }
   }
 
-  private static String word(OpsServer ops, String line) throws IOException {
+  private static String word(OperatorServer ops, String line) throws IOException {
     return call(ops, line + "\n").split("\\s")[0];
   }
 
-  private static Map<String, String> vars(OpsServer ops) throws IOException {
+  private static Map<String, String> vars(OperatorServer ops) throws IOException {
     String text = call(ops, "vars\r\n");
     assertTrue(text.endsWith("\n--\n"), text);
     Map<String, String> figures = new TreeMap<>();
@@ -54,13 +55,14 @@
   }
 
   /** Asks until a figure is as wanted: figures may lag. */
-  private static void awaitFigure(OpsServer ops, String name, String value) throws IOException {
+  private static void awaitFigure(OperatorServer ops, String name, String value)
+      throws IOException {
     while (!value.equals(vars(ops).get(name))) {
       assertFalse(Thread.interrupted(), name + " is not " + value);
     }
   }
 
-  private static void awaitTaking(OpsServer ops) throws IOException {
+  private static void awaitTaking(OperatorServer ops) throws IOException {
     while (!word(ops, "check").equals("ACK")) {
       assertFalse(Thread.interrupted(), "it takes no clients");
     }
@@ -68,7 +70,7 @@
 
   @Test
   void whatIsNoCallGetsANo() throws Exception {
-    OpsServer ops = ops(node(peer(m -> m.answer(Peer.ok("", "x")))));
+    OperatorServer ops = ops(node(peer(m -> m.answer(FakePeer.ok("", "x")))));
     for (String line :
         List.of(
             "",
@@ -96,8 +98,8 @@
 
   @Test
   void aStandstillOfTheLoopIsAmongTheFigures() throws Exception {
-    EdgeNode node = node(peer(m -> m.answer(Peer.ok("", "x"))));
-    OpsServer ops = ops(node);
+    EdgeNode node = node(peer(m -> m.answer(FakePeer.ok("", "x"))));
+    OperatorServer ops = ops(node);
     CompletableFuture<Void> stood = new CompletableFuture<>();
     node.loop.execute(
         () -> {
@@ -120,8 +122,8 @@
 
   @Test
   void checkSaysYesOnceTheNodeTakesClients() throws Exception {
-    EdgeNode node = node(peer(m -> m.answer(Peer.ok("", "x"))));
-    OpsServer ops = ops(node);
+    EdgeNode node = node(peer(m -> m.answer(FakePeer.ok("", "x"))));
+    OperatorServer ops = ops(node);
     assertEquals("NAK", word(ops, "check"));
     node.admit();
     awaitTaking(ops);
@@ -130,7 +132,7 @@
   /** Callers that say nothing keep no place from the others. */
   @Test
   void silentCallersAreNotInTheWay() throws Exception {
-    OpsServer ops = ops(node(peer(m -> m.answer(Peer.ok("", "x")))));
+    OperatorServer ops = ops(node(peer(m -> m.answer(FakePeer.ok("", "x")))));
     for (int i = 0; i < 100; i++) {
       toClose.add(new Socket(ops.address().getAddress(), ops.address().getPort()));
     }
@@ -140,7 +142,7 @@
   @Test
   void figuresCountEachRequestByItsEnd() throws Exception {
     CompletableFuture<Void> go = new CompletableFuture<>();
-    Peer server =
+    FakePeer server =
         peer(
             m -> {
               if (m.headers().get("x-trace-id").equals("t-slow")) {
@@ -149,10 +151,10 @@
               m.answer(
                   m.headers().get("x-trace-id").equals("t-bad")
                       ? "HTTP/1.1 500 No\r\nContent-Length: 0\r\n\r\n"
-                      : Peer.ok("", "x"));
+                      : FakePeer.ok("", "x"));
             });
     EdgeNode node = node(server);
-    OpsServer ops = ops(node);
+    OperatorServer ops = ops(node);
     Map<String, String> first = vars(ops);
     for (String requestClass : List.of("lookup", "order", "strict")) {
       for (String end : List.of("passed", "dropped", "bad_gateway")) {
@@ -162,11 +164,11 @@
     Socket client = client(node);
     assertEquals("200", ask(client, "t-1"));
     write(client, "POST /api", headers("t-bad", "strict", "20000"), "book");
-    assertEquals("502", status(Peer.read(client)));
+    assertEquals("502", status(FakePeer.read(client)));
     write(client, "GET /_health", Map.of(), "");
-    Peer.read(client);
+    FakePeer.read(client);
     write(client, "GET /api", headers("t-2", "lookup", "1"), "");
-    assertEquals("503", status(Peer.read(client)));
+    assertEquals("503", status(FakePeer.read(client)));
     order(client, "t-slow");
     awaitFigure(ops, "app.upstream_tries", "3");
     Map<String, String> then = vars(ops);
@@ -177,20 +179,20 @@
     assertEquals("1", then.get("app.known_archive_servers"));
     assertEquals("0", then.get("app.skipped_archive_servers"));
     go.complete(null);
-    assertEquals("200", status(Peer.read(client)));
+    assertEquals("200", status(FakePeer.read(client)));
     awaitFigure(ops, "app.in_progress", "0");
   }
 
   @Test
   void aServerOutByHandIsNotUsedUntilItIsCalledBack() throws Exception {
-    Peer one = peer(m -> m.answer(Peer.ok("", "x")));
-    Peer two = peer(m -> m.answer(Peer.ok("", "x")));
+    FakePeer one = peer(m -> m.answer(FakePeer.ok("", "x")));
+    FakePeer two = peer(m -> m.answer(FakePeer.ok("", "x")));
     EdgeNode node =
         start(
             config(
                 member("s-0", one.address(), "Ready", 0), member("s-1", two.address(), "Ready", 0)),
             folder);
-    OpsServer ops = ops(node);
+    OperatorServer ops = ops(node);
     assertEquals("ACK", word(ops, "set-down s-0"));
     assertEquals("ACK", word(ops, "set-down s-0"));
     awaitFigure(ops, "app.skipped_archive_servers", "1");
@@ -205,7 +207,7 @@
             config(
                 member("s-0", one.address(), "Ready", 0), member("s-1", two.address(), "Ready", 0)),
             folder);
-    OpsServer nextOps = ops(next);
+    OperatorServer nextOps = ops(next);
     awaitFigure(nextOps, "app.skipped_archive_servers", "1");
     assertEquals("ACK", word(nextOps, "set-up s-0"));
     awaitFigure(ops, "app.skipped_archive_servers", "0");
@@ -218,15 +220,15 @@
 
   @Test
   void aZoneOutByHandIsNotUsedUntilItIsCalledBack() throws Exception {
-    Peer one = peer(m -> m.answer(Peer.ok("", "x")));
-    Peer two = peer(m -> m.answer(Peer.ok("", "x")));
+    FakePeer one = peer(m -> m.answer(FakePeer.ok("", "x")));
+    FakePeer two = peer(m -> m.answer(FakePeer.ok("", "x")));
     String config =
         config(
             member("s-0", one.address(), "Ready", 0),
             member("s-1", two.address(), "Ready", 0)
                 .replace("\"locality\":\"a\"", "\"locality\":\"b\""));
     EdgeNode node = start(config, folder);
-    OpsServer ops = ops(node);
+    OperatorServer ops = ops(node);
     for (String line :
         List.of(
             "zone-out",
@@ -256,7 +258,7 @@
         call(ops, "zones\n"));
     // The next process of an upgrade takes it over; what one process is told the other follows.
     EdgeNode next = start(config, folder);
-    OpsServer nextOps = ops(next);
+    OperatorServer nextOps = ops(next);
     awaitFigure(nextOps, "app.skipped_archive_servers", "1");
     assertEquals("ACK", word(nextOps, "zone-in a 1"));
     awaitFigure(ops, "app.skipped_archive_servers", "0");
@@ -270,7 +272,7 @@
   @Test
   void aBrokenFileOfServersOutByHandIsPassedOver() throws Exception {
     Files.writeString(folder.resolve("left-out.json"), "{half");
-    Peer one = peer(m -> m.answer(Peer.ok("", "x")));
+    FakePeer one = peer(m -> m.answer(FakePeer.ok("", "x")));
     EdgeNode node = start(config(member("s-0", one.address(), "Ready", 0)), folder);
     assertEquals("200", ask(client(node), "t-1"));
     assertEquals("ACK", word(ops(node), "set-down s-0"));
@@ -280,16 +282,16 @@
   @Test
   void aDrainEndsConnectionsAndKeepsAnsweringHealth() throws Exception {
     CompletableFuture<Void> go = new CompletableFuture<>();
-    Peer server =
+    FakePeer server =
         peer(
             m -> {
               if (m.headers().get("x-trace-id").equals("t-2")) {
                 go.join();
               }
-              m.answer(Peer.ok("", "x"));
+              m.answer(FakePeer.ok("", "x"));
             });
     EdgeNode node = node(server);
-    OpsServer ops = ops(node);
+    OperatorServer ops = ops(node);
     node.admit();
     awaitTaking(ops);
     Socket used = client(node);
@@ -302,24 +304,24 @@
     assertEquals("ACK", word(ops, "drain-on"));
     assertEquals("NAK", word(ops, "check"));
     go.complete(null);
-    Peer.Message answer = Peer.read(used);
+    FakePeer.Message answer = FakePeer.read(used);
     assertEquals("200", status(answer));
     assertEquals("close", answer.headers().get("connection"));
-    assertNull(Peer.read(idle), "an idle connection must end");
+    assertNull(FakePeer.read(idle), "an idle connection must end");
     Socket front = client(node);
     write(front, "GET /_health", Map.of(), "");
-    assertEquals("503", status(Peer.read(front)));
+    assertEquals("503", status(FakePeer.read(front)));
     assertEquals("200", ask(client(node), "t-3"));
     assertEquals("ACK", word(ops, "drain-off"));
     assertEquals("ACK", word(ops, "check"));
     Socket kept = client(node);
     for (String id : List.of("t-4", "t-5")) {
       order(kept, id);
-      assertFalse(Peer.read(kept).headers().containsKey("connection"));
+      assertFalse(FakePeer.read(kept).headers().containsKey("connection"));
     }
     CompletableFuture<Void> stopped = node.stop();
     assertEquals("NAK", word(ops, "drain-off"));
-    assertNull(Peer.read(kept));
+    assertNull(FakePeer.read(kept));
     stopped.get(60, TimeUnit.SECONDS);
   }
 }
--- a/edge/src/test/java/edgegateway/node/CrossingsTest.java
+++ b/edge/src/test/java/edgegateway/node/RaceConditionsTest.java
@@ -5,6 +5,8 @@
 import static org.junit.jupiter.api.Assertions.assertThrows;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
+import edgegateway.node.config.NodeConfig;
+import edgegateway.protocol.Json;
 import io.netty.buffer.Unpooled;
 import io.netty.channel.embedded.EmbeddedChannel;
 import java.io.IOException;
@@ -30,7 +32,7 @@
  * forced, not waited for.
  */
 @Timeout(60)
-class CrossingsTest extends NodeTest {
+class RaceConditionsTest extends NodeTest {
   private static final String WATCH = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n";
 
   private static String list(long revision, boolean whole, String... members) {
@@ -78,11 +80,11 @@
   }
 
   /** An archive server that answers when it is let go. */
-  private Peer held(CompletableFuture<Void> go) throws IOException {
+  private FakePeer held(CompletableFuture<Void> go) throws IOException {
     return peer(
         m -> {
           go.join();
-          m.answer(Peer.ok("", "held"));
+          m.answer(FakePeer.ok("", "held"));
         });
   }
 
@@ -91,8 +93,8 @@
   void anAttemptThatWaitsForAServerToldToLeaveGoesElsewhere() throws Exception {
     BlockingQueue<String> lines = telling();
     CompletableFuture<Void> go = new CompletableFuture<>();
-    Peer leaves = held(go);
-    Peer stays = peer(m -> m.answer(Peer.ok("", "other")));
+    FakePeer leaves = held(go);
+    FakePeer stays = peer(m -> m.answer(FakePeer.ok("", "other")));
     EdgeNode node = narrow(member("s-0", leaves.address(), "Ready", 0));
     Socket first = client(node);
     order(first, "t-1");
@@ -108,8 +110,8 @@
             member("s-1", stays.address(), "Ready", 0)));
     awaitLog(node, "app.known_archive_servers=2");
     go.complete(null);
-    assertEquals("held", Peer.read(first).body());
-    assertEquals("other", Peer.read(second).body());
+    assertEquals("held", FakePeer.read(first).body());
+    assertEquals("other", FakePeer.read(second).body());
     assertTrue(leaves.seen.isEmpty(), "sent to a server that was told to leave");
     // Ready again, it is used again.
     lines.add(
@@ -120,14 +122,14 @@
             member("s-1", stays.address(), "Terminating", 0)));
     do {
       order(first, "t-" + System.nanoTime());
-    } while (!Peer.read(first).body().equals("held"));
+    } while (!FakePeer.read(first).body().equals("held"));
   }
 
   /** What has not begun when its client leaves once began when a connection was free. */
   @Test
   void anAttemptThatWaitsForItsConnectionIsNotMadeForAClientThatLeft() throws Exception {
     CompletableFuture<Void> go = new CompletableFuture<>();
-    Peer server = held(go);
+    FakePeer server = held(go);
     EdgeNode node = narrow(member("s-0", server.address(), "Ready", 0));
     Socket first = client(node);
     order(first, "t-1");
@@ -146,8 +148,8 @@
     Socket third = client(node);
     order(third, "t-3");
     go.complete(null);
-    assertEquals("held", Peer.read(first).body());
-    assertEquals("held", Peer.read(third).body());
+    assertEquals("held", FakePeer.read(first).body());
+    assertEquals("held", FakePeer.read(third).body());
     assertEquals("t-3", server.next().headers().get("x-trace-id"));
   }
 
@@ -158,7 +160,7 @@
   @Test
   void anOldClientThatEndsItsSendingGetsWhatIsOnItsWayAndNoFurtherAttempt() throws Exception {
     CompletableFuture<Void> go = new CompletableFuture<>();
-    Peer server = held(go);
+    FakePeer server = held(go);
     EdgeNode node = narrow(member("s-0", server.address(), "Ready", 0));
     Socket first = client(node);
     oldOrder(first, "t-1");
@@ -169,9 +171,9 @@
     oldOrder(second, "t-2");
     awaitLog(node, "app.in_progress=2");
     second.shutdownOutput();
-    assertEquals("503", status(Peer.read(second)));
+    assertEquals("503", status(FakePeer.read(second)));
     go.complete(null);
-    assertEquals("held", Peer.read(first).body());
+    assertEquals("held", FakePeer.read(first).body());
     assertTrue(server.seen.isEmpty());
   }
 
@@ -179,7 +181,7 @@
   @Test
   void anOldClientIsToldOfTheLastAttemptsFailure() throws Exception {
     CompletableFuture<Void> go = new CompletableFuture<>();
-    Peer server =
+    FakePeer server =
         peer(
             m -> {
               go.join();
@@ -192,7 +194,7 @@
     client.shutdownOutput();
     awaitLog(node, "app.connections.half_closed=1");
     go.complete(null);
-    assertEquals("502", status(Peer.read(client)));
+    assertEquals("502", status(FakePeer.read(client)));
     assertTrue(server.seen.isEmpty());
   }
 
@@ -222,7 +224,7 @@
     Socket client = client(node);
     order(client, "t-1");
     Socket first = server.accept();
-    assertEquals("t-1", Peer.read(first).headers().get("x-trace-id"));
+    assertEquals("t-1", FakePeer.read(first).headers().get("x-trace-id"));
     // The kernel's line is full: it drops the next one's first packet, which comes again after a
     // second.
     int full = fill(server);
@@ -236,10 +238,12 @@
     }
     Socket late = server.accept();
     late.setSoTimeout(5_000);
-    assertEquals("503", status(Peer.read(client)));
+    assertEquals("503", status(FakePeer.read(client)));
     write(client, "POST /api", headers("t-2", "order", "20000"), "book");
     assertEquals(
-        "t-2", Peer.read(late).headers().get("x-trace-id"), "the connection serves the next one");
+        "t-2",
+        FakePeer.read(late).headers().get("x-trace-id"),
+        "the connection serves the next one");
   }
 
   /** Connects until nobody more is taken; how many were. */
@@ -273,7 +277,7 @@
                 servers[i] =
                     new EmbeddedChannel(node.pool.handlers()) {
                       @Override
-                      protected void handleOutboundMessage(Object message) {
+                      public void handleOutboundMessage(Object message) {
                         others.add(servers[other].isActive());
                         super.handleOutboundMessage(message);
                       }
@@ -307,8 +311,8 @@
   @Test
   void nobodyIsServedByTheOldListBeforeDiscoveryIsHeard() throws Exception {
     CompletableFuture<Void> go = new CompletableFuture<>();
-    Peer leaves = peer(m -> m.answer(Peer.ok("", "leaves")));
-    Peer stays = peer(m -> m.answer(Peer.ok("", "stays")));
+    FakePeer leaves = peer(m -> m.answer(FakePeer.ok("", "leaves")));
+    FakePeer stays = peer(m -> m.answer(FakePeer.ok("", "stays")));
     String told =
         list(
             6,
@@ -326,7 +330,7 @@
     free.close();
     EdgeNode node =
         new EdgeNode(
-            Config.parse(
+            NodeConfig.parse(
                 config(member("s-0", leaves.address(), "Ready", 0))
                     .replace("127.0.0.1:0", "127.0.0.1:" + port)),
             null);
@@ -350,7 +354,7 @@
     started.get();
     Socket client = client(node);
     order(client, "t-1");
-    assertEquals("stays", Peer.read(client).body());
+    assertEquals("stays", FakePeer.read(client).body());
   }
 
   /**
@@ -360,7 +364,7 @@
   @Test
   void aSignalInTheMidstOfAStartEndsIt() throws Exception {
     discovery = peer(m -> {});
-    EdgeNode node = new EdgeNode(Config.parse(config()), null);
+    EdgeNode node = new EdgeNode(NodeConfig.parse(config()), null);
     toClose.add(node);
     CompletableFuture<Boolean> started =
         CompletableFuture.supplyAsync(
@@ -397,11 +401,11 @@
     String body = "x".repeat(8_000);
     BlockingQueue<CompletableFuture<Void>> goes = new LinkedBlockingQueue<>();
     BlockingQueue<Integer> answered = new LinkedBlockingQueue<>();
-    Peer server =
+    FakePeer server =
         peer(
             m -> {
               goes.take().join();
-              m.answer(Peer.ok("", body));
+              m.answer(FakePeer.ok("", body));
               answered.add(1);
             });
     EdgeNode node = node(server);
@@ -436,7 +440,7 @@
   /** Its end was the node's own doing, and no end of the answer. */
   @Test
   void anAnswerOfNoLengthThatStopsIsNotPassedOnAsWhole() throws Exception {
-    Peer server =
+    FakePeer server =
         peer(m -> m.answer("HTTP/1.1 200 OK\r\nConnection: close\r\n\r\n" + "x".repeat(200_000)));
     EdgeNode node = node(server);
     Socket client = client(node);
@@ -459,7 +463,7 @@
             "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n4\r\nbody\r\n0\r\n\r\n");
     BlockingQueue<String> parts = new LinkedBlockingQueue<>();
     BlockingQueue<Boolean> resets = new LinkedBlockingQueue<>();
-    Peer server =
+    FakePeer server =
         peer(
             m -> {
               m.answer(parts.take());
@@ -484,7 +488,7 @@
           resets.add(reset);
           String id = "t-" + forms.indexOf(form) + "-" + cut + reset;
           write(client, "POST /api", headers(id, "strict", "20000"), "book");
-          Peer.Message answer = Peer.read(client);
+          FakePeer.Message answer = FakePeer.read(client);
           assertEquals(whole ? "200" : "502", status(answer), id);
           assertEquals(whole ? "body" : "", answer.body(), id);
           assertEquals(id, server.next().headers().get("x-trace-id"));
@@ -503,8 +507,8 @@
    */
   @Test
   void listsMayBeIndentedAndCutAndWatchesMayHang() throws Exception {
-    Peer server = peer(m -> m.answer(Peer.ok("", "first")));
-    Peer second = peer(m -> m.answer(Peer.ok("", "second")));
+    FakePeer server = peer(m -> m.answer(FakePeer.ok("", "first")));
+    FakePeer second = peer(m -> m.answer(FakePeer.ok("", "second")));
     BlockingQueue<Integer> calls = new LinkedBlockingQueue<>(List.of(0, 1, 2));
     String whole =
         Json.read(list(6, true, member("s-0", server.address(), "Ready", 0))).toPrettyString()
@@ -545,12 +549,12 @@
     String body;
     do {
       order(client, "t-" + System.nanoTime());
-      body = Peer.read(client).body();
+      body = FakePeer.read(client).body();
     } while (!body.equals("first"));
     go.complete(null);
     do {
       order(client, "t-" + System.nanoTime());
-      body = Peer.read(client).body();
+      body = FakePeer.read(client).body();
     } while (!body.equals("second"));
     assertTrue(calls.isEmpty());
   }
--- a/edge/src/test/java/edgegateway/node/SignalsTest.java
+++ b/edge/src/test/java/edgegateway/node/SignalsTest.java
@@ -5,6 +5,9 @@
 import static org.junit.jupiter.api.Assertions.assertNull;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
+import edgegateway.node.lifecycle.ClassArchive;
+import edgegateway.node.lifecycle.ConfigFileWatcher;
+import edgegateway.node.lifecycle.SignalDispositions;
 import java.net.Socket;
 import java.nio.file.Files;
 import java.nio.file.Path;
@@ -98,8 +101,8 @@
     Process process = serve(file, ignoring("HUP INT TERM", words.group(1).split(" ")));
     servingAt(process);
     assertFalse(
-        Dispositions.parse(Files.readString(Path.of("/proc/" + process.pid() + "/status")))
-            .ignored(Dispositions.HUP));
+        SignalDispositions.parse(Files.readString(Path.of("/proc/" + process.pid() + "/status")))
+            .ignored(SignalDispositions.HUP));
     discovery.next();
     discovery = peer(m -> never.join());
     Files.move(written("next.json"), file, StandardCopyOption.REPLACE_EXISTING);
@@ -146,18 +149,19 @@
 
   @Test
   void theKernelsMaskIsReadBySignal() {
-    Dispositions read =
-        Dispositions.parse("SigBlk:\t0000000000000000\nSigIgn:\t0000000000004001\nSigCgt:\t01\n");
-    assertTrue(read.ignored(Dispositions.HUP));
-    assertTrue(read.ignored(Dispositions.TERM));
+    SignalDispositions read =
+        SignalDispositions.parse(
+            "SigBlk:\t0000000000000000\nSigIgn:\t0000000000004001\nSigCgt:\t01\n");
+    assertTrue(read.ignored(SignalDispositions.HUP));
+    assertTrue(read.ignored(SignalDispositions.TERM));
     assertFalse(read.ignored(2));
-    assertFalse(Dispositions.parse("").ignored(Dispositions.HUP));
+    assertFalse(SignalDispositions.parse("").ignored(SignalDispositions.HUP));
   }
 
   @Test
   void aChangeIsSeenOnceHoweverTheFileChanges() throws Exception {
     Path file = Files.writeString(folder.resolve("c"), "one");
-    ConfigurationWatch watch = new ConfigurationWatch(file, "one");
+    ConfigFileWatcher watch = new ConfigFileWatcher(file, "one");
     assertFalse(watch.changed());
     FileTime time = Files.getLastModifiedTime(file);
     Files.writeString(file, "two");
--- a/edge/src/test/java/edgegateway/node/TlsTest.java
+++ b/edge/src/test/java/edgegateway/node/TlsTest.java
@@ -8,6 +8,7 @@
 import static org.junit.jupiter.api.Assertions.assertThrows;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
+import edgegateway.node.config.NodeConfig;
 import java.io.IOException;
 import java.net.InetSocketAddress;
 import java.net.Socket;
@@ -40,7 +41,7 @@
     client = certificate.trusting();
   }
 
-  private EdgeNode secured(int handshakes, Peer server) throws Exception {
+  private EdgeNode secured(int handshakes, FakePeer server) throws Exception {
     return start(
         config(member("s-0", server.address(), "Ready", 0))
             .replace(
@@ -72,7 +73,7 @@
 
   @Test
   void requestsAreServedByBothVersionsAndEndWithANotice() throws Exception {
-    Peer server = peer(m -> m.answer(Peer.ok("", "x".repeat(50_000))));
+    FakePeer server = peer(m -> m.answer(FakePeer.ok("", "x".repeat(50_000))));
     EdgeNode node = secured(8, server);
     for (String version : List.of("TLSv1.2", "TLSv1.3")) {
       SSLSocket socket = connect(node, version);
@@ -83,7 +84,7 @@
       Map<String, String> last = headers(version, "order", "20000");
       last.put("Connection", "close");
       write(socket, "POST /api", last, "book");
-      assertEquals("200", status(Peer.read(socket)));
+      assertEquals("200", status(FakePeer.read(socket)));
       // Without the notice this read would throw.
       assertEquals(-1, socket.getInputStream().read());
     }
@@ -93,7 +94,7 @@
 
   @Test
   void aSessionIsResumed() throws Exception {
-    EdgeNode node = secured(8, peer(m -> m.answer(Peer.ok("", "x"))));
+    EdgeNode node = secured(8, peer(m -> m.answer(FakePeer.ok("", "x"))));
     for (String version : List.of("TLSv1.2", "TLSv1.3")) {
       client = certificate.trusting();
       SSLSocket first = connect(node, version);
@@ -114,16 +115,17 @@
   @Test
   void aLongAnswerComesWhole() throws Exception {
     byte[] body = new byte[400_000];
-    Peer server = peer(m -> m.answer(Peer.ok("", new String(body, StandardCharsets.US_ASCII))));
+    FakePeer server =
+        peer(m -> m.answer(FakePeer.ok("", new String(body, StandardCharsets.US_ASCII))));
     SSLSocket socket = connect(secured(8, server));
     order(socket, "t-1");
-    assertArrayEquals(body, Peer.read(socket).body().getBytes(StandardCharsets.US_ASCII));
+    assertArrayEquals(body, FakePeer.read(socket).body().getBytes(StandardCharsets.US_ASCII));
   }
 
   /** A body of no length once ended with the notice, which is the end of a whole one. */
   @Test
   void anAnswerOfNoLengthThatIsCutEndsWithNoNotice() throws Exception {
-    Peer server =
+    FakePeer server =
         peer(m -> m.answer("HTTP/1.1 200 OK\r\nConnection: close\r\n\r\n" + "x".repeat(200_000)));
     EdgeNode node =
         start(
@@ -147,7 +149,7 @@
    */
   @Test
   void whoCanNotShakeHandsCostsOneConnection() throws Exception {
-    EdgeNode node = secured(2, peer(m -> m.answer(Peer.ok("", "x"))));
+    EdgeNode node = secured(2, peer(m -> m.answer(FakePeer.ok("", "x"))));
     SSLSocket well = connect(node);
     assertEquals("200", ask(well, "t-1"));
     Socket plain = client(node);
@@ -188,7 +190,7 @@
 
   @Test
   void moreThanMayRunAtOnceWaitTheirTurn() throws Exception {
-    EdgeNode node = secured(1, peer(m -> m.answer(Peer.ok("", "x"))));
+    EdgeNode node = secured(1, peer(m -> m.answer(FakePeer.ok("", "x"))));
     List<CompletableFuture<String>> all = new ArrayList<>();
     for (int i = 0; i < 12; i++) {
       String id = "t-" + i;
@@ -211,11 +213,11 @@
   @Test
   void whoEndsItsSendingGetsItsAnswer() throws Exception {
     CompletableFuture<Void> go = new CompletableFuture<>();
-    Peer server =
+    FakePeer server =
         peer(
             m -> {
               go.join();
-              m.answer(Peer.ok("", "x"));
+              m.answer(FakePeer.ok("", "x"));
             });
     EdgeNode node = secured(8, server);
     SSLSocket socket = connect(node, "TLSv1.3");
@@ -223,12 +225,12 @@
     socket.shutdownOutput();
     await(node, "half_closed", 1);
     go.complete(null);
-    Peer.Message answer = Peer.read(socket);
+    FakePeer.Message answer = FakePeer.read(socket);
     while (answer.first().contains(" 100 ")) {
-      answer = Peer.read(socket);
+      answer = FakePeer.read(socket);
     }
     assertEquals("x", answer.body());
-    assertNull(Peer.read(socket));
+    assertNull(FakePeer.read(socket));
   }
 
   @Test
@@ -239,8 +241,8 @@
         List.of(
             "{\"certificate\":\"/nowhere\",\"key\":\"/nowhere\"}",
             "{\"certificate\":\"" + broken + "\",\"key\":\"" + broken + "\"}")) {
-      Config config =
-          Config.parse(config().replace("\"counter\"", "\"tls\":" + settings + ",\"counter\""));
+      NodeConfig config =
+          NodeConfig.parse(config().replace("\"counter\"", "\"tls\":" + settings + ",\"counter\""));
       String said = assertThrows(IOException.class, () -> new EdgeNode(config, null)).getMessage();
       assertTrue(said.startsWith("tls.certificate or tls.key cannot be used"), said);
     }
@@ -251,7 +253,7 @@
             "{\"certificate\":\"a\",\"key\":\"b\",\"x\":1}",
             "{\"certificate\":\"a\",\"key\":\"b\",\"handshakes\":0}")) {
       String text = config().replace("\"counter\"", "\"tls\":" + settings + ",\"counter\"");
-      assertThrows(Config.Invalid.class, () -> Config.parse(text));
+      assertThrows(NodeConfig.InvalidConfigException.class, () -> NodeConfig.parse(text));
     }
   }
 }
--- a/edge/src/test/java/edgegateway/node/UpgradeTest.java
+++ b/edge/src/test/java/edgegateway/node/UpgradeTest.java
@@ -5,6 +5,8 @@
 import static org.junit.jupiter.api.Assertions.assertNull;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
+import edgegateway.node.config.NodeConfig;
+import edgegateway.node.upgrade.HandoverFile;
 import edgegateway.policy.api.QuotaUsage;
 import edgegateway.policy.api.StateTransfer;
 import java.io.IOException;
@@ -31,7 +33,7 @@
    */
   @Test
   void noConnectionIsLostAndHealthSaysYesThroughout() throws Exception {
-    Peer server = peer(m -> m.answer(Peer.ok("", "x")));
+    FakePeer server = peer(m -> m.answer(FakePeer.ok("", "x")));
     EdgeNode first = start(config(member("s-0", server.address(), "Ready", 0)), folder);
     first.admit();
     while (!first.ready()) {
@@ -42,7 +44,7 @@
     assertFalse(first.slots.otherLives());
     EdgeNode next =
         new EdgeNode(
-            Config.parse(
+            NodeConfig.parse(
                 config(member("s-0", server.address(), "Ready", 0))
                     .replace("127.0.0.1:0", "127.0.0.1:" + first.address().getPort())),
             folder);
@@ -74,10 +76,10 @@
             });
     busy.complete(null);
     CompletableFuture<Void> stopped = stopping.get(60, TimeUnit.SECONDS);
-    assertEquals("200", status(Peer.read(kept)), "a kept connection is answered once more");
-    assertNull(Peer.read(kept));
+    assertEquals("200", status(FakePeer.read(kept)), "a kept connection is answered once more");
+    assertNull(FakePeer.read(kept));
     for (Socket client : clients) {
-      assertEquals("200", status(Peer.read(client)));
+      assertEquals("200", status(FakePeer.read(client)));
     }
     stopped.get(60, TimeUnit.SECONDS);
     assertEquals("200", ask(client(next), "t-2"));
--- a/edge/src/test/java/edgegateway/node/connections/HeldBytesTest.java
+++ b/edge/src/test/java/edgegateway/node/connections/BufferedBodiesTest.java
@@ -10,14 +10,14 @@
 import org.junit.jupiter.api.Test;
 
 /** The bound on bodies that are held. */
-class HeldBytesTest {
+class BufferedBodiesTest {
   private static final int MOST = 1_200_000;
   private static final int BODY = 65_536;
-  private final Counts counts = new Counts();
-  private final HeldBytes held = new HeldBytes(counts);
+  private final ConnectionMetrics counts = new ConnectionMetrics();
+  private final BufferedBodies held = new BufferedBodies(counts);
 
-  private HeldBytesTest() {
-    held.bound(new Budget(1, 1, 1, 1, 1, MOST, 1, List.of()));
+  private BufferedBodiesTest() {
+    held.bound(new DescriptorBudget(1, 1, 1, 1, 1, MOST, 1, List.of()));
   }
 
   @Test
@@ -35,7 +35,7 @@
 
   @Test
   void whatGrowsIsCountedAsItGrows() {
-    HeldBytes.Body body = held.open(7);
+    BufferedBodies.Body body = held.open(7);
     assertTrue(body.hold(512));
     assertTrue(body.hold(4_096));
     assertEquals(4_096, counts.heldBytes.get());
@@ -50,10 +50,10 @@
   void manySeeds() {
     for (long seed = 1; seed <= 200; seed++) {
       SplittableRandom random = new SplittableRandom(seed);
-      List<HeldBytes.Body> bodies = new ArrayList<>();
+      List<BufferedBodies.Body> bodies = new ArrayList<>();
       for (int i = 0; i < 2_000; i++) {
         if (random.nextBoolean() || bodies.isEmpty()) {
-          HeldBytes.Body body = held.open(random.nextInt(5));
+          BufferedBodies.Body body = held.open(random.nextInt(5));
           body.hold(random.nextInt(BODY));
           bodies.add(body);
         } else {
@@ -62,7 +62,7 @@
         long now = counts.heldBytes.get();
         assertTrue(now >= 0 && now <= MOST, "seed " + seed + ": " + now);
       }
-      bodies.forEach(HeldBytes.Body::release);
+      bodies.forEach(BufferedBodies.Body::release);
       assertEquals(0, counts.heldBytes.get(), "seed " + seed);
     }
   }
--- a/edge/src/test/java/edgegateway/node/connections/ClientsTest.java
+++ b/edge/src/test/java/edgegateway/node/connections/ClientConnectionTableTest.java
@@ -16,14 +16,14 @@
 import org.junit.jupiter.api.Test;
 
 /** The table of clients' connections, on a clock of its own. */
-class ClientsTest {
+class ClientConnectionTableTest {
   private static final long MS = 1_000_000L;
-  private final Counts counts = new Counts();
+  private final ConnectionMetrics counts = new ConnectionMetrics();
   private final List<Held> ended = new ArrayList<>();
   private boolean stepWanted;
   private long evictions;
-  private final Clients table =
-      new Clients(
+  private final ClientConnectionTable table =
+      new ClientConnectionTable(
           () -> {
             assertFalse(stepWanted, "a step is wanted already");
             stepWanted = true;
@@ -32,8 +32,8 @@
   private long now = 5_000_000 * MS;
 
   /** A connection in memory. */
-  private final class Held implements Carrier {
-    private final Clients.Entry entry;
+  private final class Held implements TransportHandle {
+    private final ClientConnectionTable.Entry entry;
     private final int peer;
     private long restingSince = now;
     private boolean closed;
@@ -71,7 +71,8 @@
   }
 
   private void bound(int clients, int lane) {
-    table.bound(now, new Budget(clients, lane, 10, 10, 4, 1 << 20, 75_000 * MS, List.of()));
+    table.bound(
+        now, new DescriptorBudget(clients, lane, 10, 10, 4, 1 << 20, 75_000 * MS, List.of()));
   }
 
   private void pass(long ms) {
@@ -260,7 +261,8 @@
     Held held = new Held(peer);
     held.entry.closed();
     held.closed = true;
-    Clients.Entry entry = table.accepted(now, address(peer), true, () -> made[0].closed = true);
+    ClientConnectionTable.Entry entry =
+        table.accepted(now, address(peer), true, () -> made[0].closed = true);
     made[0] = held;
     held.closed = false;
     assertEquals(1L, figures().get("handshaking"));
@@ -366,7 +368,7 @@
   void manySeeds() {
     for (long seed = 1; seed <= 200; seed++) {
       try {
-        new ClientsTest().play(seed);
+        new ClientConnectionTableTest().play(seed);
       } catch (AssertionError e) {
         throw new AssertionError("seed " + seed, e);
       }
--- a/edge/src/test/java/edgegateway/node/connections/BudgetTest.java
+++ b/edge/src/test/java/edgegateway/node/connections/DescriptorBudgetTest.java
@@ -7,20 +7,21 @@
 import org.junit.jupiter.api.Test;
 
 /** How descriptors are shared out. */
-class BudgetTest {
+class DescriptorBudgetTest {
   @Test
   void allProcessesTogetherKeepToTheDescriptors() {
     for (int sockets = 256; sockets <= 4_096; sockets += 16) {
       for (int processes = 1; processes <= 2; processes++) {
-        Budget budget = Budget.of(Limits.NONE, sockets, processes, 100);
+        DescriptorBudget budget =
+            DescriptorBudget.of(ConnectionLimits.NONE, sockets, processes, 100);
         int each =
             budget.clients()
                 + budget.lane()
                 + budget.archiveServers()
                 + budget.operators()
-                + Budget.RESERVE
-                + Budget.COUNTER
-                + Budget.DISCOVERY;
+                + DescriptorBudget.RESERVE
+                + DescriptorBudget.COUNTER
+                + DescriptorBudget.DISCOVERY;
         assertTrue(each * processes <= sockets, sockets + " for " + processes + ": " + budget);
         assertTrue(
             processes > 1 || budget.clients() >= sockets / 2, "fewer clients than ever: " + budget);
@@ -33,21 +34,25 @@
 
   @Test
   void oneArchiveServerGetsItsPartOfTheConnections() {
-    assertEquals(64, Budget.of(Limits.NONE, 256, 1, 1).perArchiveServer());
-    assertEquals(5, Budget.of(Limits.NONE, 256, 1, 50).perArchiveServer());
-    assertEquals(4, Budget.of(Limits.NONE, 256, 1, 200).perArchiveServer());
+    assertEquals(64, DescriptorBudget.of(ConnectionLimits.NONE, 256, 1, 1).perArchiveServer());
+    assertEquals(5, DescriptorBudget.of(ConnectionLimits.NONE, 256, 1, 50).perArchiveServer());
+    assertEquals(4, DescriptorBudget.of(ConnectionLimits.NONE, 256, 1, 200).perArchiveServer());
   }
 
   @Test
   void whatIsSetHigherThanThereIsIsClampedAndTold() {
-    Budget budget = Budget.of(new Limits(5_000, 5_000, 5_000, 1 << 30, 3_000_000_000L), 256, 1, 10);
-    assertEquals(Budget.of(Limits.NONE, 256, 1, 10).clients(), budget.clients());
+    DescriptorBudget budget =
+        DescriptorBudget.of(
+            new ConnectionLimits(5_000, 5_000, 5_000, 1 << 30, 3_000_000_000L), 256, 1, 10);
+    assertEquals(
+        DescriptorBudget.of(ConnectionLimits.NONE, 256, 1, 10).clients(), budget.clients());
     assertEquals(4, budget.clamped().size());
     assertEquals(
         "connections.clients is 5000, more than there is room for: 128 it is",
         budget.clamped().get(0));
     assertEquals(3_000_000_000L, budget.idle());
-    Budget small = Budget.of(new Limits(10, 5, 2, 1 << 18, 0), 256, 1, 10);
+    DescriptorBudget small =
+        DescriptorBudget.of(new ConnectionLimits(10, 5, 2, 1 << 18, 0), 256, 1, 10);
     assertEquals(
         List.of(10, 5, 2, 1 << 18),
         List.of(
--- a/edge/src/test/java/edgegateway/node/connections/HandshakesTest.java
+++ b/edge/src/test/java/edgegateway/node/connections/HandshakeQueueTest.java
@@ -11,8 +11,8 @@
 import org.junit.jupiter.api.Test;
 
 /** Whose handshake goes on and who waits. */
-class HandshakesTest {
-  private static final class One implements Handshakes.Waiting {
+class HandshakeQueueTest {
+  private static final class One implements HandshakeQueue.Waiting {
     private int begun;
 
     @Override
@@ -23,7 +23,7 @@
 
   @Test
   void soManyRunAndSoManyWaitAndNoMore() {
-    Handshakes handshakes = new Handshakes(2);
+    HandshakeQueue handshakes = new HandshakeQueue(2);
     List<One> all = new ArrayList<>();
     for (int i = 0; i < 40; i++) {
       all.add(new One());
@@ -43,7 +43,7 @@
     for (long seed = 1; seed <= 100; seed++) {
       SplittableRandom random = new SplittableRandom(seed);
       int most = random.nextInt(1, 6);
-      Handshakes handshakes = new Handshakes(most);
+      HandshakeQueue handshakes = new HandshakeQueue(most);
       Set<One> in = new HashSet<>();
       for (int i = 0; i < 2_000; i++) {
         if (random.nextInt(3) > 0) {
--- a/edge/src/test/java/edgegateway/node/connections/ServersTest.java
+++ b/edge/src/test/java/edgegateway/node/connections/UpstreamConnectionTableTest.java
@@ -7,9 +7,9 @@
 import static org.junit.jupiter.api.Assertions.assertSame;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import edgegateway.node.connections.Servers.Failure;
-import edgegateway.node.connections.Servers.Link;
-import edgegateway.node.connections.Servers.Target;
+import edgegateway.node.connections.UpstreamConnectionTable.Failure;
+import edgegateway.node.connections.UpstreamConnectionTable.Upstream;
+import edgegateway.node.connections.UpstreamConnectionTable.UpstreamConnection;
 import java.util.ArrayList;
 import java.util.HashMap;
 import java.util.List;
@@ -19,25 +19,25 @@
 import org.junit.jupiter.api.Test;
 
 /** Connections to archive servers, on a clock and a network of the test's own. */
-class ServersTest {
+class UpstreamConnectionTableTest {
   private static final long MS = 1_000_000L;
   private static final long KEEP_ALIVE = 15_000 * MS;
-  private final Counts counts = new Counts();
-  private final List<Link> dialed = new ArrayList<>();
-  private final List<Link> closed = new ArrayList<>();
-  private final List<Target> later = new ArrayList<>();
+  private final ConnectionMetrics counts = new ConnectionMetrics();
+  private final List<UpstreamConnection> dialed = new ArrayList<>();
+  private final List<UpstreamConnection> closed = new ArrayList<>();
+  private final List<Upstream> later = new ArrayList<>();
   private long now = 7_000_000 * MS;
-  private final Servers servers =
-      new Servers(
-          new Servers.Host() {
+  private final UpstreamConnectionTable servers =
+      new UpstreamConnectionTable(
+          new UpstreamConnectionTable.Host() {
             @Override
-            public void dial(Link link) {
+            public void connect(UpstreamConnection link) {
               link.carrier(() -> closed.add(link));
               dialed.add(link);
             }
 
             @Override
-            public void later(Target target, long span) {
+            public void later(Upstream target, long span) {
               later.add(target);
             }
           },
@@ -45,21 +45,21 @@
           5,
           KEEP_ALIVE);
 
-  ServersTest() {
+  UpstreamConnectionTableTest() {
     bound(100, 10);
   }
 
   private void bound(int all, int each) {
-    servers.bound(new Budget(1, 1, all, each, 1, 1, 1, List.of()));
+    servers.bound(new DescriptorBudget(1, 1, all, each, 1, 1, 1, List.of()));
   }
 
   /** An attempt: what it was told. */
-  private static class Want implements Servers.Wanting {
-    private Link by;
+  private static class Want implements UpstreamConnectionTable.ConnectionWaiter {
+    private UpstreamConnection by;
     private Boolean none;
 
     @Override
-    public void use(Link link) {
+    public void use(UpstreamConnection link) {
       assertNull(by, "used twice");
       assertNull(none, "used after a no");
       by = link;
@@ -73,14 +73,14 @@
     }
   }
 
-  private Want want(Target target) {
+  private Want want(Upstream target) {
     Want want = new Want();
     target.want(now, want);
     return want;
   }
 
   /** A connection that is made and has answered once. */
-  private Link proven(Target target) {
+  private UpstreamConnection proven(Upstream target) {
     Want want = want(target);
     dialed.get(dialed.size() - 1).connected(now);
     now += 100 * MS;
@@ -90,7 +90,7 @@
 
   @Test
   void anIdleConnectionIsUsedAndTheLatestFirst() {
-    Target target = servers.add("a", false);
+    Upstream target = servers.add("a", false);
     Want first = want(target);
     Want second = want(target);
     dialed.forEach(link -> link.connected(now));
@@ -104,8 +104,8 @@
 
   @Test
   void whoWaitsTakesWhatIsFreeFirstAndTheNewOneStaysIdle() {
-    Target target = servers.add("a", false);
-    Link link = proven(target);
+    Upstream target = servers.add("a", false);
+    UpstreamConnection link = proven(target);
     Want busy = want(target);
     Want waits = want(target);
     assertNull(waits.by);
@@ -117,7 +117,7 @@
 
   @Test
   void aBurstWaitsForAConnectionThatIsFreeSooner() {
-    Target target = servers.add("a", false);
+    Upstream target = servers.add("a", false);
     Want slow = want(target);
     now += 80 * MS;
     dialed.get(0).connected(now);
@@ -140,7 +140,7 @@
 
   @Test
   void aColdServerGetsOneAtATime() {
-    Target target = servers.add("a", true);
+    Upstream target = servers.add("a", true);
     List<Want> wants = new ArrayList<>();
     for (int i = 0; i < 4; i++) {
       wants.add(want(target));
@@ -156,7 +156,7 @@
 
   @Test
   void aRefusalIsFollowedByABackOffThatGrows() {
-    Target target = servers.add("a", false);
+    Upstream target = servers.add("a", false);
     long before = 0;
     for (int i = 0; i < 10; i++) {
       Want want = want(target);
@@ -183,8 +183,8 @@
 
   @Test
   void aFullServerIsNotAskedForMoreAndWhoComesWaitsForWhatItHas() {
-    Target target = servers.add("a", false);
-    Link only = proven(target);
+    Upstream target = servers.add("a", false);
+    UpstreamConnection only = proven(target);
     Want busy = want(target);
     Want second = want(target);
     dialed.get(1).failed(now, Failure.REFUSED);
@@ -202,7 +202,7 @@
   }
 
   /** One of two connections is in use and has timed out; returns the other one. */
-  private Link afterASilence(Target target) {
+  private UpstreamConnection afterASilence(Upstream target) {
     Want first = want(target);
     Want second = want(target);
     dialed.forEach(link -> link.connected(now));
@@ -219,11 +219,11 @@
 
   @Test
   void aServerThatGoesSilentIsTrustedAgainOnceItHasAnswered() {
-    Target target = servers.add("a", false);
-    Link idle = afterASilence(target);
+    Upstream target = servers.add("a", false);
+    UpstreamConnection idle = afterASilence(target);
     Want next = want(target);
     assertNull(next.by, "what is idle may be dead");
-    Link fresh = dialed.get(2);
+    UpstreamConnection fresh = dialed.get(2);
     fresh.connected(now);
     assertSame(fresh, next.by);
     Want meanwhile = want(target);
@@ -235,8 +235,8 @@
 
   @Test
   void behindACutNetworkWhatIsIdleGoes() {
-    Target target = servers.add("a", false);
-    Link idle = afterASilence(target);
+    Upstream target = servers.add("a", false);
+    UpstreamConnection idle = afterASilence(target);
     Want next = want(target);
     dialed.get(2).failed(now, Failure.SILENT);
     assertEquals(false, next.none);
@@ -246,7 +246,7 @@
 
   @Test
   void aSlowAnswerBesideOthersIsNoSilence() {
-    Target target = servers.add("a", false);
+    Upstream target = servers.add("a", false);
     proven(target);
     Want slow = want(target);
     Want quick = want(target);
@@ -260,8 +260,8 @@
 
   @Test
   void nothingGoesToAConnectionThatTheServerIsAboutToClose() {
-    Target target = servers.add("a", false);
-    Link link = proven(target);
+    Upstream target = servers.add("a", false);
+    UpstreamConnection link = proven(target);
     now += KEEP_ALIVE - 1_600 * MS;
     servers.sweep(now);
     assertTrue(closed.isEmpty());
@@ -273,9 +273,9 @@
   @Test
   void atTheBoundAnothersLongestIdleGivesWay() {
     bound(3, 2);
-    Target a = servers.add("a", false);
-    Target b = servers.add("b", false);
-    Link oldest = proven(a);
+    Upstream a = servers.add("a", false);
+    Upstream b = servers.add("b", false);
+    UpstreamConnection oldest = proven(a);
     now += MS;
     want(a);
     Want busy = want(a);
@@ -299,8 +299,8 @@
 
   @Test
   void aRestartOrAMoveLeavesNothingBehind() {
-    Target old = servers.add("a", false);
-    Link idle = proven(old);
+    Upstream old = servers.add("a", false);
+    UpstreamConnection idle = proven(old);
     Want busy = want(old);
     Want waiting = want(old);
     assertSame(idle, busy.by);
@@ -316,7 +316,7 @@
 
   @Test
   void withoutADescriptorTheServerIsNotToBlame() {
-    Target target = servers.add("a", false);
+    Upstream target = servers.add("a", false);
     Want want = want(target);
     dialed.get(0).failed(now, Failure.OWN);
     assertEquals(true, want.none);
@@ -328,7 +328,7 @@
 
   @Test
   void whoNoLongerWaitsIsNotServed() {
-    Target target = servers.add("a", false);
+    Upstream target = servers.add("a", false);
     Want want = want(target);
     assertTrue(target.cancel(want));
     assertFalse(target.cancel(want));
@@ -342,7 +342,7 @@
   void manySeeds() {
     for (long seed = 1; seed <= 200; seed++) {
       try {
-        new ServersTest().play(new SplittableRandom(seed));
+        new UpstreamConnectionTableTest().play(new SplittableRandom(seed));
       } catch (AssertionError | RuntimeException e) {
         throw new AssertionError("seed " + seed, e);
       }
@@ -356,8 +356,8 @@
     int each = random.nextInt(1, 8);
     bound(all, each);
     PriorityQueue<Event> events = new PriorityQueue<>((a, b) -> Long.compare(a.at, b.at));
-    List<Target> targets = new ArrayList<>();
-    Map<Target, Integer> room = new HashMap<>();
+    List<Upstream> targets = new ArrayList<>();
+    Map<Upstream, Integer> room = new HashMap<>();
     for (int i = 0; i < 6; i++) {
       targets.add(servers.add(i, random.nextBoolean()));
       room.put(targets.get(i), random.nextInt(0, 6));
@@ -380,7 +380,7 @@
       Want want =
           new Want() {
             @Override
-            public void use(Link link) {
+            public void use(UpstreamConnection link) {
               super.use(link);
               long end = now + random.nextLong(200 * MS);
               int how = random.nextInt(20);
@@ -400,7 +400,7 @@
             }
           };
       wants.add(want);
-      Target target = targets.get(random.nextInt(targets.size()));
+      Upstream target = targets.get(random.nextInt(targets.size()));
       target.want(now, want);
       events.add(
           new Event(
@@ -411,7 +411,7 @@
                   want.none = true;
                 }
               }));
-      for (Link link : dialed) {
+      for (UpstreamConnection link : dialed) {
         int roomThere = room.get(link.target());
         long at = now + random.nextLong(30 * MS);
         boolean yes = link.target().open() <= roomThere && random.nextInt(10) > 0;
@@ -428,20 +428,20 @@
                 }));
       }
       dialed.clear();
-      for (Target one : later) {
+      for (Upstream one : later) {
         events.add(new Event(now + 5 * MS, () -> one.look(now)));
       }
       later.clear();
       assertTrue(counts.serversOpen.get() <= all, counts.serversOpen + " of " + all);
-      for (Target one : targets) {
+      for (Upstream one : targets) {
         assertTrue(one.open() <= each, one.open() + " of " + each);
       }
     }
-    targets.forEach(Target::retire);
+    targets.forEach(Upstream::retire);
     while (!events.isEmpty()) {
       now = Math.max(now, events.peek().at);
       events.poll().what.run();
-      for (Link link : dialed) {
+      for (UpstreamConnection link : dialed) {
         link.failed(now, Failure.REFUSED);
       }
       dialed.clear();
--- a/edge/src/test/java/edgegateway/node/discovery/JsonObjectsTest.java
+++ b/edge/src/test/java/edgegateway/node/discovery/JsonObjectSplitterTest.java
@@ -9,9 +9,10 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
-class JsonObjectsTest {
+class JsonObjectSplitterTest {
   private final List<String> told = new ArrayList<>();
-  private final JsonObjects objects = new JsonObjects(100, told::add, () -> told.add(""));
+  private final JsonObjectSplitter objects =
+      new JsonObjectSplitter(100, told::add, () -> told.add(""));
 
   /** Cut in two at each byte, and byte by byte: the same must come of all. */
   private List<String> read(String text) {
@@ -19,7 +20,7 @@
     objects.next(bytes);
     for (int cut = 0; cut <= bytes.length; cut++) {
       List<String> again = new ArrayList<>();
-      JsonObjects fresh = new JsonObjects(100, again::add, () -> again.add(""));
+      JsonObjectSplitter fresh = new JsonObjectSplitter(100, again::add, () -> again.add(""));
       fresh.next(Arrays.copyOf(bytes, cut));
       if (cut == bytes.length / 2) {
         for (byte next : Arrays.copyOfRange(bytes, cut, bytes.length)) {
@@ -50,7 +51,7 @@
   void whatIsNoObjectOrTooLongEndsIt() {
     for (String no : List.of("[1]", "x", "}", "\"a\"", "{\"a\":\"" + "b".repeat(100))) {
       told.clear();
-      JsonObjects fresh = new JsonObjects(100, told::add, () -> told.add(""));
+      JsonObjectSplitter fresh = new JsonObjectSplitter(100, told::add, () -> told.add(""));
       assertThrows(
           IllegalArgumentException.class,
           () -> fresh.next(no.getBytes(StandardCharsets.UTF_8)),
--- a/edge/src/test/java/edgegateway/node/discovery/WatchesTest.java
+++ b/edge/src/test/java/edgegateway/node/discovery/WatchSchedulerTest.java
@@ -10,46 +10,46 @@
 import org.junit.jupiter.api.Test;
 
 /** When discovery is asked, on a clock of the test's own. */
-class WatchesTest implements Watches.Host {
+class WatchSchedulerTest implements WatchScheduler.Host {
   private static final long MS = 1_000_000L;
   private static final long TOLD = 6_000 * MS;
-  private final List<Watches.Watch> open = new ArrayList<>();
+  private final List<WatchScheduler.Watch> open = new ArrayList<>();
   private int opened;
   private long now;
 
   @Override
-  public void open(Watches.Watch watch) {
+  public void open(WatchScheduler.Watch watch) {
     open.add(watch);
     opened++;
-    assertTrue(open.size() <= Watches.MOST, "descriptors are bounded");
+    assertTrue(open.size() <= WatchScheduler.MOST, "descriptors are bounded");
   }
 
   @Override
-  public void close(Watches.Watch watch) {
+  public void close(WatchScheduler.Watch watch) {
     assertTrue(open.remove(watch));
   }
 
-  private Watches begun(long seed) {
+  private WatchScheduler begun(long seed) {
     open.clear();
     opened = 0;
     now = 0;
-    Watches watches = new Watches(this, seed);
+    WatchScheduler watches = new WatchScheduler(this, seed);
     watches.start(0, 5);
     return watches;
   }
 
-  private Watches.Watch last() {
+  private WatchScheduler.Watch last() {
     return open.get(open.size() - 1);
   }
 
-  private void end(Watches watches, Watches.Watch watch) {
+  private void end(WatchScheduler watches, WatchScheduler.Watch watch) {
     open.remove(watch);
     watches.ended(now, watch);
   }
 
-  private void pass(Watches watches, long span) {
+  private void pass(WatchScheduler watches, long span) {
     for (long until = now + span; now < until; ) {
-      now += Math.min(Watches.LOOK, until - now);
+      now += Math.min(WatchScheduler.LOOK, until - now);
       watches.look(now);
     }
   }
@@ -68,13 +68,13 @@
     long worst = 0;
     for (long seed = 1; seed <= 400; seed++) {
       SplittableRandom random = new SplittableRandom(seed);
-      Watches watches = begun(seed);
+      WatchScheduler watches = begun(seed);
       int seen = 0;
       long back = (1 + random.nextInt(200)) * 100 * MS;
       while (now < back) {
         if (opened > seen) {
           seen = opened;
-          Watches.Watch watch = last();
+          WatchScheduler.Watch watch = last();
           Trouble trouble = Trouble.values()[random.nextInt(4)];
           if (trouble == Trouble.REFUSED) {
             end(watches, watch);
@@ -94,9 +94,11 @@
       }
       worst = Math.max(worst, now - back);
     }
-    assertTrue(worst <= Watches.SILENCE + Watches.LOOK, "asked again after " + worst / MS + " ms");
     assertTrue(
-        Watches.SILENCE + Watches.ANSWER + Watches.LOOK + 1_500 * MS < TOLD,
+        worst <= WatchScheduler.SILENCE + WatchScheduler.LOOK,
+        "asked again after " + worst / MS + " ms");
+    assertTrue(
+        WatchScheduler.SILENCE + WatchScheduler.ANSWER + WatchScheduler.LOOK + 1_500 * MS < TOLD,
         "no room for a loop that stands still");
   }
 
@@ -107,13 +109,13 @@
   @Test
   void aWatchThatHangsIsNotWaitedFor() {
     for (long seed = 1; seed <= 100; seed++) {
-      Watches watches = begun(seed);
+      WatchScheduler watches = begun(seed);
       for (int call = 1; call < 20; call++) {
         assertTrue(opened >= call, "seed " + seed);
-        pass(watches, Watches.ANSWER + Watches.LOOK);
+        pass(watches, WatchScheduler.ANSWER + WatchScheduler.LOOK);
       }
       // Whichever speaks first is followed, were it the first of them.
-      Watches.Watch first = open.get(0);
+      WatchScheduler.Watch first = open.get(0);
       assertTrue(watches.heard(now, first));
       assertEquals(List.of(first), open);
     }
@@ -121,19 +123,19 @@
 
   @Test
   void aWatchThatFallsSilentIsReplacedAndHeardUntilThen() {
-    Watches watches = begun(3);
-    Watches.Watch old = last();
+    WatchScheduler watches = begun(3);
+    WatchScheduler.Watch old = last();
     assertTrue(watches.heard(now, old));
-    pass(watches, Watches.SILENCE - 1);
+    pass(watches, WatchScheduler.SILENCE - 1);
     assertEquals(1, opened);
-    pass(watches, Watches.LOOK + 1);
+    pass(watches, WatchScheduler.LOOK + 1);
     assertEquals(2, opened);
-    Watches.Watch next = last();
+    WatchScheduler.Watch next = last();
     // The old one was only slow: then it is as good as any.
     assertTrue(watches.takes(now, old, 6, false));
     assertEquals(List.of(old), open);
     assertFalse(watches.heard(now, next), "what was closed says nothing any more");
-    pass(watches, Watches.SILENCE + Watches.LOOK);
+    pass(watches, WatchScheduler.SILENCE + WatchScheduler.LOOK);
     next = last();
     assertTrue(watches.takes(now, next, 7, false));
     assertFalse(
@@ -146,12 +148,12 @@
   @Test
   void afterAMoveTheOldAddressIsHeardUntilTheNewOneSpeaks() {
     for (boolean oldFirst : new boolean[] {true, false}) {
-      Watches watches = begun(4);
-      Watches.Watch old = last();
+      WatchScheduler watches = begun(4);
+      WatchScheduler.Watch old = last();
       assertTrue(watches.takes(now, old, 6, true));
       watches.move(now);
       assertEquals(2, opened, "at once");
-      Watches.Watch next = last();
+      WatchScheduler.Watch next = last();
       if (oldFirst) {
         assertTrue(watches.takes(now, old, 7, false));
         assertTrue(open.contains(next), "the old address is no reason to leave the new one");
@@ -166,8 +168,8 @@
 
   @Test
   void anOlderListIsNotTakenAndAskedForAgain() {
-    Watches watches = begun(5);
-    Watches.Watch stale = last();
+    WatchScheduler watches = begun(5);
+    WatchScheduler.Watch stale = last();
     assertFalse(watches.takes(now, stale, 4, true));
     assertFalse(stale.isOpen());
     pass(watches, 200 * MS);
@@ -191,7 +193,7 @@
   /** Else a discovery that lost its revisions would never be heard again. */
   @Test
   void aDiscoveryThatBeganAnewIsFollowedInTheEnd() {
-    Watches watches = begun(6);
+    WatchScheduler watches = begun(6);
     long since = now;
     while (!watches.takes(now, last(), 1, true)) {
       int before = opened;
@@ -200,14 +202,16 @@
       }
     }
     assertEquals(1, watches.revision());
-    assertTrue(now - since >= Watches.OUTDATED && now - since < Watches.OUTDATED + 2_000 * MS);
+    assertTrue(
+        now - since >= WatchScheduler.OUTDATED
+            && now - since < WatchScheduler.OUTDATED + 2_000 * MS);
   }
 
   @Test
   void anEmptyLineOfASoundWatchEndsTheBackOffAndNodesDoNotAskTogether() {
     List<Long> spans = new ArrayList<>();
     for (long seed = 1; seed <= 20; seed++) {
-      Watches watches = begun(seed);
+      WatchScheduler watches = begun(seed);
       for (int i = 0; i < 10; i++) {
         int before = opened;
         end(watches, last());
@@ -222,7 +226,7 @@
         pass(watches, MS);
       }
       assertTrue(
-          now - since <= Watches.FIRST_BACKOFF,
+          now - since <= WatchScheduler.FIRST_BACKOFF,
           "waited " + (now - since) / MS + " ms after a sound watch");
       spans.add(now - since);
     }
--- a/edge/src/test/java/edgegateway/node/zones/ZoneFleet.java
+++ b/edge/src/test/java/edgegateway/node/zones/FakeZoneFleet.java
@@ -12,7 +12,7 @@
 /**
  * Many agreements on one clock with a counter between them; what their attempts meet is made up.
  */
-final class ZoneFleet {
+final class FakeZoneFleet {
   static final long MS = 1_000_000L;
   static final long SECOND = 1_000 * MS;
   static final List<String> ZONES = List.of("a", "b", "c");
@@ -29,7 +29,7 @@
   private record Later(long at, Runnable what) {}
 
   /** A node: its agreement, and what its attempts came to. */
-  final class Node implements ZoneAgreement.Actions {
+  final class Node implements ZoneConsensus.Actions {
     final int me;
     final SplittableRandom own = random.split();
     final double[] ended = new double[ZONES.size()];
@@ -50,7 +50,7 @@
 
     boolean liar;
     boolean dead;
-    ZoneAgreement agreement;
+    ZoneConsensus agreement;
 
     Node(int me) {
       this.me = me;
@@ -60,18 +60,18 @@
     void start() {
       java.util.Arrays.fill(courses, null);
       agreement =
-          new ZoneAgreement(
-              new ZoneAgreement.Terms(settings, me, size, ZONES, BEGIN, RAMP, 2 * RAMP),
+          new ZoneConsensus(
+              new ZoneConsensus.Terms(settings, me, size, ZONES, BEGIN, RAMP, 2 * RAMP),
               this::cast,
               own.nextLong(),
               now + off,
               this);
     }
 
-    private void cast(long at, Ballot ballot, boolean mine) {
+    private void cast(long at, ZoneVote ballot, boolean mine) {
       calls++;
       long asked = now;
-      ZoneAgreement of = agreement;
+      ZoneConsensus of = agreement;
       boolean reaches = !down && own.nextDouble() >= loss;
       if (reaches) {
         totals.merge(ballot, mine ? weight : 0, Double::sum);
@@ -94,7 +94,7 @@
       return courses[zone] == null ? 1 : courses[zone].fractionAt(now + off);
     }
 
-    ZoneVerdict.State state(int zone) {
+    ZoneEjectionState.State state(int zone) {
       return agreement.verdict(zone).state();
     }
 
@@ -166,9 +166,9 @@
   final SplittableRandom random;
   final int size;
   final List<Node> nodes = new ArrayList<>();
-  final Map<Ballot, Double> totals = new HashMap<>();
+  final Map<ZoneVote, Double> totals = new HashMap<>();
   final long[] sent = new long[ZONES.size()];
-  final ZoneSettings settings;
+  final ZoneEjectionSettings settings;
   private final PriorityQueue<Later> later =
       new PriorityQueue<>(java.util.Comparator.comparingLong(Later::at));
   Health health = (node, zone) -> 0.01;
@@ -185,10 +185,12 @@
   long calls;
   long trials;
 
-  ZoneFleet(int size, long seed, ZoneSettings.Verdicts verdicts) {
+  FakeZoneFleet(int size, long seed, ZoneEjectionSettings.Verdicts verdicts) {
     this.size = size;
     random = new SplittableRandom(seed);
-    settings = new ZoneSettings(verdicts, ZoneSettings.MOST_OUT, ZoneSettings.ALONE_AFTER);
+    settings =
+        new ZoneEjectionSettings(
+            verdicts, ZoneEjectionSettings.MOST_OUT, ZoneEjectionSettings.ALONE_AFTER);
     for (int i = 0; i < size; i++) {
       nodes.add(new Node(i));
     }
@@ -196,7 +198,7 @@
 
   /** Goes on for a span; {@code always} is asked at each step. */
   void run(long span, Runnable always) {
-    long step = ZoneVerdicts.TICK;
+    long step = ZoneEjectionController.TICK;
     long until = now + span;
     while (now < until) {
       now += step;
@@ -217,17 +219,17 @@
   }
 
   /** How many living nodes have a zone in this state. */
-  long in(int zone, ZoneVerdict.State state) {
+  long in(int zone, ZoneEjectionState.State state) {
     return nodes.stream().filter(node -> !node.dead && node.state(zone) == state).count();
   }
 
   /** How many living nodes use a zone as ever, though some may doubt it. */
   long used(int zone) {
-    return in(zone, ZoneVerdict.State.IN) + in(zone, ZoneVerdict.State.SUSPECT);
+    return in(zone, ZoneEjectionState.State.IN) + in(zone, ZoneEjectionState.State.SUSPECT);
   }
 
   /** How many living nodes have a zone away by this. */
-  long by(int zone, ZoneVerdict.Why why) {
+  long by(int zone, ZoneEjectionState.Why why) {
     return nodes.stream()
         .filter(node -> !node.dead && node.agreement.verdict(zone).why() == why)
         .count();
--- a/edge/src/test/java/edgegateway/node/zones/ZoneAgreementTest.java
+++ b/edge/src/test/java/edgegateway/node/zones/ZoneConsensusTest.java
@@ -1,16 +1,16 @@
 package edgegateway.node.zones;
 
-import static edgegateway.node.zones.ZoneFleet.BEGIN;
-import static edgegateway.node.zones.ZoneFleet.MS;
-import static edgegateway.node.zones.ZoneFleet.RAMP;
-import static edgegateway.node.zones.ZoneFleet.SECOND;
+import static edgegateway.node.zones.FakeZoneFleet.BEGIN;
+import static edgegateway.node.zones.FakeZoneFleet.MS;
+import static edgegateway.node.zones.FakeZoneFleet.RAMP;
+import static edgegateway.node.zones.FakeZoneFleet.SECOND;
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import edgegateway.node.zones.ZoneSettings.Verdicts;
-import edgegateway.node.zones.ZoneVerdict.State;
-import edgegateway.node.zones.ZoneVerdict.Why;
+import edgegateway.node.zones.ZoneEjectionSettings.Verdicts;
+import edgegateway.node.zones.ZoneEjectionState.State;
+import edgegateway.node.zones.ZoneEjectionState.Why;
 import edgegateway.policy.api.PlatformRules;
 import edgegateway.policy.api.TrafficRamp;
 import java.util.HashSet;
@@ -22,7 +22,7 @@
 import org.junit.jupiter.params.provider.ValueSource;
 
 /** Whole fleets of agreements on a given clock, over many seeds; a failure tells its seed. */
-class ZoneAgreementTest {
+class ZoneConsensusTest {
   private static final int SEEDS = 30;
   private static final int A = 0;
   private static final int B = 1;
@@ -38,25 +38,25 @@
     }
   }
 
-  private static ZoneFleet fleet(int size, long seed) {
-    ZoneFleet fleet = new ZoneFleet(size, seed, Verdicts.COUNTER);
+  private static FakeZoneFleet fleet(int size, long seed) {
+    FakeZoneFleet fleet = new FakeZoneFleet(size, seed, Verdicts.COUNTER);
     fleet.run(10 * SECOND);
     return fleet;
   }
 
-  private static void fail(ZoneFleet fleet, int zone) {
+  private static void fail(FakeZoneFleet fleet, int zone) {
     fleet.health = (node, other) -> other == zone ? 1 : 0.01;
   }
 
-  private static void mend(ZoneFleet fleet) {
+  private static void mend(FakeZoneFleet fleet) {
     fleet.health = (node, zone) -> 0.01;
   }
 
   /** No node ever has more away than the settings allow. */
-  private static void bounded(ZoneFleet fleet) {
-    for (ZoneFleet.Node node : fleet.nodes) {
+  private static void bounded(FakeZoneFleet fleet) {
+    for (FakeZoneFleet.Node node : fleet.nodes) {
       long away = 0;
-      for (int zone = 0; zone < ZoneFleet.ZONES.size(); zone++) {
+      for (int zone = 0; zone < FakeZoneFleet.ZONES.size(); zone++) {
         State state = node.state(zone);
         away += state == State.IN || state == State.SUSPECT ? 0 : 1;
       }
@@ -69,7 +69,7 @@
   void aZoneThatIsLostIsLeftByAllWithinThreeSecondsAndComesBack(int size) {
     seeds(
         seed -> {
-          ZoneFleet fleet = fleet(size, seed);
+          FakeZoneFleet fleet = fleet(size, seed);
           assertTrue(fleet.calls <= 1 + size, "calls on a calm day: " + fleet.calls);
           fail(fleet, B);
           fleet.run(3 * SECOND, () -> bounded(fleet));
@@ -95,7 +95,7 @@
                 }
                 // The ramp from the moment at which the first node began it bounds what all send
                 // together.
-                double grown = (fleet.now - first[0] + ZoneVerdicts.TICK) / RAMP;
+                double grown = (fleet.now - first[0] + ZoneEjectionController.TICK) / RAMP;
                 assertTrue(
                     part <= (Double.isNaN(first[0]) ? 0 : BEGIN + (1 - BEGIN) * grown) + 0.01,
                     "part " + part + " too early");
@@ -109,7 +109,7 @@
   void nodesThatAreAloneLeaveLaterAndComeBackByThemselves() {
     seeds(
         seed -> {
-          ZoneFleet fleet = new ZoneFleet(12, seed, Verdicts.ALONE);
+          FakeZoneFleet fleet = new FakeZoneFleet(12, seed, Verdicts.ALONE);
           fleet.run(5 * SECOND);
           fail(fleet, B);
           fleet.run(2 * SECOND);
@@ -131,7 +131,7 @@
   void withoutACounterEachNodeLeavesByItself() {
     seeds(
         seed -> {
-          ZoneFleet fleet = fleet(12, seed);
+          FakeZoneFleet fleet = fleet(12, seed);
           fleet.down = true;
           fail(fleet, B);
           fleet.run(8 * SECOND);
@@ -147,7 +147,7 @@
   void lostCallsAndAnswersOnlyDelay() {
     seeds(
         seed -> {
-          ZoneFleet fleet = fleet(30, seed);
+          FakeZoneFleet fleet = fleet(30, seed);
           fleet.loss = 0.3;
           fail(fleet, B);
           fleet.run(9 * SECOND, () -> bounded(fleet));
@@ -169,7 +169,7 @@
   void aTotalThatIsFlushedAgainAndAgainOnlyDelays() {
     seeds(
         seed -> {
-          ZoneFleet fleet = fleet(12, seed);
+          FakeZoneFleet fleet = fleet(12, seed);
           fail(fleet, B);
           fleet.run(8 * SECOND, fleet.totals::clear);
           assertEquals(12, fleet.in(B, State.OUT), fleet.nodes.get(0).log.toString());
@@ -182,10 +182,10 @@
   void aZoneCutFromHalfOfTheNodesIsNoVerdict() {
     seeds(
         seed -> {
-          ZoneFleet fleet = fleet(12, seed);
+          FakeZoneFleet fleet = fleet(12, seed);
           fleet.health = (node, zone) -> zone == B && node < 6 ? 1 : 0.01;
           fleet.run(12 * SECOND, () -> assertEquals(0, fleet.by(B, Why.FLEET)));
-          for (ZoneFleet.Node node : fleet.nodes) {
+          for (FakeZoneFleet.Node node : fleet.nodes) {
             assertEquals(node.me < 6, node.state(B) == State.OUT, node.me + ": " + node.log);
           }
           mend(fleet);
@@ -198,7 +198,7 @@
   void whoReachesNobodyAccusesNobody() {
     seeds(
         seed -> {
-          ZoneFleet fleet = fleet(12, seed);
+          FakeZoneFleet fleet = fleet(12, seed);
           fleet.health = (node, zone) -> node == 0 ? 1 : 0.01;
           fleet.run(10 * SECOND);
           assertEquals(0, fleet.nodes.get(0).agreement.calls() / 20, "it asks and asks");
@@ -216,7 +216,7 @@
   void aLoadTooHighIsNoZonesFaultAndTwoOfThreeZonesAreNotLeft() {
     seeds(
         seed -> {
-          ZoneFleet fleet = fleet(12, seed);
+          FakeZoneFleet fleet = fleet(12, seed);
           fleet.health = (node, zone) -> 0.6;
           fleet.run(8 * SECOND);
           for (int zone = 0; zone < 3; zone++) {
@@ -238,7 +238,7 @@
   void aTenthThatLiesBringsNoZoneDown() {
     seeds(
         seed -> {
-          ZoneFleet fleet = fleet(100, seed);
+          FakeZoneFleet fleet = fleet(100, seed);
           for (int i = 0; i < 10; i++) {
             fleet.nodes.get(i * 7).liar = true;
             fleet.nodes.get(i * 7).weight = 2;
@@ -264,7 +264,7 @@
   void nodesWithAnOldClockAreOutvotedNotObeyed() {
     seeds(
         seed -> {
-          ZoneFleet fleet = new ZoneFleet(12, seed, Verdicts.COUNTER);
+          FakeZoneFleet fleet = new FakeZoneFleet(12, seed, Verdicts.COUNTER);
           for (int i = 0; i < 4; i++) {
             fleet.nodes.get(i).off = -40 * SECOND;
             fleet.nodes.get(i).start();
@@ -282,14 +282,14 @@
   void aRestartGivesNoSecondVote() {
     seeds(
         seed -> {
-          ZoneFleet fleet = fleet(12, seed);
+          FakeZoneFleet fleet = fleet(12, seed);
           fleet.health = (node, zone) -> zone == B && node < 4 ? 1 : 0.01;
           fleet.run(
               3_900 * MS,
               () ->
                   fleet.nodes.stream()
                       .filter(node -> node.me < 4 && fleet.now / (500 * MS) % 2 == 0)
-                      .forEach(ZoneFleet.Node::start));
+                      .forEach(FakeZoneFleet.Node::start));
           assertTrue(
               fleet.totals.values().stream().allMatch(total -> total <= 4),
               "votes: " + fleet.totals);
@@ -303,7 +303,7 @@
   void aZoneThatRelapsesIsOutForLongerEachTime() {
     seeds(
         seed -> {
-          ZoneFleet fleet = fleet(12, seed);
+          FakeZoneFleet fleet = fleet(12, seed);
           // Trials pass, load does not.
           fleet.health = (node, zone) -> zone == B && fleet.share(B) > 0.1 ? 1 : 0.01;
           fleet.run(120 * SECOND, () -> bounded(fleet));
@@ -328,7 +328,7 @@
   void halfOfTheNodesRestartDuringTheRampAndTheCounterIsLost() {
     seeds(
         seed -> {
-          ZoneFleet fleet = fleet(12, seed);
+          FakeZoneFleet fleet = fleet(12, seed);
           fail(fleet, B);
           fleet.run(5 * SECOND);
           mend(fleet);
@@ -338,7 +338,7 @@
                 fleet.now < 1_100 * SECOND, "it does not come back: " + fleet.nodes.get(0).log);
           }
           fleet.down = true;
-          fleet.nodes.stream().filter(node -> node.me % 2 == 0).forEach(ZoneFleet.Node::start);
+          fleet.nodes.stream().filter(node -> node.me % 2 == 0).forEach(FakeZoneFleet.Node::start);
           fleet.run(RAMP + SECOND);
           assertEquals(12, fleet.used(B));
         });
@@ -348,7 +348,7 @@
   void trialsAreFew() {
     seeds(
         seed -> {
-          ZoneFleet fleet = fleet(100, seed);
+          FakeZoneFleet fleet = fleet(100, seed);
           fail(fleet, B);
           fleet.run(5 * SECOND);
           long before = fleet.trials;
@@ -366,20 +366,23 @@
   @Test
   void namesOfBallotsAreTheirOwn() {
     Set<Long> names = new HashSet<>();
-    CounterBallots ballots =
-        new CounterBallots((name, amount, lifetime) -> {}, List.of("a", "b"), ZoneAgreement.WINDOW);
-    CounterBallots same =
-        new CounterBallots((name, amount, lifetime) -> {}, List.of("a", "b"), ZoneAgreement.WINDOW);
+    CounterVoteTransport ballots =
+        new CounterVoteTransport(
+            (name, amount, lifetime) -> {}, List.of("a", "b"), ZoneConsensus.WINDOW);
+    CounterVoteTransport same =
+        new CounterVoteTransport(
+            (name, amount, lifetime) -> {}, List.of("a", "b"), ZoneConsensus.WINDOW);
     for (int zone = 0; zone < 2; zone++) {
-      for (Ballot.Question question : Ballot.Question.values()) {
+      for (ZoneVote.Question question : ZoneVote.Question.values()) {
         for (long window = 100; window < 200; window++) {
-          Ballot ballot = new Ballot(zone, question, window);
-          assertTrue(CounterBallots.owns(ballots.name(ballot)) && names.add(ballots.name(ballot)));
+          ZoneVote ballot = new ZoneVote(zone, question, window);
+          assertTrue(
+              CounterVoteTransport.owns(ballots.name(ballot)) && names.add(ballots.name(ballot)));
           assertEquals(ballots.name(ballot), same.name(ballot));
         }
       }
     }
-    assertFalse(CounterBallots.owns(0) || CounterBallots.owns(Long.MAX_VALUE));
+    assertFalse(CounterVoteTransport.owns(0) || CounterVoteTransport.owns(Long.MAX_VALUE));
   }
 
   /**
@@ -391,7 +394,8 @@
     for (double from = 0.05; from < 1; from += 0.05) {
       for (double times = 1.1; times < 4; times += 0.3) {
         PlatformRules rules = new PlatformRules(0, from, 17 * SECOND, times, SECOND);
-        TrafficRamp course = new TrafficRamp(from, 1, 0, Math.max(1, ZoneVerdicts.coldRamp(rules)));
+        TrafficRamp course =
+            new TrafficRamp(from, 1, 0, Math.max(1, ZoneEjectionController.coldRamp(rules)));
         for (long at = 0; at < 17 * SECOND; at += 100 * MS) {
           double able = from + (1 - from) * Math.min(1, at / (17.0 * SECOND));
           assertTrue(
--- a/edge/src/test/java/edgegateway/node/JsonTest.java
+++ b/edge/src/test/java/edgegateway/protocol/JsonTest.java
@@ -1,4 +1,4 @@
-package edgegateway.node;
+package edgegateway.protocol;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertThrows;
--- a/edge/src/test/java/edgegateway/simulator/DrillTest.java
+++ b/edge/src/test/java/edgegateway/simulator/SimulatorAdapterTest.java
@@ -10,7 +10,7 @@
 import org.junit.jupiter.api.Test;
 
 /** The adapter as a process: framing, absent values, and plain words on malformed input. */
-class DrillTest {
+class SimulatorAdapterTest {
   private record Run(int exit, String out, String err) {}
 
   private static Run play(String input) throws IOException, InterruptedException {
@@ -19,7 +19,7 @@
                 System.getProperty("java.home") + File.separator + "bin" + File.separator + "java",
                 "-cp",
                 System.getProperty("java.class.path"),
-                "edgegateway.simulator.Drill",
+                "edgegateway.simulator.SimulatorAdapter",
                 "drill")
             .start();
     try (var in = process.getOutputStream()) {
--- a/testbed/src/main/java/edgegateway/testbed/fleet/Load.java
+++ b/testbed/src/main/java/edgegateway/testbed/fleet/Load.java
@@ -1,6 +1,6 @@
 package edgegateway.testbed.fleet;
 
-import edgegateway.node.zones.ZoneSettings;
+import edgegateway.node.zones.ZoneEjectionSettings;
 import edgegateway.testbed.load.Plan;
 import edgegateway.testbed.load.RequestClass;
 import java.util.List;
@@ -11,7 +11,8 @@
  * @param keyLife for how long archive servers drop repeats of a key, in nanoseconds
  * @param zones how zones are judged; null if by operators alone
  */
-public record Load(List<RequestClass> classes, List<Plan> plans, long keyLife, ZoneSettings zones) {
+public record Load(
+    List<RequestClass> classes, List<Plan> plans, long keyLife, ZoneEjectionSettings zones) {
   /** Units that a plan's ceiling may be passed by: a tenth of what it holds, one at least. */
   public double slack(Plan plan) {
     return Math.max(1, 0.1 * plan.ceiling() * plan.burst());
--- a/testbed/src/main/java/edgegateway/testbed/model/Model.java
+++ b/testbed/src/main/java/edgegateway/testbed/model/Model.java
@@ -1,10 +1,10 @@
 package edgegateway.testbed.model;
 
-import edgegateway.node.SettingsPairs;
 import edgegateway.policy.api.Endpoint;
 import edgegateway.policy.api.EndpointState;
 import edgegateway.policy.api.PolicySettings;
-import edgegateway.protocol.SettingsReader;
+import edgegateway.protocol.PolicySettingsReader;
+import edgegateway.protocol.SettingsFlattener;
 import edgegateway.testbed.fleet.NodeConfig;
 import edgegateway.testbed.fleet.Topology;
 import edgegateway.testbed.judge.Event;
@@ -90,8 +90,8 @@
     counter = new CounterHost(timeline, topology.counter(), scenario.counter().terms());
     for (Party node : topology.nodes()) {
       PolicySettings settings =
-          SettingsReader.read(
-              SettingsPairs.of(NodeConfig.settings(topology, scenario.told(), node)));
+          PolicySettingsReader.read(
+              SettingsFlattener.of(NodeConfig.settings(topology, scenario.told(), node)));
       nodes.add(
           new NodeHost(
               node,
--- a/testbed/src/main/java/edgegateway/testbed/model/NodeHost.java
+++ b/testbed/src/main/java/edgegateway/testbed/model/NodeHost.java
@@ -1,7 +1,7 @@
 package edgegateway.testbed.model;
 
-import edgegateway.node.zones.ZoneSettings;
-import edgegateway.node.zones.ZoneVerdicts;
+import edgegateway.node.zones.ZoneEjectionController;
+import edgegateway.node.zones.ZoneEjectionSettings;
 import edgegateway.policy.GatewayPolicy;
 import edgegateway.policy.api.AttemptResult;
 import edgegateway.policy.api.Endpoint;
@@ -47,7 +47,7 @@
       Timeline timeline,
       Network network,
       PolicySettings settings,
-      ZoneSettings zones,
+      ZoneEjectionSettings zones,
       List<String> zoneNames,
       Supplier<List<Endpoint>> list,
       Map<String, ServerHost> servers,
@@ -122,7 +122,7 @@
   private final Map<String, Open> open = new LinkedHashMap<>();
   private final Map<ServerHost, Pool> pools = new LinkedHashMap<>();
   private GatewayPolicy gateway;
-  private ZoneVerdicts verdicts;
+  private ZoneEjectionController verdicts;
   private int life;
   private boolean ready;
   private boolean ending;
@@ -179,7 +179,7 @@
               () -> gateway.endpointsUpdated(timeline.now(), EndpointListKind.CACHED, known));
           if (around.zones != null) {
             verdicts =
-                new ZoneVerdicts(
+                new ZoneEjectionController(
                     around.zones,
                     around.settings,
                     around.zoneNames,
@@ -205,7 +205,7 @@
 
   private void judge() {
     verdicts.tick(timeline.now(), !deaf);
-    soon(ZoneVerdicts.TICK, this::judge);
+    soon(ZoneEjectionController.TICK, this::judge);
   }
 
   /** Happens unless this life has ended by then. */
@@ -568,7 +568,7 @@
     }
     over[0] = true;
     meter.counted(outcome);
-    if (verdicts != null && ZoneVerdicts.owns(name)) {
+    if (verdicts != null && ZoneEjectionController.owns(name)) {
       verdicts.counted(timeline.now(), name, outcome, total);
     } else {
       meter.time(
--- a/testbed/src/main/java/edgegateway/testbed/scale/ModelScale.java
+++ b/testbed/src/main/java/edgegateway/testbed/scale/ModelScale.java
@@ -1,6 +1,6 @@
 package edgegateway.testbed.scale;
 
-import edgegateway.node.connections.Servers;
+import edgegateway.node.connections.UpstreamConnectionTable;
 import edgegateway.policy.api.Outcome;
 import edgegateway.testbed.model.Meter;
 import edgegateway.testbed.model.Meter.Activity;
@@ -76,7 +76,7 @@
     Model.Measured of =
         Model.measured(
             scenario,
-            Servers.kept((long) (file.idleS() * SECOND)),
+            UpstreamConnectionTable.kept((long) (file.idleS() * SECOND)),
             (long) (fromS * SECOND),
             tally,
             progress);
--- a/testbed/src/main/java/edgegateway/testbed/scenario/Scenario.java
+++ b/testbed/src/main/java/edgegateway/testbed/scenario/Scenario.java
@@ -1,7 +1,7 @@
 package edgegateway.testbed.scenario;
 
 import com.fasterxml.jackson.annotation.JsonProperty;
-import edgegateway.node.zones.ZoneSettings;
+import edgegateway.node.zones.ZoneEjectionSettings;
 import edgegateway.testbed.fleet.Load;
 import edgegateway.testbed.fleet.Topology;
 import edgegateway.testbed.judge.Terms;
@@ -155,10 +155,11 @@
   }
 
   /** How edge nodes judge zones. */
-  public record Zones(ZoneSettings.Verdicts verdicts) {
+  public record Zones(ZoneEjectionSettings.Verdicts verdicts) {
     /** The same for a node. */
-    public ZoneSettings settings() {
-      return new ZoneSettings(verdicts, ZoneSettings.MOST_OUT, ZoneSettings.ALONE_AFTER);
+    public ZoneEjectionSettings settings() {
+      return new ZoneEjectionSettings(
+          verdicts, ZoneEjectionSettings.MOST_OUT, ZoneEjectionSettings.ALONE_AFTER);
     }
   }
 
--- a/testbed/src/main/java/edgegateway/testbed/stand/http/Port.java
+++ b/testbed/src/main/java/edgegateway/testbed/stand/http/Port.java
@@ -24,7 +24,7 @@
  * and a wake-up when the core wants to be asked. Like the real ones it may die: its connections are
  * reset, new ones refused.
  */
-abstract class Port implements AutoCloseable {
+public abstract class Port implements AutoCloseable {
   private static final int MOST_BODY = 1 << 16;
 
   private final EventLoop loop;
