--- a/edge/src/main/java/edgegateway/node/EdgeNode.java
+++ b/edge/src/main/java/edgegateway/node/EdgeNode.java
@@ -1,5 +1,7 @@
 package edgegateway.node;
 
+import static edgegateway.node.logging.EventLog.field;
+
 import edgegateway.node.clients.ClientHttpServer;
 import edgegateway.node.config.NodeConfig;
 import edgegateway.node.connections.BufferedBodies;
@@ -7,11 +9,16 @@
 import edgegateway.node.connections.DescriptorBudget;
 import edgegateway.node.counter.CounterClient;
 import edgegateway.node.discovery.DiscoveryClient;
+import edgegateway.node.discovery.EndpointListListener;
 import edgegateway.node.lifecycle.EventLoopStallDetector;
+import edgegateway.node.logging.EventLog;
 import edgegateway.node.metrics.NodeMetrics;
 import edgegateway.node.metrics.NodeMetrics.RequestEnd;
 import edgegateway.node.operators.EjectionFile;
+import edgegateway.node.operators.OperatorCommands;
+import edgegateway.node.requests.AttemptListener;
 import edgegateway.node.requests.BodyRelay;
+import edgegateway.node.requests.ClientRequestHandler;
 import edgegateway.node.requests.InFlightRequest;
 import edgegateway.node.upgrade.HandoverFile;
 import edgegateway.node.upgrade.ProcessSlots;
@@ -52,7 +59,14 @@
  * contract of one caller holds. A process has one with a loop of its own; many may share loops
  * where that is measured.
  */
-public final class EdgeNode implements PolicyActions, AutoCloseable {
+public final class EdgeNode
+    implements PolicyActions,
+        ClientRequestHandler,
+        AttemptListener,
+        EndpointListListener,
+        OperatorCommands,
+        AutoCloseable {
+  private static final EventLog LOG = EventLog.console();
   private static final long MS = 1_000_000L;
 
   /**
@@ -86,30 +100,30 @@
   /** The module's clock: the wall's time at the start, going on by the clock that never jumps. */
   private final long clockOffset = System.currentTimeMillis() * MS - System.nanoTime();
 
-  private final Map<String, InFlightRequest> open = new HashMap<>();
+  private final Map<String, InFlightRequest> inFlight = new HashMap<>();
   private final CounterClient counter;
   private final DiscoveryClient discovery;
-  public final ConnectionMetrics counts = new ConnectionMetrics();
-  public final BufferedBodies held = new BufferedBodies(counts);
+  public final ConnectionMetrics connectionMetrics = new ConnectionMetrics();
+  public final BufferedBodies bufferedBodies = new BufferedBodies(connectionMetrics);
   public final NodeMetrics figures;
-  public final UpstreamPool pool;
+  public final UpstreamPool upstreamPool;
   public final ClientHttpServer clients;
   final ProcessSlots slots;
   public final BodyRelay.Group relays;
-  public final EventLoopStallDetector standstills = new EventLoopStallDetector(System.nanoTime());
-  private final EjectionFile leftOut;
-  private final EjectionFile zonesOut;
-  private final HandoverFile handover;
+  public final EventLoopStallDetector stallDetector = new EventLoopStallDetector(System.nanoTime());
+  private final EjectionFile endpointEjectionFile;
+  private final EjectionFile zoneEjectionFile;
+  private final HandoverFile handoverFile;
   private NodeConfig config;
   private volatile DescriptorBudget budget;
-  private GatewayPolicy gateway;
+  private GatewayPolicy policy;
 
   /** Null where zones are left by hand alone. */
-  private ZoneEjectionController verdicts;
+  private ZoneEjectionController zoneEjection;
 
   private volatile boolean admitted;
   private volatile boolean taking;
-  private boolean inside;
+  private boolean inPolicyEvent;
 
   /** {@code folder} keeps what outlives the process; null if nothing does. */
   public EdgeNode(NodeConfig config, Path folder) throws IOException {
@@ -136,17 +150,20 @@
     group = own;
     loop = own == null ? shared : own.next();
     this.config = config;
-    figures = new NodeMetrics(config.names().classes(), counts);
+    figures = new NodeMetrics(config.names().classes(), connectionMetrics);
     slots = new ProcessSlots(folder);
-    leftOut = new EjectionFile(folder, "left-out");
-    zonesOut = new EjectionFile(folder, "zones-out");
-    handover = new HandoverFile(folder);
+    endpointEjectionFile = new EjectionFile(folder, "left-out");
+    zoneEjectionFile = new EjectionFile(folder, "zones-out");
+    handoverFile = new HandoverFile(folder);
     relays = new BodyRelay.Group(loop);
-    pool = new UpstreamPool(this, loop, config);
+    upstreamPool =
+        new UpstreamPool(this, loop, config, connectionMetrics, figures, bufferedBodies, relays);
     counter = new CounterClient(this::counted, loop, config);
-    discovery = new DiscoveryClient(this, loop, config);
-    clients = new ClientHttpServer(this, loop, config);
-    bound(1).clamped().forEach(this::log);
+    discovery = new DiscoveryClient(this, figures, loop, config);
+    clients =
+        new ClientHttpServer(
+            this, loop, config, connectionMetrics, bufferedBodies, relays, stallDetector);
+    applyBudget(1).clamped().forEach(this::log);
   }
 
   /**
@@ -156,7 +173,7 @@
    * waited for.
    */
   public void start() throws Exception {
-    decide();
+    startPolicy();
     loop.submit(() -> discovery.start(config.known().revision())).get();
     discovery.first().get();
     clients.bind().get();
@@ -166,9 +183,9 @@
    * Begins to serve beside the other process of an upgrade: health says yes from the first
    * connection on, and the module is made only now, so that its quotas begin when its clients do.
    */
-  void succeed() throws Exception {
-    handover.discard();
-    decide();
+  void startAsSuccessor() throws Exception {
+    handoverFile.discard();
+    startPolicy();
     loop.submit(() -> discovery.start(config.known().revision())).get();
     discovery.first().get();
     admitted = true;
@@ -177,11 +194,11 @@
   }
 
   /** Waits for what the other process knows of its customers; that comes when it is told to end. */
-  void takeOver() throws InterruptedException {
+  void importPredecessorState() throws InterruptedException {
     for (long waited = 0; waited < HANDOVER_MS; waited += POLL_MS) {
-      StateTransfer from = handover.read();
+      StateTransfer from = handoverFile.read();
       if (from != null) {
-        loop.execute(() -> event(null, now -> gateway.importState(now, from)));
+        loop.execute(() -> event(null, now -> policy.importState(now, from)));
         return;
       }
       Thread.sleep(POLL_MS);
@@ -189,27 +206,28 @@
   }
 
   /** Makes the module, with the list as last had; nothing listens or connects by this alone. */
-  public void decide() throws Exception {
+  public void startPolicy() throws Exception {
     loop.submit(
             () -> {
-              gateway = new GatewayPolicy(config.settings(), config.seed(), now(), this);
-              list(config.known(), EndpointListKind.CACHED);
-              look();
-              loop.scheduleAtFixedRate(this::look, LOOK, LOOK, TimeUnit.NANOSECONDS);
+              policy = new GatewayPolicy(config.settings(), config.seed(), nowNanos(), this);
+              endpointListReceived(config.known(), EndpointListKind.CACHED);
+              refresh();
+              loop.scheduleAtFixedRate(this::refresh, LOOK, LOOK, TimeUnit.NANOSECONDS);
               if (config.zones() != null) {
-                verdicts =
+                zoneEjection =
                     new ZoneEjectionController(
                         config.zones(),
                         config.settings(),
                         config.names().zones(),
                         config.seed(),
-                        now(),
-                        gateway,
+                        nowNanos(),
+                        policy,
                         this);
                 loop.scheduleAtFixedRate(
                     () ->
                         event(
-                            null, now -> verdicts.tick(now, figures.discoverySilence() < HEARD_MS)),
+                            null,
+                            now -> zoneEjection.tick(now, figures.discoverySilence() < HEARD_MS)),
                     ZoneEjectionController.TICK,
                     ZoneEjectionController.TICK,
                     TimeUnit.NANOSECONDS);
@@ -227,7 +245,7 @@
    * Follows a new configuration's addresses of discovery and counter; all else stays as it was at
    * the start.
    */
-  void move(NodeConfig next) {
+  void applyConfiguration(NodeConfig next) {
     loop.execute(
         () -> {
           if (next.counter() != null && !next.counter().equals(config.counter())) {
@@ -248,16 +266,16 @@
                 () -> {
                   boolean succeeded = slots.otherTakes();
                   slots.take(false);
-                  if (verdicts != null) {
-                    verdicts.agreement().abstain();
+                  if (zoneEjection != null) {
+                    zoneEjection.agreement().abstain();
                   }
                   clients.stop(done, succeeded);
-                  return succeeded ? gateway.exportState(now()) : null;
+                  return succeeded ? policy.exportState(nowNanos()) : null;
                 })
             .get();
     // Not on the loop: it has clients to see to.
     if (told != null) {
-      handover.write(told);
+      handoverFile.write(told);
     }
     return done;
   }
@@ -266,6 +284,7 @@
    * An operator drains this edge node, or has it take clients again; completes with null or with
    * why not.
    */
+  @Override
   public CompletableFuture<String> drain(boolean on) {
     return command(() -> clients.drain(on) ? null : "this process ends");
   }
@@ -273,23 +292,24 @@
   /**
    * An operator leaves a server out or lets it serve again; completes with null or with why not.
    */
-  public CompletableFuture<String> leaveOut(String server, boolean out) {
+  @Override
+  public CompletableFuture<String> setEndpointEjected(String server, boolean out) {
     return command(
         () -> {
           boolean[] listed = new boolean[1];
-          if (gateway != null) {
+          if (policy != null) {
             // As an event: it may let requests go, and the sockets must not enter the module again
             // meanwhile.
-            event(null, now -> listed[0] = gateway.setEndpointEjected(now, server, out));
+            event(null, now -> listed[0] = policy.setEndpointEjected(now, server, out));
           }
           if (!listed[0]) {
             return "never listed";
           }
           if (out) {
-            pool.leaveOut(server);
+            upstreamPool.leaveOut(server);
           }
-          leftOut.write(gateway.operatorEjectedEndpoints());
-          tell();
+          endpointEjectionFile.write(policy.operatorEjectedEndpoints());
+          updateMetrics();
           return null;
         });
   }
@@ -298,7 +318,8 @@
    * An operator leaves a zone out, or has it back over so many seconds, 0 for as long as a cold
    * server needs; completes with null or with why not.
    */
-  public CompletableFuture<String> leaveZone(String name, boolean out, long seconds) {
+  @Override
+  public CompletableFuture<String> setZoneEjected(String name, boolean out, long seconds) {
     int zone = config.names().zones().indexOf(name);
     return command(
         () -> {
@@ -311,13 +332,12 @@
                   ? TimeUnit.SECONDS.toNanos(seconds)
                   : config.settings().rules().slowStartNanos();
           event(
-              null,
-              now -> left[0] = gateway != null && gateway.setZoneEjected(now, zone, out, ramp));
+              null, now -> left[0] = policy != null && policy.setZoneEjected(now, zone, out, ramp));
           if (!left[0]) {
             return "no server of another zone could be sent to";
           }
-          zonesOut.write(
-              gateway.ejectedZones().stream()
+          zoneEjectionFile.write(
+              policy.ejectedZones().stream()
                   .map(config.names().zones()::get)
                   .collect(Collectors.toSet()));
           log(
@@ -326,21 +346,24 @@
                   + (out
                       ? " out by hand"
                       : " back by hand over " + TimeUnit.NANOSECONDS.toSeconds(ramp) + " s"));
-          tell();
+          updateMetrics();
           return null;
         });
   }
 
   /** How each zone stands, a line each. */
-  public CompletableFuture<String> zones() {
+  @Override
+  public CompletableFuture<String> zoneReport() {
     return command(
         () -> {
           StringBuilder text = new StringBuilder();
-          long now = now();
-          for (int i = 0; i < config.names().zones().size() && gateway != null; i++) {
-            ZoneStatus zone = gateway.zoneStatus(i);
+          long now = nowNanos();
+          for (int i = 0; i < config.names().zones().size() && policy != null; i++) {
+            ZoneStatus zone = policy.zoneStatus(i);
             ZoneEjectionState verdict =
-                verdicts == null || zone.byOperator() ? null : verdicts.agreement().verdict(i);
+                zoneEjection == null || zone.byOperator()
+                    ? null
+                    : zoneEjection.agreement().verdict(i);
             String state =
                 zone.trafficFraction() == 0
                     ? "out"
@@ -380,8 +403,9 @@
   }
 
   /** What operators read, a figure a line; any thread. */
-  public String figures() {
-    return figures.text();
+  @Override
+  public String metricsText() {
+    return figures.render();
   }
 
   private CompletableFuture<String> command(Callable<String> what) {
@@ -391,7 +415,7 @@
           try {
             done.complete(what.call());
           } catch (Exception e) {
-            trouble("a command", e);
+            LOG.warn("operator_command_failed", field("error", e));
             done.completeExceptionally(e);
           }
         });
@@ -402,32 +426,38 @@
    * Follows what another process of this edge node was told, and tells the figures that only the
    * module knows.
    */
-  private void look() {
-    Set<String> out = leftOut.changed();
+  private void refresh() {
+    Set<String> out = endpointEjectionFile.changed();
     if (out != null) {
-      event(null, now -> gateway.restoreEjectedEndpoints(now, out));
-      out.forEach(pool::leaveOut);
+      event(null, now -> policy.restoreEjectedEndpoints(now, out));
+      out.forEach(upstreamPool::leaveOut);
     }
-    Set<String> zones = zonesOut.changed();
+    Set<String> zones = zoneEjectionFile.changed();
     if (zones != null) {
       Set<Integer> numbers =
           zones.stream()
               .map(config.names().zones()::indexOf)
               .filter(zone -> zone >= 0)
               .collect(Collectors.toSet());
-      event(null, now -> gateway.restoreEjectedZones(now, numbers));
+      event(null, now -> policy.restoreEjectedZones(now, numbers));
     }
-    bound(slots.otherLives() ? 2 : 1);
-    tell();
+    applyBudget(slots.otherLives() ? 2 : 1);
+    updateMetrics();
   }
 
   /** How the descriptors are shared out now; any thread. */
-  public DescriptorBudget budget() {
+  DescriptorBudget budget() {
     return budget;
   }
 
+  @Override
+  public int maxOperatorConnections() {
+    return budget.operators();
+  }
+
   /** No descriptor is left for an operator's call: clients give up some of theirs. */
-  public void exhausted() {
+  @Override
+  public void descriptorsExhausted() {
     loop.execute(clients::exhausted);
   }
 
@@ -435,21 +465,23 @@
    * Keeps to this process's part of the descriptors, which all processes of this edge node hold
    * together.
    */
-  private DescriptorBudget bound(int processes) {
-    budget = DescriptorBudget.of(config.connections(), config.sockets(), processes, pool.listed());
+  private DescriptorBudget applyBudget(int processes) {
+    budget =
+        DescriptorBudget.of(
+            config.connections(), config.sockets(), processes, upstreamPool.listed());
     clients.bound(budget);
-    pool.bound(budget);
-    held.bound(budget);
+    upstreamPool.bound(budget);
+    bufferedBodies.bound(budget);
     return budget;
   }
 
-  private void tell() {
-    figures.servers(pool.listed(), gateway.avoidedEndpoints().size());
-    if (verdicts != null) {
+  private void updateMetrics() {
+    figures.servers(upstreamPool.listed(), policy.avoidedEndpoints().size());
+    if (zoneEjection != null) {
       figures.zones(
-          verdicts.agreement().zonesAway(),
-          verdicts.agreement().calls(),
-          verdicts.agreement().trials());
+          zoneEjection.agreement().zonesAway(),
+          zoneEjection.agreement().calls(),
+          zoneEjection.agreement().trials());
     }
   }
 
@@ -461,7 +493,8 @@
     }
   }
 
-  public long now() {
+  @Override
+  public long nowNanos() {
     return System.nanoTime() + clockOffset;
   }
 
@@ -470,38 +503,34 @@
    * the module must not be entered twice: such a report waits for the loop.
    */
   private void event(InFlightRequest about, LongConsumer call) {
-    if (inside) {
+    if (inPolicyEvent) {
       loop.execute(() -> event(about, call));
       return;
     }
-    inside = true;
+    inPolicyEvent = true;
     try {
-      call.accept(now());
+      call.accept(nowNanos());
     } catch (RuntimeException e) {
       // One request's trouble must not end the process, nor leave that request without an answer.
-      trouble("the module failed", e);
+      LOG.warn("policy_event_failed", field("error", e));
       if (about != null) {
         fail(about);
       }
     } finally {
-      inside = false;
+      inPolicyEvent = false;
     }
   }
 
-  public static void trouble(String what, Throwable e) {
-    StackTraceElement[] at = e.getStackTrace();
-    System.err.println(what + ": " + e + (at.length > 0 ? " at " + at[0] : ""));
-  }
-
   /** The list of app servers, or changes to it. */
-  public void list(NodeConfig.EndpointList roll, EndpointListKind kind) {
+  @Override
+  public void endpointListReceived(NodeConfig.EndpointList roll, EndpointListKind kind) {
     long read = System.nanoTime();
-    pool.update(roll, kind != EndpointListKind.DELTA);
+    upstreamPool.update(roll, kind != EndpointListKind.DELTA);
     event(
         null,
         now -> {
           figures.worded(System.nanoTime() - read);
-          gateway.endpointsUpdated(
+          policy.endpointsUpdated(
               now, kind, roll.entries().stream().map(NodeConfig.EndpointEntry::endpoint).toList());
         });
   }
@@ -529,6 +558,7 @@
    * Whether clients are wanted, and discovery was heard or silent for so long that the known list
    * must do; any thread.
    */
+  @Override
   public boolean ready() {
     return taking && discovery.heard() && !clients.draining();
   }
@@ -537,28 +567,31 @@
    * What the front is told: it sees one edge node, be it this process or its successor that takes
    * clients.
    */
+  @Override
   public boolean healthy() {
     return admitted && discovery.heard() && (!clients.draining() || clients.succeeded());
   }
 
   /** The deadline that the module is told, for a client that waits {@code span} from now. */
-  public long deadline(long now, long span) {
+  @Override
+  public long policyDeadlineNanos(long now, long span) {
     return now + Math.max(MS, span - ANSWER_MARGIN);
   }
 
   /**
    * Has a request refused that can't be carried here; false if its id is that of one still open.
    */
-  public boolean turnAway(InFlightRequest away) {
+  @Override
+  public boolean rejectOverCapacity(InFlightRequest away) {
     if (!enter(away)) {
       return false;
     }
-    event(away, now -> gateway.requestOverHostCapacity(now, away.request));
+    event(away, now -> policy.requestOverHostCapacity(now, away.request));
     return true;
   }
 
   private boolean enter(InFlightRequest request) {
-    if (open.putIfAbsent(request.request.id(), request) != null) {
+    if (inFlight.putIfAbsent(request.request.id(), request) != null) {
       return false;
     }
     figures.taken();
@@ -566,7 +599,8 @@
   }
 
   /** Takes a request; false if its id is that of one still open. */
-  public boolean take(InFlightRequest taken) {
+  @Override
+  public boolean accept(InFlightRequest taken) {
     if (!enter(taken)) {
       return false;
     }
@@ -574,7 +608,7 @@
     if (taken.upload == null) {
       backstop(taken, taken.request.deadlineNanos() + ANSWER_MARGIN);
     }
-    event(taken, now -> gateway.requestReceived(now, taken.request));
+    event(taken, now -> policy.requestReceived(now, taken.request));
     return true;
   }
 
@@ -588,24 +622,27 @@
   }
 
   private Future<?> at(long time, Runnable task) {
-    return loop.schedule(task, Math.max(0, time - now()), TimeUnit.NANOSECONDS);
+    return loop.schedule(task, Math.max(0, time - nowNanos()), TimeUnit.NANOSECONDS);
   }
 
   /** A part of a long body is no longer held here. */
-  public void passedOn(InFlightRequest of) {
-    event(of, now -> gateway.bodyForwarded(now, of.request.id()));
+  @Override
+  public void bodyForwarded(InFlightRequest of) {
+    event(of, now -> policy.bodyForwarded(now, of.request.id()));
   }
 
   /** The last byte of a long body came. */
-  public void uploaded(InFlightRequest of, long left) {
+  @Override
+  public void uploadCompleted(InFlightRequest of, long left) {
     if (!of.answered) {
-      backstop(of, now() + left);
-      event(of, now -> gateway.uploadCompleted(now, of.request.id()));
+      backstop(of, nowNanos() + left);
+      event(of, now -> policy.uploadCompleted(now, of.request.id()));
     }
   }
 
   /** An app server begins a long answer; where its pieces go, or null if nobody waits for them. */
-  public Channel answerBegan(
+  @Override
+  public Channel responseStarted(
       InFlightRequest of, long length, long took, String server, Runnable gone) {
     InFlightRequest.ResponseWriter answers = of.answerOnce();
     if (answers == null) {
@@ -621,7 +658,8 @@
   }
 
   /** A long answer has been passed on, or {@code how} else it ended; null if its client left. */
-  public void answerEnded(InFlightRequest of, RequestEnd how) {
+  @Override
+  public void responseEnded(InFlightRequest of, RequestEnd how) {
     cancelBackstop(of);
     figures.ended(of.request.requestClass(), how);
   }
@@ -635,7 +673,7 @@
   private void overdue(InFlightRequest late) {
     if (!late.answered) {
       fail(late);
-      event(null, now -> gateway.clientDisconnected(now, late.request.id()));
+      event(null, now -> policy.clientDisconnected(now, late.request.id()));
       late.withdraw();
     }
   }
@@ -643,10 +681,11 @@
   /**
    * The client left before its answer: what of its attempt has not begun does not begin any more.
    */
-  public void clientGone(InFlightRequest gone) {
+  @Override
+  public void clientDisconnected(InFlightRequest gone) {
     if (answerOnce(gone, null) != null) {
       settle(gone);
-      event(gone, now -> gateway.clientDisconnected(now, gone.request.id()));
+      event(gone, now -> policy.clientDisconnected(now, gone.request.id()));
       gone.withdraw();
     }
   }
@@ -655,9 +694,10 @@
    * The client ended its sending, or left, and which of these can't be asked: an answer that is on
    * its way is still its, but no attempt begins any more.
    */
-  public void clientUnsure(InFlightRequest unsure) {
+  @Override
+  public void clientPossiblyDisconnected(InFlightRequest unsure) {
     unsure.lastAttempt = true;
-    event(unsure, now -> gateway.clientDisconnected(now, unsure.request.id()));
+    event(unsure, now -> policy.clientDisconnected(now, unsure.request.id()));
     unsure.withdraw();
     if (!unsure.attemptOut) {
       endLast(unsure);
@@ -674,6 +714,7 @@
   }
 
   /** An attempt ended; {@code body} is an app server's whole 200 answer, and stays the caller's. */
+  @Override
   public void attemptEnded(
       InFlightRequest of, Outcome outcome, long took, String server, double units, ByteBuf body) {
     of.attemptOut = false;
@@ -697,7 +738,7 @@
     event(
         of,
         now ->
-            gateway.attemptEnded(
+            policy.attemptEnded(
                 now,
                 new AttemptResult(
                     of.request.id(), outcome, took, server, complete, attempt, units, List.of())));
@@ -714,21 +755,21 @@
 
   private void counted(long name, Outcome outcome, double total) {
     figures.counted(outcome == Outcome.OK);
-    boolean ballot = verdicts != null && ZoneEjectionController.owns(name);
+    boolean ballot = zoneEjection != null && ZoneEjectionController.owns(name);
     event(
         null,
         now -> {
           if (ballot) {
-            verdicts.counted(now, name, outcome, total);
+            zoneEjection.counted(now, name, outcome, total);
           } else {
-            gateway.counterReplied(now, name, outcome, total);
+            policy.counterReplied(now, name, outcome, total);
           }
         });
   }
 
   /** Forgets a request once it is answered and no attempt of it is out. */
   private void settle(InFlightRequest of) {
-    if (of.answered && !of.attemptOut && open.remove(of.request.id(), of)) {
+    if (of.answered && !of.attemptOut && inFlight.remove(of.request.id(), of)) {
       cancelBackstop(of);
       of.release();
     }
@@ -736,21 +777,21 @@
 
   @Override
   public void sendAttempt(String id, String server, long patience) {
-    InFlightRequest of = open.get(id);
+    InFlightRequest of = inFlight.get(id);
     if (of == null || of.answered || of.attemptOut) {
       if (of != null) {
-        trouble("an attempt that may not be", new IllegalStateException(id));
+        LOG.warn("attempt_not_allowed", field("error", new IllegalStateException(id)));
       }
       return;
     }
     of.attempts++;
     of.attemptOut = true;
-    pool.send(of, server, patience);
+    upstreamPool.send(of, server, patience);
   }
 
   @Override
   public void reject(String id, long retryAfter) {
-    InFlightRequest of = open.get(id);
+    InFlightRequest of = inFlight.get(id);
     InFlightRequest.ResponseWriter answers = of == null ? null : answerOnce(of, RequestEnd.DROPPED);
     if (answers != null) {
       answers.refused(retryAfter);
@@ -760,7 +801,7 @@
 
   @Override
   public void fail(String id) {
-    InFlightRequest of = open.get(id);
+    InFlightRequest of = inFlight.get(id);
     if (of != null) {
       fail(of);
     }
@@ -790,9 +831,9 @@
     loop.schedule(
         () -> {
           long came = System.nanoTime();
-          standstills.tick(came);
+          stallDetector.tick(came);
           figures.late(came - due);
-          event(null, now -> gateway.timerFired(now, token));
+          event(null, now -> policy.timerFired(now, token));
         },
         span,
         TimeUnit.NANOSECONDS);
--- a/edge/src/main/java/edgegateway/node/Main.java
+++ b/edge/src/main/java/edgegateway/node/Main.java
@@ -1,10 +1,12 @@
 package edgegateway.node;
 
+import static edgegateway.node.logging.EventLog.field;
+
 import edgegateway.node.config.NodeConfig;
 import edgegateway.node.lifecycle.ClassArchive;
 import edgegateway.node.lifecycle.ConfigFileWatcher;
 import edgegateway.node.lifecycle.SignalDispositions;
-import edgegateway.node.lifecycle.WarmUp;
+import edgegateway.node.logging.EventLog;
 import edgegateway.node.operators.OperatorServer;
 import edgegateway.simulator.SimulatorAdapter;
 import java.nio.file.Path;
@@ -16,6 +18,8 @@
  * wire.
  */
 public final class Main {
+  private static final EventLog LOG = EventLog.console();
+
   /** How often a new configuration that cannot be used is looked at again, and how soon. */
   private static final int LOOKS = 20;
 
@@ -54,7 +58,7 @@
       // that is done. In an upgrade the other process serves them meanwhile.
       if (upgrade) {
         warmUp(config);
-        node.succeed();
+        node.startAsSuccessor();
       } else {
         node.start();
       }
@@ -65,7 +69,7 @@
       System.out.println(
           "class archive: " + (ClassArchive.inUse() ? "in use" : "none, so the start is slower"));
       if (upgrade) {
-        node.takeOver();
+        node.importPredecessorState();
       } else {
         warmUp(config);
         node.admit();
@@ -82,7 +86,7 @@
       WarmUp.run(config);
     } catch (Exception e) {
       // A node that starts slowly is still one that serves.
-      EdgeNode.trouble("the warm-up", e);
+      LOG.warn("warm_up_failed", field("error", e));
     }
   }
 
@@ -129,7 +133,7 @@
   static synchronized void reload(EdgeNode node, String file) {
     for (int look = 1; look <= LOOKS; look++) {
       try {
-        node.move(NodeConfig.read(Path.of(file)));
+        node.applyConfiguration(NodeConfig.read(Path.of(file)));
         return;
       } catch (NodeConfig.InvalidConfigException e) {
         if (look == 1) {
--- a/edge/src/main/java/edgegateway/node/lifecycle/WarmUp.java
+++ b/edge/src/main/java/edgegateway/node/WarmUp.java
@@ -1,6 +1,5 @@
-package edgegateway.node.lifecycle;
+package edgegateway.node;
 
-import edgegateway.node.EdgeNode;
 import edgegateway.node.config.NodeConfig;
 import edgegateway.policy.api.CounterSettings;
 import edgegateway.policy.api.Endpoint;
@@ -57,7 +56,7 @@
     NodeConfig config = alone(real);
     try (EdgeNode node = new EdgeNode(config, null)) {
       WarmUp warmUp = new WarmUp(config, node);
-      node.decide();
+      node.startPolicy();
       node.loop.submit(warmUp::connect).get();
       // A round at a time: the module's timers run in between, as they do in service.
       while (warmUp.sent < REQUESTS && System.nanoTime() - began < MOST) {
@@ -130,8 +129,8 @@
   private void connect() {
     client = new EmbeddedChannel(node.clients.handlers());
     for (NodeConfig.EndpointEntry member : config.known().entries()) {
-      EmbeddedChannel server = new EmbeddedChannel(node.pool.handlers());
-      node.pool.lend(member.endpoint().id(), server);
+      EmbeddedChannel server = new EmbeddedChannel(node.upstreamPool.handlers());
+      node.upstreamPool.lend(member.endpoint().id(), server);
       servers.add(server);
     }
   }
--- a/edge/src/main/java/edgegateway/node/clients/ClientHttpServer.java
+++ b/edge/src/main/java/edgegateway/node/clients/ClientHttpServer.java
@@ -1,16 +1,20 @@
 package edgegateway.node.clients;
 
-import edgegateway.node.EdgeNode;
+import static edgegateway.node.logging.EventLog.field;
+
 import edgegateway.node.config.NodeConfig;
 import edgegateway.node.connections.BufferedBodies;
 import edgegateway.node.connections.ClientConnectionTable;
 import edgegateway.node.connections.ConnectionAcceptor;
+import edgegateway.node.connections.ConnectionMetrics;
 import edgegateway.node.connections.DescriptorBudget;
 import edgegateway.node.connections.TlsTermination;
 import edgegateway.node.connections.TransportHandle;
 import edgegateway.node.lifecycle.EventLoopStallDetector;
+import edgegateway.node.logging.EventLog;
 import edgegateway.node.metrics.NodeMetrics.RequestEnd;
 import edgegateway.node.requests.BodyRelay;
+import edgegateway.node.requests.ClientRequestHandler;
 import edgegateway.node.requests.InFlightRequest;
 import edgegateway.node.upstream.UpstreamPool;
 import edgegateway.policy.api.Idempotency;
@@ -67,6 +71,7 @@
  * connections there are, and for how long, is for the {@link ClientConnectionTable} table.
  */
 public final class ClientHttpServer {
+  private static final EventLog LOG = EventLog.console();
   private static final long MAX_CUSTOMER = 1L << 33;
   private static final long LOOK_MS = 200;
   private static final long LINGER_MS = 1_000;
@@ -110,7 +115,10 @@
   private static final int FIRST_PIECE = 512;
   private static final double MOST_UNITS = 1e6;
 
-  private final EdgeNode node;
+  private final ClientRequestHandler handler;
+  private final BufferedBodies bufferedBodies;
+  private final BodyRelay.Group relays;
+  private final EventLoopStallDetector stallDetector;
   private final EventLoop loop;
   private final NodeConfig config;
   private final ClientConnectionTable table;
@@ -130,16 +138,27 @@
   /** Null until it was begun to listen. */
   private CompletableFuture<Void> binding;
 
-  public ClientHttpServer(EdgeNode node, EventLoop loop, NodeConfig config) throws IOException {
-    this.node = node;
+  public ClientHttpServer(
+      ClientRequestHandler handler,
+      EventLoop loop,
+      NodeConfig config,
+      ConnectionMetrics connectionMetrics,
+      BufferedBodies bufferedBodies,
+      BodyRelay.Group relays,
+      EventLoopStallDetector stallDetector)
+      throws IOException {
+    this.handler = handler;
+    this.bufferedBodies = bufferedBodies;
+    this.relays = relays;
+    this.stallDetector = stallDetector;
     this.loop = loop;
     this.config = config;
     table =
         new ClientConnectionTable(
             () -> ConnectionAcceptor.afterNextSelect(loop, () -> table().step(System.nanoTime())),
-            node.counts);
+            connectionMetrics);
     listener = new ConnectionAcceptor(loop, this::exhausted);
-    tls = config.tls() == null ? null : new TlsTermination(config.tls(), node.counts);
+    tls = config.tls() == null ? null : new TlsTermination(config.tls(), connectionMetrics);
     loop.scheduleAtFixedRate(
         () -> table.look(System.nanoTime()), LOOK_MS, LOOK_MS, TimeUnit.MILLISECONDS);
   }
@@ -156,8 +175,7 @@
   /** No descriptor is left, whatever the budget says: clients give up some of theirs. */
   public void exhausted() {
     if (table.exhausted(System.nanoTime())) {
-      EdgeNode.trouble(
-          "clients", new IOException("no descriptor is left at " + table.open() + " connections"));
+      LOG.warn("client_descriptors_exhausted", field("connections", table.open()));
     }
   }
 
@@ -340,7 +358,7 @@
             requestClass,
             plan,
             customer(headers),
-            node.deadline(node.now(), span * 1_000_000L),
+            handler.policyDeadlineNanos(handler.nowNanos(), span * 1_000_000L),
             units(quota.get("units")),
             (int) whole(quota.get("spread"), "X-Quota spread", 1, siblings),
             (int) whole(quota.get("first"), "X-Quota first", 0, siblings - 1L),
@@ -533,7 +551,8 @@
     private boolean crowded() {
       if (behind > LITTLE_BEHIND && ahead == null) {
         ahead =
-            node.held.open(current == null ? BufferedBodies.STRANGER : current.request.customer());
+            bufferedBodies.open(
+                current == null ? BufferedBodies.STRANGER : current.request.customer());
       } else if (behind <= LITTLE_BEHIND && ahead != null) {
         ahead.release();
         ahead = null;
@@ -542,7 +561,7 @@
         return false;
       }
       ahead.keep(behind);
-      return behind > MOST_BEHIND || !node.held.spare();
+      return behind > MOST_BEHIND || !bufferedBodies.spare();
     }
 
     /** Reads no more, and so sees neither a close nor a reset. */
@@ -591,7 +610,7 @@
       entry.halfClosed();
       if (old && current != null && leaves == null) {
         // To a peer that knows no such line.
-        node.clientUnsure(current);
+        handler.clientPossiblyDisconnected(current);
         return;
       }
       for (long at : ASKED_AT_MS) {
@@ -628,7 +647,7 @@
       head = request;
       received = 0;
       entry.head(System.nanoTime());
-      holding = node.held.open(owner(request));
+      holding = bufferedBodies.open(owner(request));
       keepAlive = HttpUtil.isKeepAlive(request);
       old = !request.protocolVersion().isKeepAliveDefault();
       headOnly = request.method().equals(HttpMethod.HEAD);
@@ -652,7 +671,7 @@
       try {
         InFlightRequest away = read(head, Unpooled.EMPTY_BUFFER, holding, null, new Reply());
         current = away;
-        if (!node.turnAway(away)) {
+        if (!handler.rejectOverCapacity(away)) {
           current = null;
           plain(HttpResponseStatus.CONFLICT, "a request of this id is open");
         }
@@ -707,9 +726,9 @@
       current = taken;
       if (rest != null) {
         rest.of = taken;
-        rest.span = taken.request.deadlineNanos() - node.now();
+        rest.span = taken.request.deadlineNanos() - handler.nowNanos();
       }
-      if (!node.take(taken)) {
+      if (!handler.accept(taken)) {
         current = null;
         taken.release();
         plain(HttpResponseStatus.CONFLICT, "a request of this id is open");
@@ -720,7 +739,8 @@
       if (!method.equals(HttpMethod.GET)) {
         plain(HttpResponseStatus.METHOD_NOT_ALLOWED, "GET only");
       } else {
-        plain(node.healthy() ? HttpResponseStatus.OK : HttpResponseStatus.SERVICE_UNAVAILABLE, "");
+        plain(
+            handler.healthy() ? HttpResponseStatus.OK : HttpResponseStatus.SERVICE_UNAVAILABLE, "");
       }
     }
 
@@ -874,10 +894,10 @@
       leaves = null;
       closing = true;
       if (gone != null) {
-        node.answerEnded(left, null);
+        handler.responseEnded(left, null);
         gone.run();
       } else if (left != null) {
-        node.clientGone(left);
+        handler.clientDisconnected(left);
       }
       if (cut != null) {
         cut.cutOff();
@@ -888,7 +908,7 @@
     @Override
     public void exceptionCaught(ChannelHandlerContext context, Throwable cause) {
       if (!(cause instanceof IOException || cause instanceof CodecException)) {
-        EdgeNode.trouble("a client's connection", cause);
+        LOG.warn("client_connection_failed", field("error", cause));
       }
       context.close();
     }
@@ -929,7 +949,7 @@
           return;
         }
         pause();
-        relay = node.relays.start(channel, to);
+        relay = relays.start(channel, to);
         while (!waiting.isEmpty() && !complete) {
           HttpObject next = next();
           try {
@@ -952,7 +972,7 @@
         }
         if (!letGo) {
           letGo = true;
-          node.passedOn(of);
+          handler.bodyForwarded(of);
         }
         if (part instanceof HttpContent content) {
           relay.piece(content.content().retain());
@@ -961,7 +981,7 @@
           complete = true;
           relay.end();
           relay = null;
-          node.uploaded(of, span);
+          handler.uploadCompleted(of, span);
           Runnable sent = written;
           Runnable broke = gone;
           server
@@ -999,7 +1019,7 @@
       @Override
       public void served(ByteBuf whole) {
         // It is here until the client has taken it.
-        BufferedBodies.Body writing = node.held.open(current.request.customer());
+        BufferedBodies.Body writing = bufferedBodies.open(current.request.customer());
         writing.keep(whole.readableBytes());
         write(HttpResponseStatus.OK, whole.retain(), 0).addListener(done -> writing.release());
       }
@@ -1049,11 +1069,11 @@
         if (whole) {
           last = written(channel.writeAndFlush(LastHttpContent.EMPTY_LAST_CONTENT));
           last.addListener(
-              done -> node.answerEnded(of, done.isSuccess() ? RequestEnd.PASSED : null));
+              done -> handler.responseEnded(of, done.isSuccess() ? RequestEnd.PASSED : null));
           end(last);
           return;
         }
-        node.answerEnded(of, RequestEnd.BAD_GATEWAY);
+        handler.responseEnded(of, RequestEnd.BAD_GATEWAY);
         current = null;
         if (untilClose) {
           // Only a reset tells that it is not whole.
@@ -1068,7 +1088,7 @@
         long now = System.nanoTime();
         // What is no socket has nothing unread.
         return !(channel instanceof SocketChannel)
-            || (channel.config().isAutoRead() ? node.standstills.none(now) : now - seenAt <= SEEN);
+            || (channel.config().isAutoRead() ? stallDetector.none(now) : now - seenAt <= SEEN);
       }
 
       @Override
@@ -1080,7 +1100,7 @@
         } else if (old || asked >= MOST_ASKED) {
           loop.execute(
               () -> {
-                node.clientUnsure(about);
+                handler.clientPossiblyDisconnected(about);
                 then.run();
               });
         } else {
@@ -1094,7 +1114,7 @@
                 }
                 if (!channel.isActive()) {
                   // Its end is told here only some tasks later.
-                  node.clientGone(about);
+                  handler.clientDisconnected(about);
                 }
                 then.run();
               },
@@ -1109,7 +1129,7 @@
           Runnable gone = leaves;
           leaves = null;
           current = null;
-          node.answerEnded(of, RequestEnd.BAD_GATEWAY);
+          handler.responseEnded(of, RequestEnd.BAD_GATEWAY);
           reset();
           gone.run();
         } else if (last != null
--- /dev/null
+++ b/edge/src/main/java/edgegateway/node/clients/package-info.java
@@ -0,0 +1,2 @@
+/** The clients' side: reads requests and writes responses. */
+package edgegateway.node.clients;
--- /dev/null
+++ b/edge/src/main/java/edgegateway/node/config/package-info.java
@@ -0,0 +1,2 @@
+/** What a node is configured with, and errors that name the key. */
+package edgegateway.node.config;
--- a/edge/src/main/java/edgegateway/node/counter/CounterClient.java
+++ b/edge/src/main/java/edgegateway/node/counter/CounterClient.java
@@ -1,8 +1,10 @@
 package edgegateway.node.counter;
 
-import edgegateway.node.EdgeNode;
+import static edgegateway.node.logging.EventLog.field;
+
 import edgegateway.node.config.NodeConfig;
 import edgegateway.node.connections.OutboundConnector;
+import edgegateway.node.logging.EventLog;
 import edgegateway.node.upstream.UpstreamPool;
 import edgegateway.policy.api.Outcome;
 import io.netty.bootstrap.Bootstrap;
@@ -34,6 +36,7 @@
  * by the same one, so that the calls of a name are counted, and told to the module, in their order.
  */
 public final class CounterClient {
+  private static final EventLog LOG = EventLog.console();
   private static final int LINES = 4;
   private static final int MOST_PENDING = 256;
   private static final int MOST_ANSWER = 1024;
@@ -163,7 +166,7 @@
                         }),
                 address);
       } catch (IOException e) {
-        EdgeNode.trouble("counter", e);
+        LOG.warn("counter_connection_not_opened", field("error", e));
         loop.execute(this::die);
         return;
       }
--- /dev/null
+++ b/edge/src/main/java/edgegateway/node/counter/package-info.java
@@ -0,0 +1,2 @@
+/** Calls to the shared quota counter. */
+package edgegateway.node.counter;
--- a/edge/src/main/java/edgegateway/node/discovery/DiscoveryClient.java
+++ b/edge/src/main/java/edgegateway/node/discovery/DiscoveryClient.java
@@ -1,8 +1,11 @@
 package edgegateway.node.discovery;
 
-import edgegateway.node.EdgeNode;
+import static edgegateway.node.logging.EventLog.field;
+
 import edgegateway.node.config.NodeConfig;
 import edgegateway.node.connections.OutboundConnector;
+import edgegateway.node.logging.EventLog;
+import edgegateway.node.metrics.NodeMetrics;
 import edgegateway.policy.api.EndpointListKind;
 import io.netty.bootstrap.Bootstrap;
 import io.netty.buffer.ByteBufUtil;
@@ -34,6 +37,8 @@
  * for {@link WatchScheduler}.
  */
 public final class DiscoveryClient implements WatchScheduler.Host {
+  private static final EventLog LOG = EventLog.console();
+
   /**
    * A whole list of some 14,000 entries; the heap bears that beside what it has
    * (docs/design/discovery.md).
@@ -48,7 +53,8 @@
 
   private static final long PATIENCE_MS = 1_000;
 
-  private final EdgeNode node;
+  private final EndpointListListener listener;
+  private final NodeMetrics metrics;
   private final EventLoop loop;
   private final NodeConfig.SettingNames names;
   private final Bootstrap bootstrap;
@@ -59,8 +65,10 @@
   private boolean deaf;
   private ScheduledFuture<?> overdue;
 
-  public DiscoveryClient(EdgeNode node, EventLoop loop, NodeConfig config) {
-    this.node = node;
+  public DiscoveryClient(
+      EndpointListListener listener, NodeMetrics metrics, EventLoop loop, NodeConfig config) {
+    this.listener = listener;
+    this.metrics = metrics;
     this.loop = loop;
     names = config.names();
     address = config.discovery();
@@ -74,7 +82,7 @@
   }
 
   public void start(long known) {
-    node.figures.discoveryHeard();
+    metrics.discoveryHeard();
     // A discovery that is down must not keep the edge node from serving by the list it has.
     loop.schedule(() -> first.complete(null), PATIENCE_MS, TimeUnit.MILLISECONDS);
     watches.start(System.nanoTime(), known);
@@ -110,8 +118,7 @@
   private void look() {
     long now = System.nanoTime();
     if (!watches.sound(now)
-        && node.figures.discoverySilence()
-            >= TimeUnit.NANOSECONDS.toMillis(WatchScheduler.SILENCE)) {
+        && metrics.discoverySilence() >= TimeUnit.NANOSECONDS.toMillis(WatchScheduler.SILENCE)) {
       missed();
     }
     watches.look(now);
@@ -134,14 +141,14 @@
             () -> {
               System.out.println(
                   "discovery has not been heard for "
-                      + node.figures.discoverySilence()
+                      + metrics.discoverySilence()
                       + " ms, last asked at "
                       + address
                       + ": the list stays at revision "
                       + watches.revision());
               tellSilence(2 * span);
             },
-            span - node.figures.discoverySilence(),
+            span - metrics.discoverySilence(),
             TimeUnit.MILLISECONDS);
   }
 
@@ -149,10 +156,9 @@
     if (deaf) {
       deaf = false;
       overdue.cancel(false);
-      System.out.println(
-          "discovery is heard again after " + node.figures.discoverySilence() + " ms");
+      System.out.println("discovery is heard again after " + metrics.discoverySilence() + " ms");
     }
-    node.figures.discoveryHeard();
+    metrics.discoveryHeard();
   }
 
   @Override
@@ -173,8 +179,8 @@
                   address)
               .channel();
     } catch (IOException e) {
-      EdgeNode.trouble("discovery", e);
-      node.exhausted();
+      LOG.warn("discovery_connection_not_opened", field("error", e));
+      listener.descriptorsExhausted();
       loop.execute(() -> ended(watch));
       return;
     }
@@ -252,7 +258,8 @@
       }
       if (watches.takes(System.nanoTime(), watch, roll.revision(), roll.complete())) {
         heardAgain();
-        node.list(roll, roll.complete() ? EndpointListKind.FULL : EndpointListKind.DELTA);
+        listener.endpointListReceived(
+            roll, roll.complete() ? EndpointListKind.FULL : EndpointListKind.DELTA);
         first.complete(null);
       } else if (!watch.isOpen()) {
         System.out.println(
@@ -262,7 +269,7 @@
 
     @Override
     public void exceptionCaught(ChannelHandlerContext context, Throwable cause) {
-      EdgeNode.trouble("discovery", cause);
+      LOG.warn("discovery_stream_failed", field("error", cause));
       context.close();
     }
   }
--- /dev/null
+++ b/edge/src/main/java/edgegateway/node/discovery/package-info.java
@@ -0,0 +1,2 @@
+/** Follows discovery's list of archive servers. */
+package edgegateway.node.discovery;
--- a/edge/src/main/java/edgegateway/node/metrics/NodeMetrics.java
+++ b/edge/src/main/java/edgegateway/node/metrics/NodeMetrics.java
@@ -117,7 +117,7 @@
   }
 
   /** A figure a line. */
-  public String text() {
+  public String render() {
     StringBuilder text = new StringBuilder();
     for (int i = 0; i < classes.size(); i++) {
       for (RequestEnd how : RequestEnd.values()) {
--- /dev/null
+++ b/edge/src/main/java/edgegateway/node/metrics/package-info.java
@@ -0,0 +1,2 @@
+/** What operators read of a node. */
+package edgegateway.node.metrics;
--- a/edge/src/main/java/edgegateway/node/operators/EjectionFile.java
+++ b/edge/src/main/java/edgegateway/node/operators/EjectionFile.java
@@ -1,9 +1,11 @@
 package edgegateway.node.operators;
 
+import static edgegateway.node.logging.EventLog.field;
+
 import com.fasterxml.jackson.databind.JsonNode;
 import com.fasterxml.jackson.databind.node.ArrayNode;
 import com.fasterxml.jackson.databind.node.JsonNodeFactory;
-import edgegateway.node.EdgeNode;
+import edgegateway.node.logging.EventLog;
 import edgegateway.protocol.Json;
 import java.io.IOException;
 import java.nio.file.Files;
@@ -15,6 +17,7 @@
 
 /** A file that keeps, over an upgrade, which app servers, or which zones, are out by hand. */
 public final class EjectionFile {
+  private static final EventLog LOG = EventLog.console();
   private final Path file;
   private FileTime seen;
 
@@ -44,7 +47,7 @@
       read.forEach(id -> ids.add(id.asText()));
       return ids;
     } catch (IOException | RuntimeException e) {
-      EdgeNode.trouble("a file of what is out by hand is passed over", e);
+      LOG.warn("ejection_file_ignored", field("error", e));
       return null;
     }
   }
--- a/edge/src/main/java/edgegateway/node/operators/OperatorServer.java
+++ b/edge/src/main/java/edgegateway/node/operators/OperatorServer.java
@@ -1,6 +1,5 @@
 package edgegateway.node.operators;
 
-import edgegateway.node.EdgeNode;
 import edgegateway.node.connections.ConnectionAcceptor;
 import io.netty.channel.Channel;
 import io.netty.channel.ChannelFutureListener;
@@ -35,7 +34,7 @@
   private static final String YES = "ACK\n";
   private static final String NO = "NAK ";
 
-  private final EdgeNode node;
+  private final OperatorCommands node;
   private final EventLoopGroup group =
       new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
 
@@ -46,11 +45,11 @@
   private final int callersAtOnce;
 
   /** Listens when it returns. */
-  public OperatorServer(EdgeNode node, InetSocketAddress at)
+  public OperatorServer(OperatorCommands node, InetSocketAddress at)
       throws InterruptedException, ExecutionException {
     this.node = node;
-    callersAtOnce = node.budget().operators();
-    listener = new ConnectionAcceptor(group.next(), node::exhausted);
+    callersAtOnce = node.maxOperatorConnections();
+    listener = new ConnectionAcceptor(group.next(), node::descriptorsExhausted);
     listener
         .bind(
             at,
@@ -79,7 +78,7 @@
   private CompletableFuture<String> answer(String line) {
     String[] words = line.strip().split("\\s+");
     if (words[0].equals("zone-in") && words.length == 3 && SECONDS.matcher(words[2]).matches()) {
-      return node.leaveZone(words[1], false, Long.parseLong(words[2]))
+      return node.setZoneEjected(words[1], false, Long.parseLong(words[2]))
           .thenApply(OperatorServer::said);
     }
     boolean named = NAMED.contains(words[0]);
@@ -93,12 +92,12 @@
     return switch (words[0]) {
       case "check" ->
           CompletableFuture.completedFuture(node.ready() ? YES : NO + "takes no clients now\n");
-      case "vars" -> CompletableFuture.completedFuture(node.figures.text() + "--\n");
-      case "set-down" -> node.leaveOut(words[1], true).thenApply(OperatorServer::said);
-      case "set-up" -> node.leaveOut(words[1], false).thenApply(OperatorServer::said);
-      case "zones" -> node.zones().thenApply(text -> text + "--\n");
-      case "zone-out" -> node.leaveZone(words[1], true, 0).thenApply(OperatorServer::said);
-      case "zone-in" -> node.leaveZone(words[1], false, 0).thenApply(OperatorServer::said);
+      case "vars" -> CompletableFuture.completedFuture(node.metricsText() + "--\n");
+      case "set-down" -> node.setEndpointEjected(words[1], true).thenApply(OperatorServer::said);
+      case "set-up" -> node.setEndpointEjected(words[1], false).thenApply(OperatorServer::said);
+      case "zones" -> node.zoneReport().thenApply(text -> text + "--\n");
+      case "zone-out" -> node.setZoneEjected(words[1], true, 0).thenApply(OperatorServer::said);
+      case "zone-in" -> node.setZoneEjected(words[1], false, 0).thenApply(OperatorServer::said);
       case "drain-on" -> node.drain(true).thenApply(OperatorServer::said);
       case "drain-off" -> node.drain(false).thenApply(OperatorServer::said);
       default -> CompletableFuture.completedFuture(NO + "no such call\n");
--- /dev/null
+++ b/edge/src/main/java/edgegateway/node/operators/package-info.java
@@ -0,0 +1,2 @@
+/** Operators' calls and what they ejected. */
+package edgegateway.node.operators;
--- /dev/null
+++ b/edge/src/main/java/edgegateway/node/package-info.java
@@ -0,0 +1,2 @@
+/** The process: wiring of its parts, start and end. */
+package edgegateway.node;
--- /dev/null
+++ b/edge/src/main/java/edgegateway/node/requests/package-info.java
@@ -0,0 +1,2 @@
+/** A request in flight, and the interfaces between the two sides of the proxy. */
+package edgegateway.node.requests;
--- a/edge/src/main/java/edgegateway/node/upgrade/HandoverFile.java
+++ b/edge/src/main/java/edgegateway/node/upgrade/HandoverFile.java
@@ -1,6 +1,8 @@
 package edgegateway.node.upgrade;
 
-import edgegateway.node.EdgeNode;
+import static edgegateway.node.logging.EventLog.field;
+
+import edgegateway.node.logging.EventLog;
 import edgegateway.policy.api.QuotaUsage;
 import edgegateway.policy.api.StateTransfer;
 import java.io.ByteArrayInputStream;
@@ -19,6 +21,8 @@
  * numbers: at that moment both are short of CPU time, and a library's code would be cold.
  */
 public final class HandoverFile {
+  private static final EventLog LOG = EventLog.console();
+
   /** Changes with the form; another version's file is passed over. */
   private static final int FORM = 0x5eed0001;
 
@@ -46,7 +50,7 @@
       Files.write(draft, bytes(from));
       Files.move(draft, file, StandardCopyOption.ATOMIC_MOVE, StandardCopyOption.REPLACE_EXISTING);
     } catch (IOException e) {
-      EdgeNode.trouble("the handover is not written", e);
+      LOG.warn("state_transfer_not_written", field("error", e));
     }
   }
 
@@ -117,7 +121,7 @@
       }
       return new StateTransfer(callRate, service, uses);
     } catch (IOException e) {
-      EdgeNode.trouble("what the other process told", e);
+      LOG.warn("state_transfer_not_read", field("error", e));
       return null;
     }
   }
--- a/edge/src/main/java/edgegateway/node/upgrade/ProcessSlots.java
+++ b/edge/src/main/java/edgegateway/node/upgrade/ProcessSlots.java
@@ -1,6 +1,8 @@
 package edgegateway.node.upgrade;
 
-import edgegateway.node.EdgeNode;
+import static edgegateway.node.logging.EventLog.field;
+
+import edgegateway.node.logging.EventLog;
 import java.io.IOException;
 import java.nio.channels.FileChannel;
 import java.nio.channels.FileLock;
@@ -14,6 +16,8 @@
  * file itself means nothing.
  */
 public final class ProcessSlots {
+  private static final EventLog LOG = EventLog.console();
+
   /** A look from the other process holds a byte for a moment. */
   private static final int TRIES = 1_000;
 
@@ -40,7 +44,7 @@
         }
       }
     } catch (IOException e) {
-      EdgeNode.trouble("no slot in the folder for an upgrade", e);
+      LOG.warn("upgrade_slot_unavailable", field("error", e));
     }
     file = opened;
     mine = slot;
@@ -68,7 +72,7 @@
         taking = null;
       }
     } catch (IOException e) {
-      EdgeNode.trouble("the slot for an upgrade", e);
+      LOG.warn("upgrade_slot_failed", field("error", e));
     }
   }
 
@@ -79,7 +83,7 @@
     try (FileLock free = lock(file, at)) {
       return free == null;
     } catch (IOException e) {
-      EdgeNode.trouble("the slot for an upgrade", e);
+      LOG.warn("upgrade_slot_failed", field("error", e));
       return false;
     }
   }
--- a/edge/src/main/java/edgegateway/node/upstream/UpstreamPool.java
+++ b/edge/src/main/java/edgegateway/node/upstream/UpstreamPool.java
@@ -1,13 +1,18 @@
 package edgegateway.node.upstream;
 
-import edgegateway.node.EdgeNode;
+import static edgegateway.node.logging.EventLog.field;
+
 import edgegateway.node.config.NodeConfig;
 import edgegateway.node.connections.BufferedBodies;
+import edgegateway.node.connections.ConnectionMetrics;
 import edgegateway.node.connections.DescriptorBudget;
 import edgegateway.node.connections.OutboundConnector;
 import edgegateway.node.connections.TransportHandle;
 import edgegateway.node.connections.UpstreamConnectionTable;
 import edgegateway.node.connections.UpstreamConnectionTable.Failure;
+import edgegateway.node.logging.EventLog;
+import edgegateway.node.metrics.NodeMetrics;
+import edgegateway.node.requests.AttemptListener;
 import edgegateway.node.requests.BodyRelay;
 import edgegateway.node.requests.InFlightRequest;
 import edgegateway.policy.api.EndpointState;
@@ -59,6 +64,8 @@
  * UpstreamConnectionTable}.
  */
 public final class UpstreamPool implements UpstreamConnectionTable.Host {
+  private static final EventLog LOG = EventLog.console();
+
   /** The longest body that is held whole. */
   public static final int MOST_BODY = 64 * 1024;
 
@@ -79,7 +86,10 @@
    */
   private static final int MOST_ASKED = 2;
 
-  private final EdgeNode node;
+  private final AttemptListener listener;
+  private final NodeMetrics metrics;
+  private final BufferedBodies bufferedBodies;
+  private final BodyRelay.Group relays;
   private final EventLoop loop;
   private final Bootstrap bootstrap;
   private final Map<String, Listed> listed = new HashMap<>();
@@ -87,12 +97,23 @@
   private final long coldSpan;
   private final List<RequestClass> classes;
 
-  public UpstreamPool(EdgeNode node, EventLoop loop, NodeConfig config) {
-    this.node = node;
+  public UpstreamPool(
+      AttemptListener listener,
+      EventLoop loop,
+      NodeConfig config,
+      ConnectionMetrics connectionMetrics,
+      NodeMetrics metrics,
+      BufferedBodies bufferedBodies,
+      BodyRelay.Group relays) {
+    this.listener = listener;
+    this.metrics = metrics;
+    this.bufferedBodies = bufferedBodies;
+    this.relays = relays;
     this.loop = loop;
     coldSpan = config.settings().rules().slowStartNanos();
     classes = config.settings().requestClasses();
-    servers = new UpstreamConnectionTable(this, node.counts, config.seed(), config.keepAlive());
+    servers =
+        new UpstreamConnectionTable(this, connectionMetrics, config.seed(), config.keepAlive());
     bootstrap =
         new Bootstrap()
             .group(loop)
@@ -207,7 +228,7 @@
       }
       if (!gone && !same) {
         long started = member.endpoint().startedAtNanos();
-        boolean cold = started > 0 && node.now() - started < coldSpan;
+        boolean cold = started > 0 && listener.nowNanos() - started < coldSpan;
         Listed next = new Listed(member, servers.add(member.address(), cold));
         listed.put(id, next);
         if (!next.ready()) {
@@ -270,7 +291,7 @@
       connecting =
           OutboundConnector.connect(bootstrap, (InetSocketAddress) link.target().address());
     } catch (IOException e) {
-      EdgeNode.trouble("app servers", e);
+      LOG.warn("upstream_connection_not_opened", field("error", e));
       loop.execute(() -> link.failed(System.nanoTime(), Failure.OWN));
       return;
     }
@@ -418,14 +439,14 @@
         of.upload.leave();
       }
       if (!passed) {
-        node.attemptEnded(of, outcome, System.nanoTime() - sentAt, server, units, body);
+        listener.attemptEnded(of, outcome, System.nanoTime() - sentAt, server, units, body);
       }
     }
 
     /** The last byte is written. */
     void sent() {
       written = true;
-      node.figures.tried();
+      metrics.tried();
       if (of.upload != null && !over) {
         sentAt = System.nanoTime();
         expiry.cancel(false);
@@ -576,7 +597,7 @@
       long length = HttpUtil.getContentLength(answer, -1L);
       if (held == null) {
         held = channel.alloc().buffer((int) Math.min(MOST_BODY, Math.max(length, FIRST_PIECE)));
-        holding = node.held.open(attempt.of.request.customer());
+        holding = bufferedBodies.open(attempt.of.request.customer());
       }
       held.writeBytes(bytes);
       boolean room = holding.hold(held.capacity());
@@ -592,7 +613,7 @@
     private void passOn(long length) {
       Attempt passed = attempt;
       Channel to =
-          node.answerBegan(
+          listener.responseStarted(
               passed.of, length, System.nanoTime() - passed.sentAt, passed.server, channel::close);
       if (to == null) {
         passed.end(Outcome.CANCELLED, 0, null);
@@ -601,7 +622,7 @@
       }
       passed.expiry.cancel(false);
       passed.passed = true;
-      relay = node.relays.start(channel, to);
+      relay = relays.start(channel, to);
       relay.piece(held);
       held = null;
       holding.release();
--- /dev/null
+++ b/edge/src/main/java/edgegateway/node/upstream/package-info.java
@@ -0,0 +1,2 @@
+/** The archive servers' side: attempts on pooled connections. */
+package edgegateway.node.upstream;
--- a/edge/src/main/java/edgegateway/policy/GatewayPolicy.java
+++ b/edge/src/main/java/edgegateway/policy/GatewayPolicy.java
@@ -18,8 +18,22 @@
 import edgegateway.policy.api.TrafficRamp;
 import edgegateway.policy.api.ZoneHealth;
 import edgegateway.policy.api.ZoneStatus;
-import java.util.*;
-import java.util.stream.*;
+import java.util.ArrayDeque;
+import java.util.ArrayList;
+import java.util.Arrays;
+import java.util.Comparator;
+import java.util.HashMap;
+import java.util.HashSet;
+import java.util.LinkedHashMap;
+import java.util.LinkedHashSet;
+import java.util.List;
+import java.util.Map;
+import java.util.Set;
+import java.util.SplittableRandom;
+import java.util.TreeMap;
+import java.util.TreeSet;
+import java.util.stream.Collectors;
+import java.util.stream.Stream;
 import org.ejml.simple.SimpleMatrix;
 
 /**
--- /dev/null
+++ b/edge/src/main/java/edgegateway/simulator/package-info.java
@@ -0,0 +1,2 @@
+/** The adapter that runs the decision module on the simulator's wire. */
+package edgegateway.simulator;
--- a/testbed/src/main/java/edgegateway/testbed/scale/sockets/HollowMain.java
+++ b/testbed/src/main/java/edgegateway/testbed/scale/sockets/HollowMain.java
@@ -124,7 +124,7 @@
       Map<String, Long> sums = new TreeMap<>();
       Map<String, Long> most = new TreeMap<>();
       for (Hollow one : nodes) {
-        Operators.figures(one.node.figures())
+        Operators.figures(one.node.metricsText())
             .forEach(
                 (name, value) -> {
                   sums.merge(name, value, Long::sum);
