--- a/testbed/src/main/java/edgegateway/testbed/judge/Judge.java
+++ b/testbed/src/main/java/edgegateway/testbed/checker/InvariantChecker.java
@@ -1,20 +1,20 @@
-package edgegateway.testbed.judge;
+package edgegateway.testbed.checker;
 
-import edgegateway.testbed.judge.Event.Answered;
-import edgegateway.testbed.judge.Event.Asked;
-import edgegateway.testbed.judge.Event.Broken;
-import edgegateway.testbed.judge.Event.Crashed;
-import edgegateway.testbed.judge.Event.Fell;
-import edgegateway.testbed.judge.Event.Learned;
-import edgegateway.testbed.judge.Event.Left;
-import edgegateway.testbed.judge.Event.Lost;
-import edgegateway.testbed.judge.Event.Sent;
-import edgegateway.testbed.judge.Event.Started;
-import edgegateway.testbed.judge.Event.Told;
-import edgegateway.testbed.judge.Event.TurnedAway;
-import edgegateway.testbed.judge.Finding.Rule;
-import edgegateway.testbed.judge.Terms.Ceiling;
-import edgegateway.testbed.judge.Terms.Repeat;
+import edgegateway.testbed.checker.HistoryEvent.Answered;
+import edgegateway.testbed.checker.HistoryEvent.Asked;
+import edgegateway.testbed.checker.HistoryEvent.Broken;
+import edgegateway.testbed.checker.HistoryEvent.Crashed;
+import edgegateway.testbed.checker.HistoryEvent.Fell;
+import edgegateway.testbed.checker.HistoryEvent.Learned;
+import edgegateway.testbed.checker.HistoryEvent.Left;
+import edgegateway.testbed.checker.HistoryEvent.Lost;
+import edgegateway.testbed.checker.HistoryEvent.Sent;
+import edgegateway.testbed.checker.HistoryEvent.Started;
+import edgegateway.testbed.checker.HistoryEvent.Told;
+import edgegateway.testbed.checker.HistoryEvent.TurnedAway;
+import edgegateway.testbed.checker.InvariantSettings.Ceiling;
+import edgegateway.testbed.checker.InvariantSettings.Repeat;
+import edgegateway.testbed.checker.Violation.Rule;
 import java.util.ArrayDeque;
 import java.util.ArrayList;
 import java.util.Comparator;
@@ -29,7 +29,7 @@
  * Finds the broken rules in a history. It knows nothing of the program: only who asked, what
  * arrived, what was answered.
  */
-public final class Judge {
+public final class InvariantChecker {
   private static final double SECOND = 1e9;
 
   /**
@@ -60,18 +60,18 @@
   /** An attempt that reached a server, and whether its node knew then that the server was cold. */
   private record Push(long at, boolean knew) {}
 
-  private static final class Store {
+  private static final class TokenBucket {
     double units;
     long at;
 
-    Store(double units, long at) {
+    TokenBucket(double units, long at) {
       this.units = units;
       this.at = at;
     }
   }
 
-  private final Terms terms;
-  private final List<Finding> findings = new ArrayList<>();
+  private final InvariantSettings terms;
+  private final List<Violation> findings = new ArrayList<>();
   private final Map<String, Request> requests = new HashMap<>();
   private final Map<String, Map<String, Long>> told = new HashMap<>();
 
@@ -79,10 +79,10 @@
   private final Map<String, ArrayDeque<Push>> pushes = new HashMap<>();
 
   private final Map<String, Set<String>> learned = new HashMap<>();
-  private final Map<Long, Store> stores = new HashMap<>();
+  private final Map<Long, TokenBucket> stores = new HashMap<>();
   private final Map<String, Long> cutOff = new HashMap<>();
 
-  private Judge(Terms terms) {
+  private InvariantChecker(InvariantSettings terms) {
     this.terms = terms;
   }
 
@@ -90,9 +90,10 @@
    * All findings of a history, in the order of their times; events may come in any order, {@code
    * end} is after the last.
    */
-  public static List<Finding> judge(Terms terms, List<Event> history, long end) {
-    Judge judge = new Judge(terms);
-    history.stream().sorted(Comparator.comparingLong(Event::at)).forEach(judge::take);
+  public static List<Violation> judge(
+      InvariantSettings terms, List<HistoryEvent> history, long end) {
+    InvariantChecker judge = new InvariantChecker(terms);
+    history.stream().sorted(Comparator.comparingLong(HistoryEvent::at)).forEach(judge::take);
     for (Request request : judge.requests.values()) {
       if (!request.over && request.asked.deadline() + terms.answerSlack() <= end) {
         judge.find(
@@ -102,15 +103,15 @@
             "never answered");
       }
     }
-    judge.findings.sort(Comparator.comparingLong(Finding::at).thenComparing(Finding::id));
+    judge.findings.sort(Comparator.comparingLong(Violation::at).thenComparing(Violation::id));
     return List.copyOf(judge.findings);
   }
 
   private void find(Rule rule, long at, Asked of, String text) {
-    findings.add(new Finding(rule, at, of.id(), of.node(), text));
+    findings.add(new Violation(rule, at, of.id(), of.node(), text));
   }
 
-  private void take(Event event) {
+  private void take(HistoryEvent event) {
     if (event instanceof Asked asked) {
       asked(asked);
     } else if (event instanceof Answered answered) {
@@ -144,7 +145,7 @@
           .forEach(request -> request.excused = request.over = true);
     } else if (event instanceof Crashed crashed) {
       findings.add(
-          new Finding(
+          new Violation(
               Rule.CRASH,
               crashed.at(),
               "",
@@ -162,7 +163,7 @@
     long knew = last.stream().filter(Push::knew).count();
     if (knew >= BLAMED * last.size()) {
       findings.add(
-          new Finding(
+          new Violation(
               Rule.COLD,
               fell.at(),
               "",
@@ -242,7 +243,7 @@
     Request request = requests.get(sent.id());
     if (request == null) {
       findings.add(
-          new Finding(
+          new Violation(
               Rule.DUPLICATE,
               sent.at(),
               sent.id(),
@@ -299,7 +300,8 @@
     if (ceiling.rate() == 0) {
       return;
     }
-    Store store = stores.computeIfAbsent(asked.customer(), any -> new Store(ceiling.burst(), at));
+    TokenBucket store =
+        stores.computeIfAbsent(asked.customer(), any -> new TokenBucket(ceiling.burst(), at));
     store.units =
         Math.min(ceiling.burst(), store.units + (at - store.at) * ceiling.rate() / SECOND) - 1;
     store.at = at;
--- a/testbed/src/main/java/edgegateway/testbed/judge/Terms.java
+++ b/testbed/src/main/java/edgegateway/testbed/checker/InvariantSettings.java
@@ -1,4 +1,4 @@
-package edgegateway.testbed.judge;
+package edgegateway.testbed.checker;
 
 import java.util.List;
 
@@ -9,7 +9,7 @@
  * @param stopWithin so long after a node was told that a server drains it may send there
  * @param fallSpan what reached a cold server in this span before it fell over pushed it
  */
-public record Terms(
+public record InvariantSettings(
     long answerSlack, long stopWithin, long fallSpan, List<Repeat> classes, List<Ceiling> plans) {
   /**
    * How a class may be sent again: {@code SAFE} always, {@code KEYED} for {@code keyLife} after it
--- a/testbed/src/main/java/edgegateway/testbed/judge/Finding.java
+++ b/testbed/src/main/java/edgegateway/testbed/checker/Violation.java
@@ -1,4 +1,4 @@
-package edgegateway.testbed.judge;
+package edgegateway.testbed.checker;
 
 /**
  * A broken rule.
@@ -8,7 +8,7 @@
  * @param node the edge node; empty if it is the fleet's
  * @param text one line that says what was seen
  */
-public record Finding(Rule rule, long at, String id, String node, String text) {
+public record Violation(Rule rule, long at, String id, String node, String text) {
   /** The rules (wire page, section 9), and what ends a play. */
   public enum Rule {
     /** Each request one final answer in time. */
--- a/testbed/src/main/java/edgegateway/testbed/cli/Compare.java
+++ b/testbed/src/main/java/edgegateway/testbed/cli/CompareCommand.java
@@ -1,9 +1,9 @@
 package edgegateway.testbed.cli;
 
-import edgegateway.testbed.process.DeployFile;
-import edgegateway.testbed.scenario.Play;
-import edgegateway.testbed.scenario.Result;
+import edgegateway.testbed.processes.DeployFile;
+import edgegateway.testbed.scenario.RunResult;
 import edgegateway.testbed.scenario.Scenario;
+import edgegateway.testbed.scenario.ScenarioRun;
 import java.io.IOException;
 import java.nio.file.Files;
 import java.nio.file.Path;
@@ -20,7 +20,7 @@
     mixinStandardHelpOptions = true,
     description =
         "Plays one scenario by several programs in turn, each turn by another seed; medians, least and most.")
-final class Compare implements Callable<Integer> {
+final class CompareCommand implements Callable<Integer> {
   @Parameters(paramLabel = "FILE", description = "the scenario")
   private Path file;
 
@@ -50,7 +50,7 @@
   public Integer call() throws InterruptedException {
     try {
       Scenario scenario = Scenario.read(file);
-      Summary summary = new Summary();
+      RunSummary summary = new RunSummary();
       for (int run = 0; run < runs; run++) {
         for (Path root : roots) {
           Scenario one = scenario.withSeed(scenario.seed() + run);
@@ -58,8 +58,9 @@
               Files.createDirectories(
                       out.resolve(root.toRealPath().getFileName() + "-" + one.seed()))
                   .toRealPath();
-          Result result = Play.of(one, DeployFile.read(root.toRealPath()), folder, line -> {});
-          Run.write(result, folder);
+          RunResult result =
+              ScenarioRun.of(one, DeployFile.read(root.toRealPath()), folder, line -> {});
+          RunCommand.write(result, folder);
           summary.add(root.toString(), result);
           System.out.printf(
               Locale.ROOT,
@@ -72,7 +73,7 @@
       }
       summary.print(System.out);
       return summary.broken().isEmpty() ? 0 : 1;
-    } catch (Scenario.Invalid | IOException e) {
+    } catch (Scenario.InvalidScenarioException | IOException e) {
       System.err.println(file + ": " + e.getMessage());
       return 2;
     }
--- a/testbed/src/main/java/edgegateway/testbed/cli/ListScenarios.java
+++ b/testbed/src/main/java/edgegateway/testbed/cli/ListScenariosCommand.java
@@ -16,7 +16,7 @@
     name = "list",
     mixinStandardHelpOptions = true,
     description = "Lists the scenarios of a folder, each checked.")
-final class ListScenarios implements Callable<Integer> {
+final class ListScenariosCommand implements Callable<Integer> {
   @Parameters(
       paramLabel = "DIR",
       defaultValue = "testbed/scenarios",
@@ -38,7 +38,7 @@
               one.topology().servers(),
               one.spanS(),
               about(Files.readAllLines(file)));
-        } catch (Scenario.Invalid e) {
+        } catch (Scenario.InvalidScenarioException e) {
           System.err.println(file + ": " + e.getMessage());
           status = 2;
         }
--- a/testbed/src/main/java/edgegateway/testbed/cli/Report.java
+++ b/testbed/src/main/java/edgegateway/testbed/cli/ReportCommand.java
@@ -1,8 +1,8 @@
 package edgegateway.testbed.cli;
 
 import com.fasterxml.jackson.databind.ObjectMapper;
-import edgegateway.testbed.report.Page;
-import edgegateway.testbed.scenario.Result;
+import edgegateway.testbed.report.ResultPage;
+import edgegateway.testbed.scenario.RunResult;
 import java.io.IOException;
 import java.nio.file.Path;
 import java.util.concurrent.Callable;
@@ -14,17 +14,17 @@
     name = "report",
     mixinStandardHelpOptions = true,
     description = "Writes a play's page anew from its result.json.")
-final class Report implements Callable<Integer> {
+final class ReportCommand implements Callable<Integer> {
   @Parameters(paramLabel = "DIR", description = "the play's folder")
   private Path folder;
 
   @Override
   public Integer call() {
     try {
-      Page.write(
-          new ObjectMapper().readValue(folder.resolve(Run.RESULT).toFile(), Result.class),
-          folder.resolve(Run.PAGE));
-      System.out.println(folder.resolve(Run.PAGE));
+      ResultPage.write(
+          new ObjectMapper().readValue(folder.resolve(RunCommand.RESULT).toFile(), RunResult.class),
+          folder.resolve(RunCommand.PAGE));
+      System.out.println(folder.resolve(RunCommand.PAGE));
       return 0;
     } catch (IOException e) {
       System.err.println(folder + ": " + e.getMessage());
--- a/testbed/src/main/java/edgegateway/testbed/cli/Run.java
+++ b/testbed/src/main/java/edgegateway/testbed/cli/RunCommand.java
@@ -2,12 +2,12 @@
 
 import com.fasterxml.jackson.databind.ObjectMapper;
 import com.fasterxml.jackson.databind.SerializationFeature;
-import edgegateway.testbed.judge.Finding;
-import edgegateway.testbed.process.DeployFile;
-import edgegateway.testbed.report.Page;
-import edgegateway.testbed.scenario.Play;
-import edgegateway.testbed.scenario.Result;
+import edgegateway.testbed.checker.Violation;
+import edgegateway.testbed.processes.DeployFile;
+import edgegateway.testbed.report.ResultPage;
+import edgegateway.testbed.scenario.RunResult;
 import edgegateway.testbed.scenario.Scenario;
+import edgegateway.testbed.scenario.ScenarioRun;
 import java.io.IOException;
 import java.nio.file.Files;
 import java.nio.file.Path;
@@ -22,7 +22,7 @@
     name = "run",
     mixinStandardHelpOptions = true,
     description = "Plays one scenario on real processes and judges it.")
-final class Run implements Callable<Integer> {
+final class RunCommand implements Callable<Integer> {
   static final String RESULT = "result.json";
   static final String PAGE = "index.html";
 
@@ -59,8 +59,8 @@
                       ? out
                       : Path.of("target", "lab", scenario.name() + "-" + scenario.seed()))
               .toRealPath();
-      Result result =
-          Play.of(scenario, DeployFile.read(root.toRealPath()), folder, System.out::println);
+      RunResult result =
+          ScenarioRun.of(scenario, DeployFile.read(root.toRealPath()), folder, System.out::println);
       write(result, folder);
       System.out.printf(
           Locale.ROOT,
@@ -76,7 +76,7 @@
           result.p50Ms(),
           result.p99Ms(),
           result.attempts());
-      for (Finding finding : result.findings()) {
+      for (Violation finding : result.findings()) {
         System.out.println(
             "RULE BROKEN "
                 + finding.rule()
@@ -90,7 +90,7 @@
       boolean enough = enough(result.goodput(), scenario);
       System.out.println(folder.resolve(PAGE));
       return result.findings().isEmpty() && enough ? 0 : 1;
-    } catch (Scenario.Invalid | IOException e) {
+    } catch (Scenario.InvalidScenarioException | IOException e) {
       System.err.println(file + ": " + e.getMessage());
       return 2;
     }
@@ -110,10 +110,10 @@
   }
 
   /** A play's folder gets its result, for programs and for people. */
-  static void write(Result result, Path folder) throws IOException {
+  static void write(RunResult result, Path folder) throws IOException {
     new ObjectMapper()
         .enable(SerializationFeature.INDENT_OUTPUT)
         .writeValue(folder.resolve(RESULT).toFile(), result);
-    Page.write(result, folder.resolve(PAGE));
+    ResultPage.write(result, folder.resolve(PAGE));
   }
 }
--- a/testbed/src/main/java/edgegateway/testbed/cli/Summary.java
+++ b/testbed/src/main/java/edgegateway/testbed/cli/RunSummary.java
@@ -1,6 +1,6 @@
 package edgegateway.testbed.cli;
 
-import edgegateway.testbed.scenario.Result;
+import edgegateway.testbed.scenario.RunResult;
 import java.io.PrintStream;
 import java.util.ArrayList;
 import java.util.LinkedHashMap;
@@ -10,18 +10,18 @@
 import java.util.function.ToDoubleFunction;
 
 /** Figures of several plays side by side: for each the median, the least and the most. */
-final class Summary {
-  private static final Map<String, ToDoubleFunction<Result>> FIGURES = new LinkedHashMap<>();
+final class RunSummary {
+  private static final Map<String, ToDoubleFunction<RunResult>> FIGURES = new LinkedHashMap<>();
 
   static {
-    FIGURES.put("goodput", Result::goodput);
-    FIGURES.put("possible", Result::possible);
-    FIGURES.put("served", Result::served);
-    FIGURES.put("refused", Result::refused);
-    FIGURES.put("failed", Result::failed);
-    FIGURES.put("p99 ms", Result::p99Ms);
-    FIGURES.put("tries", Result::tries);
-    FIGURES.put("attempts", Result::attempts);
+    FIGURES.put("goodput", RunResult::goodput);
+    FIGURES.put("possible", RunResult::possible);
+    FIGURES.put("served", RunResult::served);
+    FIGURES.put("refused", RunResult::refused);
+    FIGURES.put("failed", RunResult::failed);
+    FIGURES.put("p99 ms", RunResult::p99Ms);
+    FIGURES.put("tries", RunResult::tries);
+    FIGURES.put("attempts", RunResult::attempts);
     FIGURES.put(
         "s to 0.5", one -> one.recovery() == null ? Double.NaN : seconds(one.recovery().toHalf()));
     FIGURES.put(
@@ -38,19 +38,19 @@
     FIGURES.put(
         "of possible, after",
         one -> one.recovery() == null ? Double.NaN : one.recovery().afterOf());
-    FIGURES.put("cold pressure", Result::pressure);
-    FIGURES.put("servers fallen", Result::fell);
+    FIGURES.put("cold pressure", RunResult::pressure);
+    FIGURES.put("servers fallen", RunResult::fell);
     FIGURES.put("rules broken", one -> one.findings().size());
   }
 
-  private final Map<String, List<Result>> columns = new LinkedHashMap<>();
+  private final Map<String, List<RunResult>> columns = new LinkedHashMap<>();
 
   /** Not by the end: worse than any number. */
   private static double seconds(int of) {
     return of < 0 ? Double.POSITIVE_INFINITY : of;
   }
 
-  void add(String column, Result result) {
+  void add(String column, RunResult result) {
     columns.computeIfAbsent(column, any -> new ArrayList<>()).add(result);
   }
 
@@ -62,7 +62,7 @@
         (name, figure) -> {
           StringBuilder line = new StringBuilder("| " + name + " |");
           boolean any = false;
-          for (List<Result> results : columns.values()) {
+          for (List<RunResult> results : columns.values()) {
             double[] sorted =
                 results.stream()
                     .mapToDouble(figure)
@@ -96,7 +96,7 @@
   }
 
   /** Plays in which a rule was broken. */
-  List<Result> broken() {
+  List<RunResult> broken() {
     return columns.values().stream()
         .flatMap(List::stream)
         .filter(one -> !one.findings().isEmpty())
@@ -107,7 +107,7 @@
   double leastGoodput() {
     return columns.values().stream()
         .flatMap(List::stream)
-        .mapToDouble(Result::goodput)
+        .mapToDouble(RunResult::goodput)
         .min()
         .orElse(0);
   }
--- a/testbed/src/main/java/edgegateway/testbed/cli/Scale.java
+++ b/testbed/src/main/java/edgegateway/testbed/cli/ScaleCommand.java
@@ -1,10 +1,10 @@
 package edgegateway.testbed.cli;
 
-import edgegateway.testbed.scale.ModelScale;
-import edgegateway.testbed.scale.Point;
+import edgegateway.testbed.scale.MeasuredPoint;
 import edgegateway.testbed.scale.ScaleFile;
 import edgegateway.testbed.scale.ScaleResult;
-import edgegateway.testbed.scale.sockets.SocketsScale;
+import edgegateway.testbed.scale.SimulationScaleRun;
+import edgegateway.testbed.scale.sockets.SocketScaleRun;
 import edgegateway.testbed.scenario.Scenario;
 import java.io.IOException;
 import java.nio.file.Path;
@@ -27,8 +27,8 @@
     name = "scale",
     mixinStandardHelpOptions = true,
     description = "Plays fleets of a file's sizes and writes what each measured.",
-    subcommands = ScaleReport.class)
-final class Scale implements Callable<Integer> {
+    subcommands = ScaleReportCommand.class)
+final class ScaleCommand implements Callable<Integer> {
   private static final double SECOND = 1e9;
 
   @Spec private CommandSpec spec;
@@ -37,19 +37,19 @@
   private Path file;
 
   @Option(names = "--side", description = "model or sockets; both if left out")
-  private Point.Side side;
+  private MeasuredPoint.Side side;
 
   @Option(
       names = "--seeds",
       paramLabel = "A..B",
       description = "both ends included; the file's one if left out")
-  private Seeds seeds;
+  private SeedRange seeds;
 
   @Option(
       names = "--sizes",
       paramLabel = "A..B",
       description = "only these of a side's sizes, by their number in the file from 1 on")
-  private Seeds sizes;
+  private SeedRange sizes;
 
   @Option(
       names = "--out",
@@ -58,7 +58,7 @@
   private Path out;
 
   /** One play. */
-  private record Planned(String text, Callable<Point> play) {}
+  private record Planned(String text, Callable<MeasuredPoint> play) {}
 
   @Override
   public Integer call() throws Exception {
@@ -67,7 +67,7 @@
     }
     try {
       ScaleFile read = ScaleFile.read(file);
-      List<Point> points = new ArrayList<>();
+      List<MeasuredPoint> points = new ArrayList<>();
       List<Planned> plays = plays(read);
       if (plays.isEmpty()) {
         System.err.println(file + ": has no such side or sizes");
@@ -86,7 +86,7 @@
       }
       System.out.println(folder.resolve(ScaleResult.NAME));
       return 0;
-    } catch (Scenario.Invalid | IOException e) {
+    } catch (Scenario.InvalidScenarioException | IOException e) {
       System.err.println(file + ": " + e.getMessage());
       return 2;
     }
@@ -106,24 +106,24 @@
     List<Planned> plays = new ArrayList<>();
     Consumer<String> progress = System.out::println;
     for (long seed :
-        (seeds == null ? new Seeds(read.seed(), read.seed()) : seeds).all().toArray()) {
-      if (side != Point.Side.SOCKETS && read.model() != null) {
+        (seeds == null ? new SeedRange(read.seed(), read.seed()) : seeds).all().toArray()) {
+      if (side != MeasuredPoint.Side.SOCKETS && read.model() != null) {
         wanted(read.model().sizes())
             .forEach(
                 size ->
                     plays.add(
                         new Planned(
                             "model, seed " + seed + ", " + size,
-                            () -> ModelScale.play(read, size, seed, progress))));
+                            () -> SimulationScaleRun.play(read, size, seed, progress))));
       }
-      if (side != Point.Side.MODEL && read.sockets() != null) {
+      if (side != MeasuredPoint.Side.MODEL && read.sockets() != null) {
         wanted(read.sockets().sizes())
             .forEach(
                 size ->
                     plays.add(
                         new Planned(
                             "sockets, seed " + seed + ", " + size,
-                            () -> SocketsScale.play(read, size, seed, progress))));
+                            () -> SocketScaleRun.play(read, size, seed, progress))));
       }
     }
     return plays;
--- a/testbed/src/main/java/edgegateway/testbed/cli/ScaleReport.java
+++ b/testbed/src/main/java/edgegateway/testbed/cli/ScaleReportCommand.java
@@ -3,7 +3,7 @@
 import edgegateway.testbed.report.ScalePage;
 import edgegateway.testbed.scale.CapacityFile;
 import edgegateway.testbed.scale.CapacityTables;
-import edgegateway.testbed.scale.Curve;
+import edgegateway.testbed.scale.GrowthCurve;
 import edgegateway.testbed.scale.ScaleResult;
 import edgegateway.testbed.scale.ScaleTables;
 import java.io.IOException;
@@ -21,7 +21,7 @@
     name = "report",
     mixinStandardHelpOptions = true,
     description = "Prints the tables of results in Markdown.")
-final class ScaleReport implements Callable<Integer> {
+final class ScaleReportCommand implements Callable<Integer> {
   /** Between these lines of a page the tables stand. */
   static final String BEGIN = "<!-- tables of lab scale report -->";
 
@@ -58,7 +58,7 @@
       CapacityFile own = CapacityFile.own();
       String tables = ScaleTables.of(results) + CapacityTables.of(own, results);
       if (plots != null) {
-        ScalePage.write(Curve.of(own, results), plots);
+        ScalePage.write(GrowthCurve.of(own, results), plots);
       }
       if (page == null) {
         System.out.print(tables);
--- a/testbed/src/main/java/edgegateway/testbed/cli/Seeds.java
+++ b/testbed/src/main/java/edgegateway/testbed/cli/SeedRange.java
@@ -3,13 +3,13 @@
 import java.util.stream.LongStream;
 
 /** The seeds {@code A..B}, both ends included, or one {@code A}. */
-record Seeds(long from, long to) {
+record SeedRange(long from, long to) {
   /** So many plays are some hours on one core. */
   private static final long MOST = 10_000;
 
-  static Seeds parse(String text) {
+  static SeedRange parse(String text) {
     String[] ends = text.split("\\.\\.", 2);
-    Seeds seeds = new Seeds(Long.parseLong(ends[0]), Long.parseLong(ends[ends.length - 1]));
+    SeedRange seeds = new SeedRange(Long.parseLong(ends[0]), Long.parseLong(ends[ends.length - 1]));
     if (seeds.to < seeds.from || seeds.to - seeds.from >= MOST) {
       throw new IllegalArgumentException(
           "'" + text + "' is not A..B with A <= B and at most " + MOST + " seeds");
--- a/testbed/src/main/java/edgegateway/testbed/cli/ModelRuns.java
+++ b/testbed/src/main/java/edgegateway/testbed/cli/SimulateCommand.java
@@ -1,9 +1,9 @@
 package edgegateway.testbed.cli;
 
-import edgegateway.testbed.judge.Finding;
-import edgegateway.testbed.model.Model;
-import edgegateway.testbed.scenario.Result;
+import edgegateway.testbed.checker.Violation;
+import edgegateway.testbed.scenario.RunResult;
 import edgegateway.testbed.scenario.Scenario;
+import edgegateway.testbed.simulation.FleetSimulation;
 import java.io.IOException;
 import java.nio.file.Files;
 import java.nio.file.Path;
@@ -24,7 +24,7 @@
     mixinStandardHelpOptions = true,
     description =
         "Plays one scenario on the model's clock by several seeds, this checkout's program; medians, least and most.")
-final class ModelRuns implements Callable<Integer> {
+final class SimulateCommand implements Callable<Integer> {
   @Parameters(paramLabel = "FILE", description = "the scenario")
   private Path file;
 
@@ -33,7 +33,7 @@
       paramLabel = "A..B",
       defaultValue = "1..10",
       description = "the seeds (${DEFAULT-VALUE})")
-  private Seeds seeds;
+  private SeedRange seeds;
 
   @Option(
       names = "--jobs",
@@ -56,7 +56,7 @@
     ExecutorService workers = Executors.newFixedThreadPool(jobs);
     try {
       Scenario scenario = Scenario.read(file);
-      List<Future<Result>> plays = new ArrayList<>();
+      List<Future<RunResult>> plays = new ArrayList<>();
       seeds
           .all()
           .forEach(
@@ -64,21 +64,21 @@
                   plays.add(
                       workers.submit(
                           () ->
-                              Model.of(
+                              FleetSimulation.of(
                                   scenario.withSeed(seed),
                                   log ? System.out::println : line -> {}))));
-      Summary summary = new Summary();
-      for (Future<Result> play : plays) {
-        Result result = play.get();
+      RunSummary summary = new RunSummary();
+      for (Future<RunResult> play : plays) {
+        RunResult result = play.get();
         summary.add(scenario.name(), result);
         if (out != null) {
-          Run.write(
+          RunCommand.write(
               result, Files.createDirectories(out.resolve(scenario.name() + "-" + result.seed())));
         }
       }
       summary.print(System.out);
-      for (Result result : summary.broken()) {
-        Finding first = result.findings().get(0);
+      for (RunResult result : summary.broken()) {
+        Violation first = result.findings().get(0);
         System.out.println(
             "RULE BROKEN by seed "
                 + result.seed()
@@ -93,9 +93,9 @@
                 + " "
                 + first.text());
       }
-      boolean enough = Run.enough(summary.leastGoodput(), scenario);
+      boolean enough = RunCommand.enough(summary.leastGoodput(), scenario);
       return summary.broken().isEmpty() && enough ? 0 : 1;
-    } catch (Scenario.Invalid | IOException e) {
+    } catch (Scenario.InvalidScenarioException | IOException e) {
       System.err.println(file + ": " + e.getMessage());
       return 2;
     } catch (ExecutionException e) {
--- a/testbed/src/main/java/edgegateway/testbed/cli/Lab.java
+++ b/testbed/src/main/java/edgegateway/testbed/cli/TestbedCommand.java
@@ -9,16 +9,16 @@
     mixinStandardHelpOptions = true,
     description = "Plays fleets of edge nodes, with faults between them.",
     subcommands = {
-      Run.class,
-      Compare.class,
-      ModelRuns.class,
-      Scale.class,
-      ListScenarios.class,
-      Report.class,
-      Trace.class
+      RunCommand.class,
+      CompareCommand.class,
+      SimulateCommand.class,
+      ScaleCommand.class,
+      ListScenariosCommand.class,
+      ReportCommand.class,
+      TraceCommand.class
     })
-public final class Lab {
-  private Lab() {}
+public final class TestbedCommand {
+  private TestbedCommand() {}
 
   /**
    * Ends with 0 if all rules and assertions held, 1 if one did not, 2 if the scenario could not be
@@ -31,8 +31,8 @@
   }
 
   static CommandLine commandLine() {
-    return new CommandLine(new Lab())
-        .registerConverter(Seeds.class, Seeds::parse)
+    return new CommandLine(new TestbedCommand())
+        .registerConverter(SeedRange.class, SeedRange::parse)
         .setCaseInsensitiveEnumValuesAllowed(true);
   }
 }
--- a/testbed/src/main/java/edgegateway/testbed/cli/Trace.java
+++ b/testbed/src/main/java/edgegateway/testbed/cli/TraceCommand.java
@@ -21,7 +21,7 @@
     name = "trace",
     mixinStandardHelpOptions = true,
     description = "Prints what happened to one request, with its nodes' log lines of that time.")
-final class Trace implements Callable<Integer> {
+final class TraceCommand implements Callable<Integer> {
   private static final ObjectMapper JSON = new ObjectMapper();
 
   @Parameters(index = "0", paramLabel = "DIR", description = "the play's folder")
@@ -37,7 +37,10 @@
   public Integer call() {
     try (Stream<String> lines = Files.lines(folder.resolve(HistoryFile.NAME))) {
       List<JsonNode> events =
-          lines.map(Trace::parsed).filter(event -> event.path("id").asText().equals(id)).toList();
+          lines
+              .map(TraceCommand::parsed)
+              .filter(event -> event.path("id").asText().equals(id))
+              .toList();
       if (events.isEmpty()) {
         System.err.println(folder + ": no request " + id);
         return 2;
--- a/testbed/src/main/java/edgegateway/testbed/stand/Member.java
+++ b/testbed/src/main/java/edgegateway/testbed/fakes/DiscoveryMember.java
@@ -1,4 +1,4 @@
-package edgegateway.testbed.stand;
+package edgegateway.testbed.fakes;
 
 /**
  * An archive server as discovery lists it.
@@ -11,7 +11,7 @@
  * @param size its registered size
  * @param upSince its last start in Unix milliseconds; 0 means long ago
  */
-public record Member(
+public record DiscoveryMember(
     String id,
     String address,
     String locality,
--- a/testbed/src/main/java/edgegateway/testbed/stand/Roll.java
+++ b/testbed/src/main/java/edgegateway/testbed/fakes/DiscoveryMessage.java
@@ -1,4 +1,4 @@
-package edgegateway.testbed.stand;
+package edgegateway.testbed.fakes;
 
 import com.fasterxml.jackson.databind.node.ArrayNode;
 import com.fasterxml.jackson.databind.node.JsonNodeFactory;
@@ -12,13 +12,13 @@
  * @param revision the version of the list that it brings its reader to
  * @param complete whether it is the whole list; else only what changed
  */
-public record Roll(long revision, boolean complete, List<Member> members) {
+public record DiscoveryMessage(long revision, boolean complete, List<DiscoveryMember> members) {
   /** As discovery writes it, on one line without its end. */
   public String json() {
     ObjectNode object = JsonNodeFactory.instance.objectNode();
     object.put("revision", revision).put("complete", complete);
     ArrayNode entries = object.putArray("members");
-    for (Member one : members) {
+    for (DiscoveryMember one : members) {
       String phase = one.phase().name();
       entries
           .addObject()
--- a/testbed/src/main/java/edgegateway/testbed/stand/ArchiveServer.java
+++ b/testbed/src/main/java/edgegateway/testbed/fakes/FakeArchiveServer.java
@@ -1,4 +1,4 @@
-package edgegateway.testbed.stand;
+package edgegateway.testbed.fakes;
 
 import java.util.ArrayDeque;
 import java.util.ArrayList;
@@ -16,7 +16,7 @@
  *
  * @param <T> what stands for a request
  */
-public final class ArchiveServer<T> {
+public final class FakeArchiveServer<T> {
   /** What becomes of a request. */
   public enum Ending {
     /** It ran to its end. */
@@ -38,12 +38,12 @@
    */
   private static final long STEP = 20_000_000L;
 
-  private static final class Job<T> {
+  private static final class PendingRequest<T> {
     final T request;
     final String key;
     double left;
 
-    Job(T request, String key, double work) {
+    PendingRequest(T request, String key, double work) {
       this.request = request;
       this.key = key;
       left = work;
@@ -53,11 +53,11 @@
   /** A key's first request: when it was served, or -1 while it runs. */
   private record Key(long servedAt) {}
 
-  private final ServerTerms terms;
+  private final FakeArchiveServerSettings terms;
   private final long warmFrom;
-  private final Budget budget;
-  private final List<Job<T>> working = new ArrayList<>();
-  private final ArrayDeque<Job<T>> waiting = new ArrayDeque<>();
+  private final WarmUpWorkLimit budget;
+  private final List<PendingRequest<T>> working = new ArrayList<>();
+  private final ArrayDeque<PendingRequest<T>> waiting = new ArrayDeque<>();
   private final Map<String, Key> keys = new HashMap<>();
   private final ArrayDeque<Ended<T>> ended = new ArrayDeque<>();
   private long clock;
@@ -69,11 +69,11 @@
   private boolean draining;
 
   /** Starts cold now, or as warm as if it had started at {@code startedAt}. */
-  public ArchiveServer(ServerTerms terms, long now, long startedAt) {
+  public FakeArchiveServer(FakeArchiveServerSettings terms, long now, long startedAt) {
     this.terms = terms;
     clock = now;
     warmFrom = startedAt;
-    budget = new Budget(terms);
+    budget = new WarmUpWorkLimit(terms);
   }
 
   /** The share of its whole capacity that it has at a time. */
@@ -82,7 +82,7 @@
   }
 
   /** The share of its whole capacity that a server has so long after its start. */
-  public static double warmth(ServerTerms terms, long age) {
+  public static double warmth(FakeArchiveServerSettings terms, long age) {
     return terms.ramp() == 0 || age >= terms.ramp()
         ? 1
         : terms.coldFrom() + (1 - terms.coldFrom()) * age / terms.ramp();
@@ -155,7 +155,7 @@
       if (key != null) {
         keys.put(key, new Key(-1));
       }
-      waiting.add(new Job<>(request, key, work));
+      waiting.add(new PendingRequest<>(request, key, work));
       fill();
     }
   }
@@ -209,8 +209,8 @@
   }
 
   private void finish(double done) {
-    for (Iterator<Job<T>> jobs = working.iterator(); jobs.hasNext(); ) {
-      Job<T> job = jobs.next();
+    for (Iterator<PendingRequest<T>> jobs = working.iterator(); jobs.hasNext(); ) {
+      PendingRequest<T> job = jobs.next();
       job.left -= done;
       if (job.left <= 0) {
         jobs.remove();
--- a/testbed/src/main/java/edgegateway/testbed/stand/ServerTerms.java
+++ b/testbed/src/main/java/edgegateway/testbed/fakes/FakeArchiveServerSettings.java
@@ -1,4 +1,4 @@
-package edgegateway.testbed.stand;
+package edgegateway.testbed.fakes;
 
 /**
  * What an archive server is made of. Spans are nanoseconds.
@@ -12,7 +12,7 @@
  * @param tipAfter ... over a window of this span, it falls over and stays down
  * @param keyLife for how long a repeat of a key is dropped
  */
-public record ServerTerms(
+public record FakeArchiveServerSettings(
     double cores,
     int slots,
     int room,
@@ -22,7 +22,7 @@
     long tipAfter,
     long keyLife) {
   /** Checks its ranges; the message names the figure. */
-  public ServerTerms {
+  public FakeArchiveServerSettings {
     check(cores > 0, "cores");
     check(slots > 0, "slots");
     check(room >= 0, "room");
--- a/testbed/src/main/java/edgegateway/testbed/stand/Counter.java
+++ b/testbed/src/main/java/edgegateway/testbed/fakes/FakeCounter.java
@@ -1,4 +1,4 @@
-package edgegateway.testbed.stand;
+package edgegateway.testbed.fakes;
 
 import java.util.ArrayDeque;
 import java.util.ArrayList;
@@ -15,7 +15,7 @@
  *
  * @param <T> what stands for a call
  */
-public final class Counter<T> {
+public final class FakeCounter<T> {
   /** A call and the total after it; null if it was turned away and nothing was added. */
   public record Answer<T>(T call, Double total) {}
 
@@ -37,14 +37,14 @@
     boolean gone;
   }
 
-  private final CounterTerms terms;
+  private final FakeCounterSettings terms;
   private final List<Part> parts = new ArrayList<>();
   private final ArrayDeque<Answer<T>> answers = new ArrayDeque<>();
   private double slowness = 1;
   private long clock;
 
   /** Begins empty. */
-  public Counter(CounterTerms terms, long now) {
+  public FakeCounter(FakeCounterSettings terms, long now) {
     this.terms = terms;
     clock = now;
     for (int i = 0; i < terms.parts(); i++) {
@@ -66,7 +66,7 @@
     if (part.line.isEmpty()) {
       part.free = now + span();
     }
-    part.line.add(new Waiting<>(call, name, amount, Math.min(life, CounterTerms.MOST_LIFE)));
+    part.line.add(new Waiting<>(call, name, amount, Math.min(life, FakeCounterSettings.MOST_LIFE)));
   }
 
   private long span() {
--- a/testbed/src/main/java/edgegateway/testbed/stand/CounterTerms.java
+++ b/testbed/src/main/java/edgegateway/testbed/fakes/FakeCounterSettings.java
@@ -1,4 +1,4 @@
-package edgegateway.testbed.stand;
+package edgegateway.testbed.fakes;
 
 /**
  * What the counter is made of. Spans are nanoseconds.
@@ -7,12 +7,12 @@
  * @param perCall the work of one call, above 0
  * @param line how many calls wait at a part before further ones are turned away, 1 or more
  */
-public record CounterTerms(int parts, long perCall, int line) {
+public record FakeCounterSettings(int parts, long perCall, int line) {
   /** The longest life of a name (protocol, The counter). */
   static final long MOST_LIFE = 60_000_000_000L;
 
   /** Checks its ranges; the message names the figure. */
-  public CounterTerms {
+  public FakeCounterSettings {
     if (parts < 1 || perCall < 1 || line < 1) {
       throw new IllegalArgumentException(
           (parts < 1 ? "parts" : perCall < 1 ? "perCall" : "line") + " is below 1");
--- a/testbed/src/main/java/edgegateway/testbed/stand/Agent.java
+++ b/testbed/src/main/java/edgegateway/testbed/fakes/FakeDiscoveryAgent.java
@@ -1,6 +1,6 @@
-package edgegateway.testbed.stand;
+package edgegateway.testbed.fakes;
 
-import edgegateway.testbed.stand.Member.Phase;
+import edgegateway.testbed.fakes.DiscoveryMember.Phase;
 import java.util.ArrayDeque;
 import java.util.ArrayList;
 import java.util.LinkedHashMap;
@@ -13,35 +13,35 @@
  * tells at once what has reached it; while discovery is down it says nothing. Times are nanoseconds
  * of a clock that the caller keeps; not thread-safe.
  */
-public final class Agent {
+public final class FakeDiscoveryAgent {
   /** Readers that are further behind get the whole list. */
   private static final int KEPT = 64;
 
-  private record Late(long at, Roll change) {}
+  private record Late(long at, DiscoveryMessage change) {}
 
-  private final TreeMap<String, Member> list = new TreeMap<>();
+  private final TreeMap<String, DiscoveryMember> list = new TreeMap<>();
   private final ArrayDeque<Late> underWay = new ArrayDeque<>();
-  private final ArrayDeque<Roll> kept = new ArrayDeque<>();
+  private final ArrayDeque<DiscoveryMessage> kept = new ArrayDeque<>();
   private long revision;
   private long forgotten;
   private boolean silent;
 
   /** The last one asked for, and of which version: many readers ask for the same. */
-  private Roll whole;
+  private DiscoveryMessage whole;
 
-  private Roll since;
+  private DiscoveryMessage since;
 
   private long sinceVersion;
 
   /** Begins with a whole list. */
-  public Agent(Roll begin) {
+  public FakeDiscoveryAgent(DiscoveryMessage begin) {
     revision = begin.revision();
     forgotten = revision;
     apply(begin.members());
   }
 
-  private void apply(List<Member> members) {
-    for (Member one : members) {
+  private void apply(List<DiscoveryMember> members) {
+    for (DiscoveryMember one : members) {
       if (one.phase() == Phase.GONE) {
         list.remove(one.id());
       } else {
@@ -54,7 +54,7 @@
    * Discovery sends a change, which takes {@code delay} to this machine but overtakes none before
    * it.
    */
-  public void send(long now, Roll change, long delay) {
+  public void send(long now, DiscoveryMessage change, long delay) {
     long at = underWay.isEmpty() ? now + delay : Math.max(underWay.getLast().at, now + delay);
     underWay.add(new Late(at, change));
   }
@@ -80,7 +80,7 @@
   /** What has reached it by now is on its list, unless discovery is down. */
   public void advance(long now) {
     while (!silent && !underWay.isEmpty() && underWay.peek().at <= now) {
-      Roll change = underWay.poll().change;
+      DiscoveryMessage change = underWay.poll().change;
       apply(change.members());
       revision = change.revision();
       whole = null;
@@ -98,9 +98,9 @@
   }
 
   /** The whole list as it stands. */
-  public Roll whole() {
+  public DiscoveryMessage whole() {
     if (whole == null) {
-      whole = new Roll(revision, true, List.copyOf(list.values()));
+      whole = new DiscoveryMessage(revision, true, List.copyOf(list.values()));
     }
     return whole;
   }
@@ -109,7 +109,7 @@
    * What a reader of a version misses: the changes since, or the whole list if they are not kept or
    * the version is unknown.
    */
-  public Roll since(long version) {
+  public DiscoveryMessage since(long version) {
     if (version < forgotten || version > revision) {
       return whole();
     }
@@ -120,13 +120,13 @@
     return since;
   }
 
-  private Roll changes(long version) {
-    Map<String, Member> changed = new LinkedHashMap<>();
-    for (Roll one : kept) {
+  private DiscoveryMessage changes(long version) {
+    Map<String, DiscoveryMember> changed = new LinkedHashMap<>();
+    for (DiscoveryMessage one : kept) {
       if (one.revision() > version) {
         one.members().forEach(member -> changed.put(member.id(), member));
       }
     }
-    return new Roll(revision, false, new ArrayList<>(changed.values()));
+    return new DiscoveryMessage(revision, false, new ArrayList<>(changed.values()));
   }
 }
--- a/testbed/src/main/java/edgegateway/testbed/stand/Watch.java
+++ b/testbed/src/main/java/edgegateway/testbed/fakes/FakeDiscoveryWatch.java
@@ -1,21 +1,22 @@
-package edgegateway.testbed.stand;
+package edgegateway.testbed.fakes;
 
 /**
- * One watch of an {@link Agent}'s list: what to write to its connection, and when. Not thread-safe.
+ * One watch of an {@link FakeDiscoveryAgent}'s list: what to write to its connection, and when. Not
+ * thread-safe.
  */
-public final class Watch {
+public final class FakeDiscoveryWatch {
   /**
    * As long as nothing changes an empty line comes so often (protocol, Discovery), in nanoseconds.
    */
   public static final long IDLE = 2_000_000_000L;
 
-  private final Agent agent;
+  private final FakeDiscoveryAgent agent;
   private long told;
   private long lineAt;
   private boolean begun;
 
   /** Begins after a version; its first line is due at once. */
-  public Watch(Agent agent, long now, long after) {
+  public FakeDiscoveryWatch(FakeDiscoveryAgent agent, long now, long after) {
     this.agent = agent;
     told = after;
     lineAt = now;
@@ -30,14 +31,14 @@
    * What to write now: a roll, an empty line ({@code members} is empty and the version the last
    * one), or null.
    */
-  public Roll poll(long now) {
+  public DiscoveryMessage poll(long now) {
     agent.advance(now);
     if (agent.silent()) {
       lineAt = Math.max(lineAt, now + IDLE);
       return null;
     }
     if (!begun || agent.revision() != told || now >= lineAt) {
-      Roll roll = agent.since(told);
+      DiscoveryMessage roll = agent.since(told);
       begun = true;
       told = roll.revision();
       lineAt = now + IDLE;
--- a/testbed/src/main/java/edgegateway/testbed/stand/Budget.java
+++ b/testbed/src/main/java/edgegateway/testbed/fakes/WarmUpWorkLimit.java
@@ -1,4 +1,4 @@
-package edgegateway.testbed.stand;
+package edgegateway.testbed.fakes;
 
 import java.util.ArrayDeque;
 
@@ -7,14 +7,14 @@
  * it could do in it (wire page, rule 4). Work counts when it arrives, whether it is taken or turned
  * away.
  */
-final class Budget {
+final class WarmUpWorkLimit {
   private record Arrival(long at, double work) {}
 
-  private final ServerTerms terms;
+  private final FakeArchiveServerSettings terms;
   private final ArrayDeque<Arrival> window = new ArrayDeque<>();
   private double sum;
 
-  Budget(ServerTerms terms) {
+  WarmUpWorkLimit(FakeArchiveServerSettings terms) {
     this.terms = terms;
   }
 
--- a/testbed/src/main/java/edgegateway/testbed/stand/http/ArchiveServerPort.java
+++ b/testbed/src/main/java/edgegateway/testbed/fakes/http/ArchiveServerHttpFake.java
@@ -1,8 +1,8 @@
-package edgegateway.testbed.stand.http;
+package edgegateway.testbed.fakes.http;
 
-import edgegateway.testbed.stand.ArchiveServer;
-import edgegateway.testbed.stand.ArchiveServer.Ended;
-import edgegateway.testbed.stand.ServerTerms;
+import edgegateway.testbed.fakes.FakeArchiveServer;
+import edgegateway.testbed.fakes.FakeArchiveServer.Ended;
+import edgegateway.testbed.fakes.FakeArchiveServerSettings;
 import io.netty.channel.EventLoop;
 import io.netty.handler.codec.http.FullHttpRequest;
 import io.netty.handler.codec.http.HttpResponseStatus;
@@ -15,7 +15,7 @@
  * An archive server on sockets (protocol, Edge nodes to archive servers). Each instance is one run
  * of its process.
  */
-public final class ArchiveServerPort extends Port {
+public final class ArchiveServerHttpFake extends HttpFake {
   /**
    * Hears each request that arrived whole and how it ended, on the port's loop: the judge's
    * history.
@@ -25,12 +25,12 @@
     void arrived(long at, String id, String key);
 
     /** The request's answer is written. */
-    void ended(long at, String id, ArchiveServer.Ending how);
+    void ended(long at, String id, FakeArchiveServer.Ending how);
   }
 
   /** A request and the place of its answer. */
-  record Call(String id, Reply reply) {
-    void answer(ArchiveServer.Ending how) {
+  record Call(String id, PipelinedResponse reply) {
+    void answer(FakeArchiveServer.Ending how) {
       switch (how) {
         case SERVED, REPEATED -> reply.answer(HttpResponseStatus.OK, id);
         case FAILED -> reply.answer(HttpResponseStatus.INTERNAL_SERVER_ERROR, "");
@@ -40,7 +40,7 @@
     }
   }
 
-  private final ArchiveServer<Call> core;
+  private final FakeArchiveServer<Call> core;
   private final ToDoubleFunction<String> work;
   private final History history;
 
@@ -50,22 +50,22 @@
    * @param startedAt since when it is warming, in nanoseconds of the JVM's clock
    * @param work nanoseconds of a core for the request of an id
    */
-  public ArchiveServerPort(
+  public ArchiveServerHttpFake(
       EventLoop loop,
       InetSocketAddress at,
-      ServerTerms terms,
+      FakeArchiveServerSettings terms,
       long startedAt,
       ToDoubleFunction<String> work,
       History history)
       throws IOException {
     super(loop, at);
-    core = new ArchiveServer<>(terms, System.nanoTime(), startedAt);
+    core = new FakeArchiveServer<>(terms, System.nanoTime(), startedAt);
     this.work = work;
     this.history = history;
   }
 
   /** Carries out a fault on its core, on its loop. */
-  public void on(Consumer<ArchiveServer<?>> what) {
+  public void on(Consumer<FakeArchiveServer<?>> what) {
     carry(() -> what.accept(core));
   }
 
@@ -87,7 +87,7 @@
   }
 
   @Override
-  void request(Reply to, FullHttpRequest request) {
+  void request(PipelinedResponse to, FullHttpRequest request) {
     String id = request.headers().get("X-Trace-Id");
     if (id == null) {
       to.answer(HttpResponseStatus.NOT_FOUND, "");
--- a/testbed/src/main/java/edgegateway/testbed/stand/http/CounterPort.java
+++ b/testbed/src/main/java/edgegateway/testbed/fakes/http/CounterHttpFake.java
@@ -1,8 +1,8 @@
-package edgegateway.testbed.stand.http;
+package edgegateway.testbed.fakes.http;
 
-import edgegateway.testbed.stand.Counter;
-import edgegateway.testbed.stand.Counter.Answer;
-import edgegateway.testbed.stand.CounterTerms;
+import edgegateway.testbed.fakes.FakeCounter;
+import edgegateway.testbed.fakes.FakeCounter.Answer;
+import edgegateway.testbed.fakes.FakeCounterSettings;
 import io.netty.channel.EventLoop;
 import io.netty.handler.codec.http.FullHttpRequest;
 import io.netty.handler.codec.http.HttpMethod;
@@ -17,7 +17,7 @@
 import java.util.function.Consumer;
 
 /** The shared counter on sockets (protocol, The counter). */
-public final class CounterPort extends Port {
+public final class CounterHttpFake extends HttpFake {
   private static final String PATH = "/tally/";
   private static final int MOST_NAME = 64;
   private static final double MOST_AMOUNT = 1e9;
@@ -35,23 +35,25 @@
     void answered(long took, boolean added);
   }
 
-  private record Call(long at, Reply reply) {}
+  private record Call(long at, PipelinedResponse reply) {}
 
-  private final Counter<Call> core;
+  private final FakeCounter<Call> core;
   private final History history;
   private final AtomicLong calls = new AtomicLong();
 
   /** Listens when it returns; it begins empty. */
-  public CounterPort(EventLoop loop, InetSocketAddress at, CounterTerms terms) throws IOException {
+  public CounterHttpFake(EventLoop loop, InetSocketAddress at, FakeCounterSettings terms)
+      throws IOException {
     this(loop, at, terms, (took, added) -> {});
   }
 
   /** The same, with somebody who hears how calls end. */
-  public CounterPort(EventLoop loop, InetSocketAddress at, CounterTerms terms, History history)
+  public CounterHttpFake(
+      EventLoop loop, InetSocketAddress at, FakeCounterSettings terms, History history)
       throws IOException {
     super(loop, at);
     this.history = history;
-    core = new Counter<>(terms, System.nanoTime());
+    core = new FakeCounter<>(terms, System.nanoTime());
   }
 
   /** How many calls came so far; any thread. */
@@ -60,12 +62,12 @@
   }
 
   /** Carries out a fault or a question on its core, on its loop. */
-  public void on(Consumer<Counter<?>> what) {
+  public void on(Consumer<FakeCounter<?>> what) {
     carry(() -> what.accept(core));
   }
 
   @Override
-  void request(Reply to, FullHttpRequest request) {
+  void request(PipelinedResponse to, FullHttpRequest request) {
     QueryStringDecoder uri = new QueryStringDecoder(request.uri());
     String name = uri.rawPath().startsWith(PATH) ? uri.rawPath().substring(PATH.length()) : "";
     double amount = number(uri.parameters().get("n"));
--- a/testbed/src/main/java/edgegateway/testbed/stand/http/DiscoveryPort.java
+++ b/testbed/src/main/java/edgegateway/testbed/fakes/http/DiscoveryHttpFake.java
@@ -1,8 +1,8 @@
-package edgegateway.testbed.stand.http;
+package edgegateway.testbed.fakes.http;
 
-import edgegateway.testbed.stand.Agent;
-import edgegateway.testbed.stand.Roll;
-import edgegateway.testbed.stand.Watch;
+import edgegateway.testbed.fakes.DiscoveryMessage;
+import edgegateway.testbed.fakes.FakeDiscoveryAgent;
+import edgegateway.testbed.fakes.FakeDiscoveryWatch;
 import io.netty.buffer.ByteBuf;
 import io.netty.buffer.Unpooled;
 import io.netty.channel.Channel;
@@ -23,34 +23,35 @@
 import java.util.Map;
 
 /** Discovery's agent of one edge node on sockets (protocol, Discovery). */
-public final class DiscoveryPort extends Port {
+public final class DiscoveryHttpFake extends HttpFake {
   private static final String PATH = "/catalog/members";
 
   /** Hears what was written to the edge node, and when. */
   public interface History {
     /** On the loop; times are nanoseconds of the JVM's clock. */
-    void wrote(long at, Roll roll);
+    void wrote(long at, DiscoveryMessage roll);
   }
 
-  private Agent agent;
+  private FakeDiscoveryAgent agent;
   private final History history;
-  private final Map<Channel, Watch> watches = new LinkedHashMap<>();
+  private final Map<Channel, FakeDiscoveryWatch> watches = new LinkedHashMap<>();
 
   /** The last one written, and its line: many watches get the same. */
-  private Roll written;
+  private DiscoveryMessage written;
 
   private ByteBuf line = Unpooled.EMPTY_BUFFER;
 
   /** Listens when it returns. */
-  public DiscoveryPort(EventLoop loop, InetSocketAddress at, Roll begin, History history)
+  public DiscoveryHttpFake(
+      EventLoop loop, InetSocketAddress at, DiscoveryMessage begin, History history)
       throws IOException {
     super(loop, at);
     this.history = history;
-    agent = new Agent(begin);
+    agent = new FakeDiscoveryAgent(begin);
   }
 
   /** Discovery sends a change, which takes so many nanoseconds to the agent. */
-  public void send(Roll change, long delay) {
+  public void send(DiscoveryMessage change, long delay) {
     carry(() -> agent.send(System.nanoTime(), change, delay));
   }
 
@@ -58,10 +59,10 @@
    * It begins anew with this list, which keeps no changes: connections are reset, and each reader
    * of before takes it whole.
    */
-  public void restart(Roll begin) {
+  public void restart(DiscoveryMessage begin) {
     carry(
         () -> {
-          agent = new Agent(begin);
+          agent = new FakeDiscoveryAgent(begin);
           watches.clear();
           reset();
         });
@@ -73,7 +74,7 @@
   }
 
   @Override
-  void request(Reply to, FullHttpRequest request) {
+  void request(PipelinedResponse to, FullHttpRequest request) {
     QueryStringDecoder uri = new QueryStringDecoder(request.uri());
     if (!uri.path().equals(PATH)) {
       to.answer(HttpResponseStatus.NOT_FOUND, "");
@@ -86,7 +87,7 @@
           new DefaultHttpResponse(HttpVersion.HTTP_1_1, HttpResponseStatus.OK);
       head.headers().set(HttpHeaderNames.TRANSFER_ENCODING, HttpHeaderValues.CHUNKED);
       to.channel().writeAndFlush(head);
-      watches.put(to.channel(), new Watch(agent, now, after(uri)));
+      watches.put(to.channel(), new FakeDiscoveryWatch(agent, now, after(uri)));
     } else if (!agent.silent()) {
       history.wrote(now, agent.whole());
       to.answer(HttpResponseStatus.OK, agent.whole().json());
@@ -101,7 +102,7 @@
     }
   }
 
-  private ByteBuf line(Roll roll) {
+  private ByteBuf line(DiscoveryMessage roll) {
     if (roll != written) {
       boolean nothing = roll.members().isEmpty() && !roll.complete();
       line = Unpooled.copiedBuffer((nothing ? "" : roll.json()) + "\n", StandardCharsets.UTF_8);
@@ -119,8 +120,8 @@
   long due(long now) {
     agent.advance(now);
     long next = agent.silent() ? Long.MAX_VALUE : agent.next();
-    for (Map.Entry<Channel, Watch> one : watches.entrySet()) {
-      Roll roll = one.getValue().poll(now);
+    for (Map.Entry<Channel, FakeDiscoveryWatch> one : watches.entrySet()) {
+      DiscoveryMessage roll = one.getValue().poll(now);
       if (roll != null) {
         history.wrote(now, roll);
         one.getKey().writeAndFlush(new DefaultHttpContent(line(roll)));
--- a/testbed/src/main/java/edgegateway/testbed/stand/http/Port.java
+++ b/testbed/src/main/java/edgegateway/testbed/fakes/http/HttpFake.java
@@ -1,4 +1,4 @@
-package edgegateway.testbed.stand.http;
+package edgegateway.testbed.fakes.http;
 
 import io.netty.bootstrap.ServerBootstrap;
 import io.netty.channel.Channel;
@@ -24,18 +24,18 @@
  * and a wake-up when the core wants to be asked. Like the real ones it may die: its connections are
  * reset, new ones refused.
  */
-public abstract class Port implements AutoCloseable {
+public abstract class HttpFake implements AutoCloseable {
   private static final int MOST_BODY = 1 << 16;
 
   private final EventLoop loop;
   private final ChannelGroup open;
   private final InetSocketAddress address;
-  private final Traffic traffic = new Traffic();
+  private final TrafficCounter traffic = new TrafficCounter();
   private ScheduledFuture<?> wake;
   private long wakeAt = Long.MAX_VALUE;
 
   /** Listens when it returns; a port of 0 takes any. */
-  Port(EventLoop loop, InetSocketAddress at) throws IOException {
+  HttpFake(EventLoop loop, InetSocketAddress at) throws IOException {
     this.loop = loop;
     open = new DefaultChannelGroup(loop);
     var bound =
@@ -80,12 +80,12 @@
   }
 
   /** What went over its connections; any thread. */
-  public Traffic traffic() {
+  public TrafficCounter traffic() {
     return traffic;
   }
 
   /** A whole request came, on the loop; it is released afterwards. */
-  abstract void request(Reply to, FullHttpRequest request);
+  abstract void request(PipelinedResponse to, FullHttpRequest request);
 
   /** Whether a connection is let in, on the loop. */
   boolean welcome(InetSocketAddress from, InetSocketAddress to) {
@@ -161,7 +161,7 @@
   }
 
   private final class Requests extends SimpleChannelInboundHandler<FullHttpRequest> {
-    private final ArrayDeque<Reply> line = new ArrayDeque<>();
+    private final ArrayDeque<PipelinedResponse> line = new ArrayDeque<>();
 
     @Override
     protected void channelRead0(ChannelHandlerContext context, FullHttpRequest request) {
@@ -169,7 +169,7 @@
         context.close();
         return;
       }
-      Reply reply = new Reply(context.channel(), line);
+      PipelinedResponse reply = new PipelinedResponse(context.channel(), line);
       line.add(reply);
       request(reply, request);
       turn();
--- a/testbed/src/main/java/edgegateway/testbed/stand/http/ArchiveServersPort.java
+++ b/testbed/src/main/java/edgegateway/testbed/fakes/http/ManyArchiveServersHttpFake.java
@@ -1,10 +1,10 @@
-package edgegateway.testbed.stand.http;
+package edgegateway.testbed.fakes.http;
 
-import edgegateway.testbed.stand.ArchiveServer;
-import edgegateway.testbed.stand.ArchiveServer.Ended;
-import edgegateway.testbed.stand.ServerTerms;
-import edgegateway.testbed.stand.http.ArchiveServerPort.Call;
-import edgegateway.testbed.stand.http.ArchiveServerPort.History;
+import edgegateway.testbed.fakes.FakeArchiveServer;
+import edgegateway.testbed.fakes.FakeArchiveServer.Ended;
+import edgegateway.testbed.fakes.FakeArchiveServerSettings;
+import edgegateway.testbed.fakes.http.ArchiveServerHttpFake.Call;
+import edgegateway.testbed.fakes.http.ArchiveServerHttpFake.History;
 import io.netty.channel.EventLoop;
 import io.netty.handler.codec.http.FullHttpRequest;
 import io.netty.handler.codec.http.HttpResponseStatus;
@@ -21,8 +21,8 @@
  * Thousands of archive servers behind one listening socket: each address of 127.0.0.0/8 that a
  * connection comes to is a warm server of its own, made at its first request.
  */
-public final class ArchiveServersPort extends Port {
-  private final ServerTerms terms;
+public final class ManyArchiveServersHttpFake extends HttpFake {
+  private final FakeArchiveServerSettings terms;
   private final ToDoubleFunction<String> work;
   private final History history;
   private final Map<InetAddress, One> servers = new HashMap<>();
@@ -34,10 +34,10 @@
 
   private static final class One {
     private final int number;
-    private final ArchiveServer<Call> core;
+    private final FakeArchiveServer<Call> core;
     private long next = Long.MAX_VALUE;
 
-    One(int number, ArchiveServer<Call> core) {
+    One(int number, FakeArchiveServer<Call> core) {
       this.number = number;
       this.core = core;
     }
@@ -48,8 +48,11 @@
    *
    * @param work nanoseconds of a core for the request of an id
    */
-  public ArchiveServersPort(
-      EventLoop loop, ServerTerms terms, ToDoubleFunction<String> work, History history)
+  public ManyArchiveServersHttpFake(
+      EventLoop loop,
+      FakeArchiveServerSettings terms,
+      ToDoubleFunction<String> work,
+      History history)
       throws IOException {
     super(loop, new InetSocketAddress(0));
     this.terms = terms;
@@ -63,7 +66,7 @@
   }
 
   @Override
-  void request(Reply to, FullHttpRequest request) {
+  void request(PipelinedResponse to, FullHttpRequest request) {
     String id = request.headers().get("X-Trace-Id");
     if (id == null) {
       to.answer(HttpResponseStatus.NOT_FOUND, "");
@@ -76,7 +79,7 @@
         servers.computeIfAbsent(
             ((InetSocketAddress) to.channel().localAddress()).getAddress(),
             address ->
-                new One(servers.size(), new ArchiveServer<>(terms, now, now - terms.ramp())));
+                new One(servers.size(), new FakeArchiveServer<>(terms, now, now - terms.ramp())));
     at.core.arrive(now, new Call(id, to), key, work.applyAsDouble(id));
     look(at, now);
   }
--- a/testbed/src/main/java/edgegateway/testbed/stand/http/Reply.java
+++ b/testbed/src/main/java/edgegateway/testbed/fakes/http/PipelinedResponse.java
@@ -1,4 +1,4 @@
-package edgegateway.testbed.stand.http;
+package edgegateway.testbed.fakes.http;
 
 import io.netty.buffer.Unpooled;
 import io.netty.channel.Channel;
@@ -13,13 +13,13 @@
 /**
  * The place of an answer on its connection: it is written behind those to all requests before it.
  */
-final class Reply {
+final class PipelinedResponse {
   private final Channel to;
-  private final ArrayDeque<Reply> line;
+  private final ArrayDeque<PipelinedResponse> line;
   private FullHttpResponse answer;
 
   /** {@code line} holds the connection's places, the oldest first. */
-  Reply(Channel to, ArrayDeque<Reply> line) {
+  PipelinedResponse(Channel to, ArrayDeque<PipelinedResponse> line) {
     this.to = to;
     this.line = line;
   }
--- a/testbed/src/main/java/edgegateway/testbed/stand/http/Traffic.java
+++ b/testbed/src/main/java/edgegateway/testbed/fakes/http/TrafficCounter.java
@@ -1,4 +1,4 @@
-package edgegateway.testbed.stand.http;
+package edgegateway.testbed.fakes.http;
 
 import io.netty.buffer.ByteBuf;
 import io.netty.channel.ChannelDuplexHandler;
@@ -11,7 +11,7 @@
  * What went over the connections of one stand-in: bytes that TCP carried, without its own headers.
  * Read on any thread.
  */
-public final class Traffic {
+public final class TrafficCounter {
   private final AtomicLong in = new AtomicLong();
   private final AtomicLong out = new AtomicLong();
   private final AtomicLong opened = new AtomicLong();
--- a/testbed/src/main/java/edgegateway/testbed/stand/http/package-info.java
+++ b/testbed/src/main/java/edgegateway/testbed/fakes/http/package-info.java
@@ -1,5 +1,5 @@
 /**
  * The stand-ins on sockets: thin adapters that carry HTTP/1.1 to the cores of {@code
- * edgegateway.testbed.stand}.
+ * edgegateway.testbed.fakes}.
  */
-package edgegateway.testbed.stand.http;
+package edgegateway.testbed.fakes.http;
--- a/testbed/src/main/java/edgegateway/testbed/stand/package-info.java
+++ b/testbed/src/main/java/edgegateway/testbed/fakes/package-info.java
@@ -2,4 +2,4 @@
  * Stand-ins for what an edge node speaks with, written from the protocol ({@code
  * docs/design/lab.md}).
  */
-package edgegateway.testbed.stand;
+package edgegateway.testbed.fakes;
--- a/testbed/src/main/java/edgegateway/testbed/fleet/Fleet.java
+++ b/testbed/src/main/java/edgegateway/testbed/fleet/Fleet.java
@@ -1,25 +1,25 @@
 package edgegateway.testbed.fleet;
 
-import edgegateway.testbed.net.Conditions;
-import edgegateway.testbed.net.Faults;
-import edgegateway.testbed.net.Party;
-import edgegateway.testbed.net.Selector;
-import edgegateway.testbed.net.TcpLink;
-import edgegateway.testbed.process.DeployFile;
-import edgegateway.testbed.process.Guard;
-import edgegateway.testbed.process.NodeProcess;
-import edgegateway.testbed.process.NodeProcess.Line;
-import edgegateway.testbed.process.NodeProcess.Signal;
-import edgegateway.testbed.process.Operators;
-import edgegateway.testbed.stand.ArchiveServer;
-import edgegateway.testbed.stand.CounterTerms;
-import edgegateway.testbed.stand.Member;
-import edgegateway.testbed.stand.Member.Phase;
-import edgegateway.testbed.stand.Roll;
-import edgegateway.testbed.stand.ServerTerms;
-import edgegateway.testbed.stand.http.ArchiveServerPort;
-import edgegateway.testbed.stand.http.CounterPort;
-import edgegateway.testbed.stand.http.DiscoveryPort;
+import edgegateway.testbed.fakes.DiscoveryMember;
+import edgegateway.testbed.fakes.DiscoveryMember.Phase;
+import edgegateway.testbed.fakes.DiscoveryMessage;
+import edgegateway.testbed.fakes.FakeArchiveServer;
+import edgegateway.testbed.fakes.FakeArchiveServerSettings;
+import edgegateway.testbed.fakes.FakeCounterSettings;
+import edgegateway.testbed.fakes.http.ArchiveServerHttpFake;
+import edgegateway.testbed.fakes.http.CounterHttpFake;
+import edgegateway.testbed.fakes.http.DiscoveryHttpFake;
+import edgegateway.testbed.network.ActiveFaults;
+import edgegateway.testbed.network.LinkConditions;
+import edgegateway.testbed.network.NetworkPeer;
+import edgegateway.testbed.network.PeerSelector;
+import edgegateway.testbed.network.TcpLink;
+import edgegateway.testbed.processes.DeployFile;
+import edgegateway.testbed.processes.NodeProcess;
+import edgegateway.testbed.processes.NodeProcess.Line;
+import edgegateway.testbed.processes.NodeProcess.Signal;
+import edgegateway.testbed.processes.OperatorClient;
+import edgegateway.testbed.processes.ProcessGuard;
 import io.netty.channel.EventLoopGroup;
 import io.netty.channel.MultiThreadIoEventLoopGroup;
 import io.netty.channel.nio.NioIoHandler;
@@ -53,20 +53,23 @@
   /** Hears what reaches an archive server and how it ends. */
   public interface History {
     /** What one server tells. */
-    ArchiveServerPort.History of(Party server);
+    ArchiveServerHttpFake.History of(NetworkPeer server);
 
     /** A node is told this of the servers, by discovery or by its configuration at its start. */
-    default void told(long at, Party node, Roll roll) {}
+    default void told(long at, NetworkPeer node, DiscoveryMessage roll) {}
 
     /**
      * A node's process ended with a status; {@code asked} is whether it was killed or told to end.
      */
-    default void ended(long at, Party node, int status, boolean asked) {}
+    default void ended(long at, NetworkPeer node, int status, boolean asked) {}
   }
 
   /** What the stand-ins are made of. */
-  public record Terms(
-      ServerTerms servers, CounterTerms counter, Load load, ToDoubleFunction<String> work) {}
+  public record Settings(
+      FakeArchiveServerSettings servers,
+      FakeCounterSettings counter,
+      WorkloadSettings load,
+      ToDoubleFunction<String> work) {}
 
   private static final InetSocketAddress ANY = new InetSocketAddress("127.0.0.1", 0);
   private static final int LOOPS = 2;
@@ -81,37 +84,37 @@
   private static final long CROSSING_MS = 50;
 
   /** Both ends of a link, and the link. */
-  private record Way(Party from, Party to, TcpLink link) {}
+  private record Link(NetworkPeer from, NetworkPeer to, TcpLink link) {}
 
   private final Topology topology;
   private final DeployFile deploy;
   private final Path folder;
-  private final Terms terms;
+  private final Settings terms;
   private final History history;
   private final SplittableRandom chance;
   private final EventLoopGroup loops =
       new MultiThreadIoEventLoopGroup(LOOPS, NioIoHandler.newFactory());
-  private final Guard guard = new Guard();
-  private final Faults faults = new Faults();
-  private final List<Way> ways = new CopyOnWriteArrayList<>();
-  private final CounterPort counter;
-  private final Map<Party, ArchiveServerPort> servers = new LinkedHashMap<>();
-  private final Map<Party, Long> startedMs = new HashMap<>();
-  private final Map<Party, Phase> phases = new HashMap<>();
-  private final Map<Party, Map<Party, InetSocketAddress>> reached = new HashMap<>();
-  private final Map<Party, DiscoveryPort> agents = new HashMap<>();
-  private final Map<Party, NodeProcess> processes = new HashMap<>();
+  private final ProcessGuard guard = new ProcessGuard();
+  private final ActiveFaults faults = new ActiveFaults();
+  private final List<Link> ways = new CopyOnWriteArrayList<>();
+  private final CounterHttpFake counter;
+  private final Map<NetworkPeer, ArchiveServerHttpFake> servers = new LinkedHashMap<>();
+  private final Map<NetworkPeer, Long> startedMs = new HashMap<>();
+  private final Map<NetworkPeer, Phase> phases = new HashMap<>();
+  private final Map<NetworkPeer, Map<NetworkPeer, InetSocketAddress>> reached = new HashMap<>();
+  private final Map<NetworkPeer, DiscoveryHttpFake> agents = new HashMap<>();
+  private final Map<NetworkPeer, NodeProcess> processes = new HashMap<>();
 
   /** Nodes whose processes are to end. */
-  private final Set<Party> ending = ConcurrentHashMap.newKeySet();
+  private final Set<NetworkPeer> ending = ConcurrentHashMap.newKeySet();
 
-  private final Map<Party, InetSocketAddress> doors = new HashMap<>();
-  private final Map<Party, List<Line>> logs = new ConcurrentHashMap<>();
+  private final Map<NetworkPeer, InetSocketAddress> doors = new HashMap<>();
+  private final Map<NetworkPeer, List<Line>> logs = new ConcurrentHashMap<>();
   private long revision = 1;
 
   /** Starts the stand-ins, all warm, and their links; no edge node yet. */
   public Fleet(
-      Topology topology, DeployFile deploy, Path folder, Terms terms, History history, long seed)
+      Topology topology, DeployFile deploy, Path folder, Settings terms, History history, long seed)
       throws IOException {
     this.topology = topology;
     this.deploy = deploy;
@@ -119,13 +122,13 @@
     this.terms = terms;
     this.history = history;
     chance = new SplittableRandom(seed);
-    counter = new CounterPort(loops.next(), ANY, terms.counter());
-    for (Party server : topology.servers()) {
+    counter = new CounterHttpFake(loops.next(), ANY, terms.counter());
+    for (NetworkPeer server : topology.servers()) {
       startedMs.put(server, 0L);
       phases.put(server, Phase.READY);
       servers.put(
           server,
-          new ArchiveServerPort(
+          new ArchiveServerHttpFake(
               loops.next(),
               ANY,
               terms.servers(),
@@ -133,20 +136,20 @@
               terms.work(),
               history.of(server)));
     }
-    for (Party node : topology.nodes()) {
-      Map<Party, InetSocketAddress> to = new LinkedHashMap<>();
-      for (Party server : topology.servers()) {
+    for (NetworkPeer node : topology.nodes()) {
+      Map<NetworkPeer, InetSocketAddress> to = new LinkedHashMap<>();
+      for (NetworkPeer server : topology.servers()) {
         to.put(server, link(node, server, servers.get(server).address()));
       }
       reached.put(node, to);
       agents.put(
           node,
-          new DiscoveryPort(
+          new DiscoveryHttpFake(
               loops.next(), ANY, list(node), (at, roll) -> history.told(at, node, roll)));
     }
   }
 
-  private InetSocketAddress link(Party from, Party to, InetSocketAddress target)
+  private InetSocketAddress link(NetworkPeer from, NetworkPeer to, InetSocketAddress target)
       throws IOException {
     TcpLink link =
         new TcpLink(
@@ -156,19 +159,19 @@
             () -> faults.between(from, to),
             () -> faults.between(to, from),
             chance.split());
-    ways.add(new Way(from, to, link));
+    ways.add(new Link(from, to, link));
     return link.address();
   }
 
-  private Roll list(Party node) {
-    return new Roll(
+  private DiscoveryMessage list(NetworkPeer node) {
+    return new DiscoveryMessage(
         revision, true, topology.servers().stream().map(server -> member(node, server)).toList());
   }
 
-  private Member member(Party node, Party server) {
-    return new Member(
+  private DiscoveryMember member(NetworkPeer node, NetworkPeer server) {
+    return new DiscoveryMember(
         server.name(),
-        NodeConfig.text(reached.get(node).get(server)),
+        NodeConfigWriter.text(reached.get(node).get(server)),
         server.zone(),
         "std-4core",
         topology.zones().indexOf(server.zone()),
@@ -178,29 +181,29 @@
   }
 
   /** Starts these nodes' processes at once, again too, and returns when all listen. */
-  public void start(List<Party> nodes) throws IOException, InterruptedException {
-    Map<Party, BlockingQueue<String>> serving = new LinkedHashMap<>();
-    for (Party node : nodes) {
+  public void start(List<NetworkPeer> nodes) throws IOException, InterruptedException {
+    Map<NetworkPeer, BlockingQueue<String>> serving = new LinkedHashMap<>();
+    for (NetworkPeer node : nodes) {
       serving.put(node, launch(node));
     }
-    for (Map.Entry<Party, BlockingQueue<String>> one : serving.entrySet()) {
+    for (Map.Entry<NetworkPeer, BlockingQueue<String>> one : serving.entrySet()) {
       listens(one.getKey(), one.getValue().poll(START_S, TimeUnit.SECONDS));
     }
   }
 
-  private BlockingQueue<String> launch(Party node) throws IOException {
+  private BlockingQueue<String> launch(NetworkPeer node) throws IOException {
     Path own = Files.createDirectories(folder.resolve(node.name()));
-    Roll known = list(node);
+    DiscoveryMessage known = list(node);
     history.told(System.nanoTime(), node, known);
     Path config = own.resolve("config.json");
-    Way toCounter = way(node, topology.counter());
+    Link toCounter = way(node, topology.counter());
     InetSocketAddress counterAt =
         toCounter == null
             ? link(node, topology.counter(), counter.address())
             : toCounter.link.address();
     Files.writeString(
         config,
-        NodeConfig.text(
+        NodeConfigWriter.text(
             topology,
             terms.load(),
             node,
@@ -239,7 +242,7 @@
     return serving;
   }
 
-  private void listens(Party node, String line) throws IOException {
+  private void listens(NetworkPeer node, String line) throws IOException {
     if (line == null || line.equals(NEVER)) {
       throw new IOException(
           node.name() + " does not listen: " + log(node).stream().map(Line::text).toList());
@@ -255,7 +258,7 @@
     }
   }
 
-  private Way way(Party from, Party to) {
+  private Link way(NetworkPeer from, NetworkPeer to) {
     return ways.stream()
         .filter(way -> way.from.equals(from) && way.to.equals(to))
         .findFirst()
@@ -263,18 +266,18 @@
   }
 
   /** Whether a node's health says yes to the front. */
-  public boolean healthy(Party node) throws IOException {
+  public boolean healthy(NetworkPeer node) throws IOException {
     InetSocketAddress at = door(node);
     HttpURLConnection call =
         (HttpURLConnection)
-            URI.create("http://" + NodeConfig.text(at) + "/_health").toURL().openConnection();
+            URI.create("http://" + NodeConfigWriter.text(at) + "/_health").toURL().openConnection();
     call.setConnectTimeout(HEALTH_MS);
     call.setReadTimeout(HEALTH_MS);
     return call.getResponseCode() == HttpURLConnection.HTTP_OK;
   }
 
-  private void up(Party to, boolean runs) throws IOException {
-    for (Way way : ways) {
+  private void up(NetworkPeer to, boolean runs) throws IOException {
+    for (Link way : ways) {
       if (way.to.equals(to)) {
         way.link.up(runs);
       }
@@ -282,12 +285,12 @@
   }
 
   /** Where clients reach a node. */
-  public InetSocketAddress door(Party node) {
+  public InetSocketAddress door(NetworkPeer node) {
     return way(topology.front(), node).link.address();
   }
 
   /** Sends a signal to a node's process; after a kill it is gone for whoever connects. */
-  public void signal(Party node, Signal what) throws IOException {
+  public void signal(NetworkPeer node, Signal what) throws IOException {
     if (what == Signal.KILL || what == Signal.TERM) {
       ending.add(node);
     }
@@ -299,7 +302,7 @@
   }
 
   /** Tells a node's process to end; whoever connects from now on is refused. */
-  public void term(Party node) throws IOException, InterruptedException {
+  public void term(NetworkPeer node) throws IOException, InterruptedException {
     up(node, false);
     // A connection that a link has taken already still finds its node.
     TimeUnit.MILLISECONDS.sleep(CROSSING_MS);
@@ -307,63 +310,63 @@
   }
 
   /** The answer to an operator's call at a node that runs. */
-  public String call(Party node, String line) throws IOException {
+  public String call(NetworkPeer node, String line) throws IOException {
     String said =
         log(node).stream()
             .map(Line::text)
             .filter(text -> text.startsWith(OPERATORS))
             .reduce((first, last) -> last)
             .orElseThrow(() -> new IOException(node.name() + " does not say where operators call"));
-    return Operators.call(
+    return OperatorClient.call(
         new InetSocketAddress(
             "127.0.0.1", Integer.parseInt(said.substring(said.lastIndexOf(':') + 1))),
         line);
   }
 
   /** Its process, for its end and its number. */
-  public NodeProcess process(Party node) {
+  public NodeProcess process(NetworkPeer node) {
     return processes.get(node);
   }
 
   /** A node's log up to now. */
-  public List<Line> log(Party node) {
+  public List<Line> log(NetworkPeer node) {
     return List.copyOf(logs.getOrDefault(node, List.of()));
   }
 
   /** An archive server's process dies. */
-  public void kill(Party server) throws IOException {
+  public void kill(NetworkPeer server) throws IOException {
     servers.get(server).close();
     up(server, false);
   }
 
   /** Carries out a fault on an archive server's core. */
-  public void on(Party server, Consumer<ArchiveServer<?>> what) {
+  public void on(NetworkPeer server, Consumer<FakeArchiveServer<?>> what) {
     servers.get(server).on(what);
   }
 
   /** Discovery tells that it drains, after {@code delay} nanoseconds. */
-  public void drain(Party server, long delay) {
+  public void drain(NetworkPeer server, long delay) {
     phases.put(server, Phase.TERMINATING);
     tell(server, delay);
   }
 
   /** Whether discovery says nothing to a node. */
-  public void silent(Party node, boolean down) {
+  public void silent(NetworkPeer node, boolean down) {
     agents.get(node).silent(down);
   }
 
   /** The counter, for its faults. */
-  public CounterPort counter() {
+  public CounterHttpFake counter() {
     return counter;
   }
 
   /**
    * It starts again at its address, cold, and discovery lists it after {@code delay} nanoseconds.
    */
-  public void restart(Party server, long delay) throws IOException {
+  public void restart(NetworkPeer server, long delay) throws IOException {
     servers.put(
         server,
-        new ArchiveServerPort(
+        new ArchiveServerHttpFake(
             loops.next(),
             servers.get(server).address(),
             terms.servers(),
@@ -380,7 +383,7 @@
    * When an archive server was pushed over, in nanoseconds of the JVM's clock; {@link
    * Long#MAX_VALUE} if it was not.
    */
-  public long fellAt(Party server) {
+  public long fellAt(NetworkPeer server) {
     return servers.get(server).fellAt();
   }
 
@@ -388,19 +391,21 @@
    * The most of what it may be sent while cold that an archive server was sent in this life, as a
    * share.
    */
-  public double pressure(Party server) {
+  public double pressure(NetworkPeer server) {
     return servers.get(server).pressure();
   }
 
-  private void tell(Party server, long delay) {
+  private void tell(NetworkPeer server, long delay) {
     revision++;
     agents.forEach(
         (node, agent) ->
-            agent.send(new Roll(revision, false, List.of(member(node, server))), delay));
+            agent.send(
+                new DiscoveryMessage(revision, false, List.of(member(node, server))), delay));
   }
 
   /** From now on the way between these is so, in the one direction or in both. */
-  public void fault(String name, Selector from, Selector to, boolean both, Conditions conditions)
+  public void fault(
+      String name, PeerSelector from, PeerSelector to, boolean both, LinkConditions conditions)
       throws IOException {
     faults.set(name, from, to, both, conditions);
     changed();
@@ -432,11 +437,11 @@
   public void close() throws IOException {
     ending.addAll(processes.keySet());
     guard.close();
-    for (Way way : ways) {
+    for (Link way : ways) {
       way.link.close();
     }
-    servers.values().forEach(ArchiveServerPort::close);
-    agents.values().forEach(DiscoveryPort::close);
+    servers.values().forEach(ArchiveServerHttpFake::close);
+    agents.values().forEach(DiscoveryHttpFake::close);
     counter.close();
     loops.shutdownGracefully(0, 1, TimeUnit.SECONDS).syncUninterruptibly();
   }
--- a/testbed/src/main/java/edgegateway/testbed/fleet/NodeConfig.java
+++ b/testbed/src/main/java/edgegateway/testbed/fleet/NodeConfigWriter.java
@@ -3,10 +3,10 @@
 import com.fasterxml.jackson.databind.ObjectMapper;
 import com.fasterxml.jackson.databind.node.ArrayNode;
 import com.fasterxml.jackson.databind.node.ObjectNode;
-import edgegateway.testbed.load.Plan;
-import edgegateway.testbed.load.RequestClass;
-import edgegateway.testbed.net.Party;
-import edgegateway.testbed.stand.Roll;
+import edgegateway.testbed.fakes.DiscoveryMessage;
+import edgegateway.testbed.network.NetworkPeer;
+import edgegateway.testbed.workload.CustomerPlan;
+import edgegateway.testbed.workload.WorkloadClass;
 import java.io.IOException;
 import java.io.InputStream;
 import java.net.InetSocketAddress;
@@ -16,19 +16,20 @@
  * The configuration of one edge node (deployment page), written from the topology and one set of
  * settings.
  */
-public final class NodeConfig {
+public final class NodeConfigWriter {
   private static final ObjectMapper JSON = new ObjectMapper();
   private static final int SOCKETS = 1_024;
 
   /** Operators call at any port; the log says which. */
   private static final String OPS = "127.0.0.1:0";
 
-  private NodeConfig() {}
+  private NodeConfigWriter() {}
 
   /** What one node is told of the site: the object {@code settings} of its configuration. */
-  public static ObjectNode settings(Topology of, Load load, Party node) throws IOException {
+  public static ObjectNode settings(Topology of, WorkloadSettings load, NetworkPeer node)
+      throws IOException {
     ObjectNode settings;
-    try (InputStream in = NodeConfig.class.getResourceAsStream("settings.json")) {
+    try (InputStream in = NodeConfigWriter.class.getResourceAsStream("settings.json")) {
       settings = (ObjectNode) JSON.readTree(in);
     }
     settings
@@ -38,7 +39,7 @@
     ArrayNode zones = settings.putArray("failure-domains");
     of.zones().forEach(zones::add);
     ArrayNode classes = settings.putArray("classes");
-    for (RequestClass one : load.classes()) {
+    for (WorkloadClass one : load.classes()) {
       classes
           .addObject()
           .put("name", one.name())
@@ -51,7 +52,7 @@
           .put("worth", one.worth());
     }
     ArrayNode plans = settings.putArray("tariffs");
-    for (Plan one : load.plans()) {
+    for (CustomerPlan one : load.plans()) {
       ObjectNode plan =
           plans
               .addObject()
@@ -73,12 +74,12 @@
   /** The whole file of one node. */
   public static String text(
       Topology of,
-      Load load,
-      Party node,
+      WorkloadSettings load,
+      NetworkPeer node,
       InetSocketAddress listen,
       InetSocketAddress discovery,
       InetSocketAddress counter,
-      Roll known,
+      DiscoveryMessage known,
       long seed)
       throws IOException {
     ObjectNode root = JSON.createObjectNode();
--- a/testbed/src/main/java/edgegateway/testbed/fleet/Topology.java
+++ b/testbed/src/main/java/edgegateway/testbed/fleet/Topology.java
@@ -1,7 +1,7 @@
 package edgegateway.testbed.fleet;
 
-import edgegateway.testbed.net.Party;
-import edgegateway.testbed.net.Party.Role;
+import edgegateway.testbed.network.NetworkPeer;
+import edgegateway.testbed.network.NetworkPeer.Role;
 import java.util.ArrayList;
 import java.util.HashMap;
 import java.util.List;
@@ -19,11 +19,11 @@
  */
 public record Topology(
     List<String> zones,
-    List<Party> nodes,
-    List<Party> servers,
-    Party front,
-    Party counter,
-    Party discovery) {
+    List<NetworkPeer> nodes,
+    List<NetworkPeer> servers,
+    NetworkPeer front,
+    NetworkPeer counter,
+    NetworkPeer discovery) {
   private static final String REGION = "region";
   private static final String OUTSIDE = "outside";
 
@@ -44,17 +44,17 @@
         zones,
         spread("n", nodes, zones, regionOf, Role.NODE),
         spread("s", servers, zones, regionOf, Role.SERVER),
-        new Party("front", OUTSIDE, OUTSIDE, Role.OTHER),
-        new Party("counter", zones.get(0), regionOf.get(zones.get(0)), Role.OTHER),
-        new Party("discovery", OUTSIDE, OUTSIDE, Role.OTHER));
+        new NetworkPeer("front", OUTSIDE, OUTSIDE, Role.OTHER),
+        new NetworkPeer("counter", zones.get(0), regionOf.get(zones.get(0)), Role.OTHER),
+        new NetworkPeer("discovery", OUTSIDE, OUTSIDE, Role.OTHER));
   }
 
-  private static List<Party> spread(
+  private static List<NetworkPeer> spread(
       String prefix, int count, List<String> zones, Map<String, String> regionOf, Role role) {
-    List<Party> all = new ArrayList<>();
+    List<NetworkPeer> all = new ArrayList<>();
     for (int i = 0; i < count; i++) {
       String zone = zones.get(i % zones.size());
-      all.add(new Party(prefix + i, zone, regionOf.get(zone), role));
+      all.add(new NetworkPeer(prefix + i, zone, regionOf.get(zone), role));
     }
     return all;
   }
--- a/testbed/src/main/java/edgegateway/testbed/fleet/Load.java
+++ b/testbed/src/main/java/edgegateway/testbed/fleet/WorkloadSettings.java
@@ -1,8 +1,8 @@
 package edgegateway.testbed.fleet;
 
 import edgegateway.node.zones.ZoneEjectionSettings;
-import edgegateway.testbed.load.Plan;
-import edgegateway.testbed.load.RequestClass;
+import edgegateway.testbed.workload.CustomerPlan;
+import edgegateway.testbed.workload.WorkloadClass;
 import java.util.List;
 
 /**
@@ -11,10 +11,13 @@
  * @param keyLife for how long archive servers drop repeats of a key, in nanoseconds
  * @param zones how zones are judged; null if by operators alone
  */
-public record Load(
-    List<RequestClass> classes, List<Plan> plans, long keyLife, ZoneEjectionSettings zones) {
+public record WorkloadSettings(
+    List<WorkloadClass> classes,
+    List<CustomerPlan> plans,
+    long keyLife,
+    ZoneEjectionSettings zones) {
   /** Units that a plan's ceiling may be passed by: a tenth of what it holds, one at least. */
-  public double slack(Plan plan) {
+  public double slack(CustomerPlan plan) {
     return Math.max(1, 0.1 * plan.ceiling() * plan.burst());
   }
 }
--- a/testbed/src/main/java/edgegateway/testbed/net/Faults.java
+++ b/testbed/src/main/java/edgegateway/testbed/network/ActiveFaults.java
@@ -1,4 +1,4 @@
-package edgegateway.testbed.net;
+package edgegateway.testbed.network;
 
 import java.util.LinkedHashMap;
 import java.util.Map;
@@ -7,8 +7,9 @@
  * The faults that are on now, by name; what a link is like is what all that concern it make
  * together. One thread changes them, any reads.
  */
-public final class Faults {
-  private record Fault(Selector from, Selector to, boolean both, Conditions conditions) {}
+public final class ActiveFaults {
+  private record Fault(
+      PeerSelector from, PeerSelector to, boolean both, LinkConditions conditions) {}
 
   private volatile Map<String, Fault> on = Map.of();
 
@@ -16,7 +17,8 @@
    * From now on the way from these to those, and back if {@code both}, is so; a fault of the same
    * name ends.
    */
-  public void set(String name, Selector from, Selector to, boolean both, Conditions conditions) {
+  public void set(
+      String name, PeerSelector from, PeerSelector to, boolean both, LinkConditions conditions) {
     Map<String, Fault> next = new LinkedHashMap<>(on);
     next.put(name, new Fault(from, to, both, conditions));
     on = next;
@@ -31,8 +33,8 @@
   }
 
   /** How the way from one party to another is now. */
-  public Conditions between(Party from, Party to) {
-    Conditions all = Conditions.GOOD;
+  public LinkConditions between(NetworkPeer from, NetworkPeer to) {
+    LinkConditions all = LinkConditions.GOOD;
     for (Fault fault : on.values()) {
       if (fault.from.matches(from) && fault.to.matches(to)) {
         all = all.and(fault.conditions);
--- a/testbed/src/main/java/edgegateway/testbed/net/Datagrams.java
+++ b/testbed/src/main/java/edgegateway/testbed/network/DatagramLink.java
@@ -1,4 +1,4 @@
-package edgegateway.testbed.net;
+package edgegateway.testbed.network;
 
 import java.util.Comparator;
 import java.util.PriorityQueue;
@@ -10,7 +10,7 @@
  *
  * @param <T> what stands for a datagram
  */
-public final class Datagrams<T> {
+public final class DatagramLink<T> {
   private static final double SECOND = 1e9;
 
   private record Way<T>(T what, long at, long order) {}
@@ -22,12 +22,12 @@
   private long sent;
 
   /** Draws losses, copies and jitter from {@code chance}. */
-  public Datagrams(SplittableRandom chance) {
+  public DatagramLink(SplittableRandom chance) {
     this.chance = chance;
   }
 
   /** A datagram is sent now. */
-  public void enter(long now, T datagram, int bytes, Conditions as) {
+  public void enter(long now, T datagram, int bytes, LinkConditions as) {
     lineFree = Math.max(now, lineFree) + (as.rate() == 0 ? 0 : (long) (bytes * SECOND / as.rate()));
     if (as.cut() || as.loss() > 0 && chance.nextDouble() < as.loss()) {
       return;
@@ -45,7 +45,7 @@
   }
 
   /** The next datagram that has arrived by now, or null; those that arrive at a cut are gone. */
-  public T poll(long now, Conditions as) {
+  public T poll(long now, LinkConditions as) {
     while (!under.isEmpty() && under.peek().at <= now) {
       T first = under.poll().what;
       if (!as.cut()) {
--- a/testbed/src/main/java/edgegateway/testbed/net/Door.java
+++ b/testbed/src/main/java/edgegateway/testbed/network/FaultyListener.java
@@ -1,4 +1,4 @@
-package edgegateway.testbed.net;
+package edgegateway.testbed.network;
 
 import io.netty.bootstrap.ServerBootstrap;
 import io.netty.channel.Channel;
@@ -15,7 +15,7 @@
  * A listening address whose manners change: it takes connections, refuses them, or lets none come
  * up.
  */
-final class Door implements AutoCloseable {
+final class FaultyListener implements AutoCloseable {
   /** What happens to whoever connects. */
   enum State {
     TAKES,
@@ -37,9 +37,9 @@
   private InetSocketAddress at;
   private State state = State.REFUSES;
   private Channel listening;
-  private DeafListener deaf;
+  private UnresponsiveListener deaf;
 
-  Door(EventLoop loop, InetSocketAddress at, ChannelHandler visitors) {
+  FaultyListener(EventLoop loop, InetSocketAddress at, ChannelHandler visitors) {
     this.at = at;
     bootstrap =
         new ServerBootstrap()
@@ -93,7 +93,7 @@
   private boolean bind(State as, boolean last) throws IOException {
     try {
       if (as == State.SILENT) {
-        deaf = new DeafListener(at);
+        deaf = new UnresponsiveListener(at);
       } else {
         var bound = bootstrap.bind(at).awaitUninterruptibly();
         if (!bound.isSuccess()) {
--- a/testbed/src/main/java/edgegateway/testbed/net/Conditions.java
+++ b/testbed/src/main/java/edgegateway/testbed/network/LinkConditions.java
@@ -1,4 +1,4 @@
-package edgegateway.testbed.net;
+package edgegateway.testbed.network;
 
 /**
  * How one direction of a link is.
@@ -10,18 +10,18 @@
  * @param jitter at most so many nanoseconds more, evenly drawn
  * @param rate bytes a second; 0 for no bound
  */
-public record Conditions(
+public record LinkConditions(
     boolean cut, double loss, double duplicate, long delay, long jitter, long rate) {
   private static final double SECOND = 1e9;
 
   /** A link with nothing wrong. */
-  public static final Conditions GOOD = new Conditions(false, 0, 0, 0, 0, 0);
+  public static final LinkConditions GOOD = new LinkConditions(false, 0, 0, 0, 0, 0);
 
   /** A link over which nothing passes. */
-  public static final Conditions CUT = new Conditions(true, 0, 0, 0, 0, 0);
+  public static final LinkConditions CUT = new LinkConditions(true, 0, 0, 0, 0, 0);
 
   /** Checks its ranges; the message names the figure. */
-  public Conditions {
+  public LinkConditions {
     share("loss", loss);
     share("duplicate", duplicate);
     least("delay", delay);
@@ -63,8 +63,8 @@
    * Both at once: either cut cuts, losses and copies are independent, delays add up, the lower rate
    * binds.
    */
-  public Conditions and(Conditions other) {
-    return new Conditions(
+  public LinkConditions and(LinkConditions other) {
+    return new LinkConditions(
         cut || other.cut,
         1 - (1 - loss) * (1 - other.loss),
         1 - (1 - duplicate) * (1 - other.duplicate),
--- a/testbed/src/main/java/edgegateway/testbed/net/Flow.java
+++ b/testbed/src/main/java/edgegateway/testbed/network/LinkDirection.java
@@ -1,4 +1,4 @@
-package edgegateway.testbed.net;
+package edgegateway.testbed.network;
 
 import io.netty.buffer.ByteBuf;
 import io.netty.buffer.Unpooled;
@@ -11,9 +11,9 @@
 
 /**
  * One direction of a connection on sockets: what is read at its source goes through a {@link
- * Stream} to its sink.
+ * TcpStreamModel} to its sink.
  */
-final class Flow {
+final class LinkDirection {
   /** A window of TCP: by so many bytes under way the source is not read. */
   static final int WINDOW = 1 << 18;
 
@@ -21,8 +21,8 @@
   private static final Object RESET = new Object();
   private static final Object OPEN = new Object();
 
-  private final Stream<Object> stream;
-  private final Supplier<Conditions> conditions;
+  private final TcpStreamModel<Object> stream;
+  private final Supplier<LinkConditions> conditions;
   private final Channel source;
   private final Runnable opened;
   private final Runnable ends;
@@ -35,13 +35,13 @@
    * {@code opened} runs when the first word of this connection has come through, {@code ends} when
    * its end has been passed on or it was reset.
    */
-  Flow(
+  LinkDirection(
       SplittableRandom chance,
-      Supplier<Conditions> conditions,
+      Supplier<LinkConditions> conditions,
       Channel source,
       Runnable opened,
       Runnable ends) {
-    stream = new Stream<>(chance);
+    stream = new TcpStreamModel<>(chance);
     this.conditions = conditions;
     this.source = source;
     this.opened = opened;
@@ -84,7 +84,7 @@
    * too.
    */
   void pump() {
-    Conditions now = conditions.get();
+    LinkConditions now = conditions.get();
     Object part = takes() ? stream.poll(System.nanoTime(), now) : null;
     while (part != null) {
       pass(part);
@@ -153,12 +153,12 @@
     if (wake != null) {
       wake.cancel(false);
     }
-    Object part = stream.poll(Long.MAX_VALUE, Conditions.GOOD);
+    Object part = stream.poll(Long.MAX_VALUE, LinkConditions.GOOD);
     while (part != null) {
       if (part instanceof ByteBuf bytes) {
         bytes.release();
       }
-      part = stream.poll(Long.MAX_VALUE, Conditions.GOOD);
+      part = stream.poll(Long.MAX_VALUE, LinkConditions.GOOD);
     }
   }
 }
--- a/testbed/src/main/java/edgegateway/testbed/net/Party.java
+++ b/testbed/src/main/java/edgegateway/testbed/network/NetworkPeer.java
@@ -1,4 +1,4 @@
-package edgegateway.testbed.net;
+package edgegateway.testbed.network;
 
 /**
  * Whoever speaks over the lab's network.
@@ -8,7 +8,7 @@
  * @param region the zone's region
  * @param role what it is
  */
-public record Party(String name, String zone, String region, Role role) {
+public record NetworkPeer(String name, String zone, String region, Role role) {
   /** What a party is. */
   public enum Role {
     /** An edge node. */
--- a/testbed/src/main/java/edgegateway/testbed/net/Selector.java
+++ b/testbed/src/main/java/edgegateway/testbed/network/PeerSelector.java
@@ -1,6 +1,6 @@
-package edgegateway.testbed.net;
+package edgegateway.testbed.network;
 
-import edgegateway.testbed.net.Party.Role;
+import edgegateway.testbed.network.NetworkPeer.Role;
 import java.util.Locale;
 
 /**
@@ -10,7 +10,7 @@
  *
  * @param role only these; null for any
  */
-public record Selector(Kind kind, String name, boolean others, Role role) {
+public record PeerSelector(Kind kind, String name, boolean others, Role role) {
   private static final String NODES = "nodes/";
   private static final String SERVERS = "servers/";
 
@@ -27,24 +27,24 @@
    *
    * @throws IllegalArgumentException with one line that quotes what can't be read
    */
-  public static Selector parse(String text) {
+  public static PeerSelector parse(String text) {
     Role role = text.startsWith(NODES) ? Role.NODE : text.startsWith(SERVERS) ? Role.SERVER : null;
     String whom = role == null ? text : text.substring(text.indexOf('/') + 1);
     boolean others = whom.startsWith("!");
     String rest = others ? whom.substring(1) : whom;
     if (rest.equals("*") && !others) {
-      return new Selector(Kind.ALL, "", false, role);
+      return new PeerSelector(Kind.ALL, "", false, role);
     }
     int colon = rest.indexOf(':');
     if (colon > 0 && colon < rest.length() - 1) {
       String name = rest.substring(colon + 1);
       switch (rest.substring(0, colon)) {
         case "node":
-          return new Selector(Kind.NODE, name, others, role);
+          return new PeerSelector(Kind.NODE, name, others, role);
         case "zone":
-          return new Selector(Kind.ZONE, name, others, role);
+          return new PeerSelector(Kind.ZONE, name, others, role);
         case "region":
-          return new Selector(Kind.REGION, name, others, role);
+          return new PeerSelector(Kind.REGION, name, others, role);
         default:
       }
     }
@@ -56,7 +56,7 @@
   }
 
   /** Whether it means this party. */
-  public boolean matches(Party party) {
+  public boolean matches(NetworkPeer party) {
     boolean named =
         switch (kind) {
           case ALL -> true;
--- a/testbed/src/main/java/edgegateway/testbed/net/TcpLink.java
+++ b/testbed/src/main/java/edgegateway/testbed/network/TcpLink.java
@@ -1,4 +1,4 @@
-package edgegateway.testbed.net;
+package edgegateway.testbed.network;
 
 import io.netty.bootstrap.Bootstrap;
 import io.netty.buffer.ByteBuf;
@@ -27,11 +27,11 @@
 
   private final EventLoop loop;
   private final InetSocketAddress target;
-  private final Supplier<Conditions> there;
-  private final Supplier<Conditions> back;
+  private final Supplier<LinkConditions> there;
+  private final Supplier<LinkConditions> back;
   private final SplittableRandom chance;
   private final Set<Pair> pairs = new LinkedHashSet<>();
-  private final Door door;
+  private final FaultyListener door;
   private boolean up = true;
 
   /**
@@ -47,8 +47,8 @@
       EventLoop loop,
       InetSocketAddress at,
       InetSocketAddress target,
-      Supplier<Conditions> there,
-      Supplier<Conditions> back,
+      Supplier<LinkConditions> there,
+      Supplier<LinkConditions> back,
       SplittableRandom chance)
       throws IOException {
     this.loop = loop;
@@ -57,7 +57,7 @@
     this.back = back;
     this.chance = chance;
     door =
-        new Door(
+        new FaultyListener(
             loop,
             at,
             new ChannelInitializer<Channel>() {
@@ -85,7 +85,10 @@
   /** To be called when the conditions have changed; off the loop, one call at a time. */
   public void changed() throws IOException {
     boolean cut = there.get().cut() || back.get().cut();
-    door.be(cut ? Door.State.SILENT : up ? Door.State.TAKES : Door.State.REFUSES);
+    door.be(
+        cut
+            ? FaultyListener.State.SILENT
+            : up ? FaultyListener.State.TAKES : FaultyListener.State.REFUSES);
     loop.submit(() -> pairs.forEach(Pair::pump)).syncUninterruptibly();
   }
 
@@ -103,14 +106,14 @@
   /** A connection and the one behind it. */
   private final class Pair {
     private final Channel client;
-    private final Flow forth;
-    private Flow home;
+    private final LinkDirection forth;
+    private LinkDirection home;
     private Channel server;
 
     Pair(Channel client) {
       this.client = client;
       pairs.add(this);
-      forth = new Flow(chance.split(), there, client, this::dial, this::ended);
+      forth = new LinkDirection(chance.split(), there, client, this::dial, this::ended);
       client.pipeline().addLast(new End(forth));
       // The channel is not registered yet: its first read waits for the connection behind it.
       loop.execute(forth::open);
@@ -130,7 +133,8 @@
                     @Override
                     protected void initChannel(Channel made) {
                       server = made;
-                      home = new Flow(chance.split(), back, made, () -> {}, Pair.this::ended);
+                      home =
+                          new LinkDirection(chance.split(), back, made, () -> {}, Pair.this::ended);
                       made.pipeline().addLast(new End(home));
                     }
                   })
@@ -184,10 +188,10 @@
 
     /** What happens at one end of the connection. */
     private final class End extends ChannelInboundHandlerAdapter {
-      private final Flow from;
+      private final LinkDirection from;
       private boolean over;
 
-      End(Flow from) {
+      End(LinkDirection from) {
         this.from = from;
       }
 
--- a/testbed/src/main/java/edgegateway/testbed/net/Stream.java
+++ b/testbed/src/main/java/edgegateway/testbed/network/TcpStreamModel.java
@@ -1,4 +1,4 @@
-package edgegateway.testbed.net;
+package edgegateway.testbed.network;
 
 import java.util.ArrayDeque;
 import java.util.SplittableRandom;
@@ -11,7 +11,7 @@
  *
  * @param <T> what stands for a part
  */
-public final class Stream<T> {
+public final class TcpStreamModel<T> {
   /** Linux's least and most time until a part is sent again, in nanoseconds. */
   public static final long LEAST_TIMEOUT = 200_000_000L;
 
@@ -38,12 +38,12 @@
   private long held;
 
   /** Draws losses and jitter from {@code chance}. */
-  public Stream(SplittableRandom chance) {
+  public TcpStreamModel(SplittableRandom chance) {
     this.chance = chance;
   }
 
   /** A part is sent now; {@code bytes} may be 0, as for the end of a connection. */
-  public void enter(long now, T part, int bytes, Conditions as) {
+  public void enter(long now, T part, int bytes, LinkConditions as) {
     Part<T> sent = new Part<>(part, bytes);
     long begun = Math.max(now, lineFree);
     lineFree = begun + (as.rate() == 0 ? 0 : (long) (bytes * SECOND / as.rate()));
@@ -52,7 +52,7 @@
     held += bytes;
   }
 
-  private void leave(Part<T> part, long now, Conditions as) {
+  private void leave(Part<T> part, long now, LinkConditions as) {
     part.lost = as.cut() || as.loss() > 0 && chance.nextDouble() < as.loss();
     if (part.lost) {
       part.at = now + part.timeout;
@@ -68,7 +68,7 @@
   }
 
   /** The next part that has come out by now, or null; to be asked until it is null. */
-  public T poll(long now, Conditions as) {
+  public T poll(long now, LinkConditions as) {
     while (!parts.isEmpty() && parts.peek().at <= now) {
       Part<T> first = parts.peek();
       if (!first.lost && !as.cut()) {
--- a/testbed/src/main/java/edgegateway/testbed/net/DeafListener.java
+++ b/testbed/src/main/java/edgegateway/testbed/network/UnresponsiveListener.java
@@ -1,4 +1,4 @@
-package edgegateway.testbed.net;
+package edgegateway.testbed.network;
 
 import java.io.IOException;
 import java.net.InetSocketAddress;
@@ -11,13 +11,13 @@
  * Listens where no connection comes up, as behind a cut: its queue is full of connections of its
  * own, which it never accepts, and Linux then drops every further SYN (listen(2), tcp(7)).
  */
-final class DeafListener implements AutoCloseable {
+final class UnresponsiveListener implements AutoCloseable {
   private static final int LINE = 1;
 
   private final ServerSocket socket = new ServerSocket();
   private final List<Socket> filling = new ArrayList<>();
 
-  DeafListener(InetSocketAddress at) throws IOException {
+  UnresponsiveListener(InetSocketAddress at) throws IOException {
     try {
       socket.setReuseAddress(true);
       socket.bind(at, LINE);
--- a/testbed/src/main/java/edgegateway/testbed/net/package-info.java
+++ b/testbed/src/main/java/edgegateway/testbed/network/package-info.java
@@ -2,4 +2,4 @@
  * The links between the parties of a fleet, and what is wrong with them ({@code
  * docs/design/lab.md}).
  */
-package edgegateway.testbed.net;
+package edgegateway.testbed.network;
--- a/testbed/src/main/java/edgegateway/testbed/process/DeployFile.java
+++ b/testbed/src/main/java/edgegateway/testbed/processes/DeployFile.java
@@ -1,4 +1,4 @@
-package edgegateway.testbed.process;
+package edgegateway.testbed.processes;
 
 import com.fasterxml.jackson.databind.JsonNode;
 import com.fasterxml.jackson.dataformat.toml.TomlMapper;
--- a/testbed/src/main/java/edgegateway/testbed/process/NodeProcess.java
+++ b/testbed/src/main/java/edgegateway/testbed/processes/NodeProcess.java
@@ -1,4 +1,4 @@
-package edgegateway.testbed.process;
+package edgegateway.testbed.processes;
 
 import java.io.BufferedReader;
 import java.io.IOException;
@@ -41,7 +41,7 @@
       DeployFile deploy,
       Path folder,
       Map<String, String> variables,
-      Guard guard,
+      ProcessGuard guard,
       Consumer<Line> log)
       throws IOException {
     ProcessBuilder builder =
--- a/testbed/src/main/java/edgegateway/testbed/process/Operators.java
+++ b/testbed/src/main/java/edgegateway/testbed/processes/OperatorClient.java
@@ -1,4 +1,4 @@
-package edgegateway.testbed.process;
+package edgegateway.testbed.processes;
 
 import java.io.IOException;
 import java.net.InetSocketAddress;
@@ -8,10 +8,10 @@
 import java.util.TreeMap;
 
 /** Calls an edge node as operators do ({@code docs/operating.md}). */
-public final class Operators {
+public final class OperatorClient {
   private static final int WAIT_MS = 2_000;
 
-  private Operators() {}
+  private OperatorClient() {}
 
   /** The whole answer to one line; it fails if none comes in 2 s. */
   public static String call(InetSocketAddress at, String line) throws IOException {
--- a/testbed/src/main/java/edgegateway/testbed/process/Guard.java
+++ b/testbed/src/main/java/edgegateway/testbed/processes/ProcessGuard.java
@@ -1,4 +1,4 @@
-package edgegateway.testbed.process;
+package edgegateway.testbed.processes;
 
 import java.io.IOException;
 import java.io.OutputStream;
@@ -8,7 +8,7 @@
  * Ends the lab's processes with the lab, however that ends: a shell that reads which ones live, and
  * kills them when its input ends, as it does when this process is killed.
  */
-public final class Guard implements AutoCloseable {
+public final class ProcessGuard implements AutoCloseable {
   private static final String SCRIPT =
       "trap '' HUP INT TERM; all=' '; while read -r what pid; do case $what in "
           + "+) all=\"$all$pid \";; -) all=\"${all%% $pid *} ${all#* $pid }\";; esac; done; "
@@ -18,7 +18,7 @@
   private final OutputStream to;
 
   /** Starts to watch. */
-  public Guard() throws IOException {
+  public ProcessGuard() throws IOException {
     shell =
         new ProcessBuilder("/bin/sh", "-c", SCRIPT)
             .inheritIO()
--- a/testbed/src/main/java/edgegateway/testbed/process/Usage.java
+++ b/testbed/src/main/java/edgegateway/testbed/processes/ProcessUsage.java
@@ -1,4 +1,4 @@
-package edgegateway.testbed.process;
+package edgegateway.testbed.processes;
 
 import java.io.IOException;
 import java.nio.file.Files;
@@ -16,7 +16,7 @@
  * @param byThread the same of the threads that live, by their names; those of one name are added up
  * @param residentBytes memory that is resident now
  */
-public record Usage(double cpuS, Map<String, Double> byThread, long residentBytes) {
+public record ProcessUsage(double cpuS, Map<String, Double> byThread, long residentBytes) {
   /** USER_HZ, the same on all machines that the program runs on. */
   private static final double TICKS = 100;
 
@@ -29,7 +29,7 @@
    *
    * @throws IOException if it has ended, or the system is not Linux
    */
-  public static Usage of(long pid) throws IOException {
+  public static ProcessUsage of(long pid) throws IOException {
     Path process = Path.of("/proc", Long.toString(pid));
     Map<String, Double> byThread = new TreeMap<>();
     List<Path> threads;
@@ -49,7 +49,7 @@
             .mapToLong(line -> Long.parseLong(line.replaceAll("\\D", "")) * KB)
             .findFirst()
             .orElse(0);
-    return new Usage(cpuS(process), byThread, resident);
+    return new ProcessUsage(cpuS(process), byThread, resident);
   }
 
   private static double cpuS(Path of) throws IOException {
--- a/testbed/src/main/java/edgegateway/testbed/report/Page.java
+++ b/testbed/src/main/java/edgegateway/testbed/report/ResultPage.java
@@ -1,9 +1,9 @@
 package edgegateway.testbed.report;
 
-import edgegateway.testbed.judge.Finding;
-import edgegateway.testbed.scenario.Mark;
-import edgegateway.testbed.scenario.Result;
-import edgegateway.testbed.scenario.Second;
+import edgegateway.testbed.checker.Violation;
+import edgegateway.testbed.scenario.FaultInterval;
+import edgegateway.testbed.scenario.RunResult;
+import edgegateway.testbed.scenario.SecondMetrics;
 import java.io.IOException;
 import java.nio.charset.StandardCharsets;
 import java.nio.file.Files;
@@ -28,15 +28,15 @@
  * A result as one HTML page that needs no network: its figures, its findings, and how it went
  * second by second.
  */
-public final class Page {
+public final class ResultPage {
   private static final int WIDTH = 900;
   private static final int HEIGHT = 260;
   private static final int PERCENT = 100;
 
-  private final Result result;
+  private final RunResult result;
   private final List<Double> time = new ArrayList<>();
 
-  private Page(Result result) {
+  private ResultPage(RunResult result) {
     this.result = result;
     for (int i = 0; i < result.seconds().size(); i++) {
       time.add((double) i);
@@ -44,8 +44,8 @@
   }
 
   /** Writes the page. */
-  public static void write(Result result, Path to) throws IOException {
-    Files.writeString(to, new Page(result).html(), StandardCharsets.UTF_8);
+  public static void write(RunResult result, Path to) throws IOException {
+    Files.writeString(to, new ResultPage(result).html(), StandardCharsets.UTF_8);
   }
 
   private String html() throws IOException {
@@ -55,7 +55,7 @@
         result.findings().isEmpty()
             ? "<p>All rules held.</p>\n"
             : "<p class=\"bad\">Rules broken: " + result.findings().size() + "</p>\n<ul>\n");
-    for (Finding finding : result.findings()) {
+    for (Violation finding : result.findings()) {
       page.append("<li class=\"bad\">")
           .append(
               escaped(
@@ -71,7 +71,7 @@
     page.append(result.findings().isEmpty() ? "" : "</ul>\n");
     if (!result.marks().isEmpty()) {
       page.append("<h2>Faults</h2>\n<ul>\n");
-      for (Mark mark : result.marks()) {
+      for (FaultInterval mark : result.marks()) {
         page.append(
             String.format(
                 Locale.ROOT,
@@ -98,14 +98,17 @@
         "requests",
         lines(
             "served",
-            Second::served,
+            SecondMetrics::served,
             "refused",
-            Second::refused,
+            SecondMetrics::refused,
             "failed",
             one -> one.asked() - one.served() - one.refused()));
     chart(
-        page, "Time of a served request", "ms", lines("p50", Second::p50Ms, "p99", Second::p99Ms));
-    Map<String, ToDoubleFunction<Second>> zones = new LinkedHashMap<>();
+        page,
+        "Time of a served request",
+        "ms",
+        lines("p50", SecondMetrics::p50Ms, "p99", SecondMetrics::p99Ms));
+    Map<String, ToDoubleFunction<SecondMetrics>> zones = new LinkedHashMap<>();
     TreeSet<String> names = new TreeSet<>();
     result.seconds().forEach(one -> names.addAll(one.attempts().keySet()));
     names.forEach(zone -> zones.put("zone " + zone, one -> one.attempts().getOrDefault(zone, 0)));
@@ -126,7 +129,7 @@
     return result.scenario() + ", seed " + result.seed();
   }
 
-  private static double share(double part, Second of) {
+  private static double share(double part, SecondMetrics of) {
     return of.worth() == 0 ? PERCENT : PERCENT * part / of.worth();
   }
 
@@ -188,28 +191,34 @@
     page.append("</table>\n");
   }
 
-  private static Map<String, ToDoubleFunction<Second>> lines(
-      String first, ToDoubleFunction<Second> a, String second, ToDoubleFunction<Second> b) {
-    Map<String, ToDoubleFunction<Second>> all = new LinkedHashMap<>();
+  private static Map<String, ToDoubleFunction<SecondMetrics>> lines(
+      String first,
+      ToDoubleFunction<SecondMetrics> a,
+      String second,
+      ToDoubleFunction<SecondMetrics> b) {
+    Map<String, ToDoubleFunction<SecondMetrics>> all = new LinkedHashMap<>();
     all.put(first, a);
     all.put(second, b);
     return all;
   }
 
-  private static Map<String, ToDoubleFunction<Second>> lines(
+  private static Map<String, ToDoubleFunction<SecondMetrics>> lines(
       String first,
-      ToDoubleFunction<Second> a,
+      ToDoubleFunction<SecondMetrics> a,
       String second,
-      ToDoubleFunction<Second> b,
+      ToDoubleFunction<SecondMetrics> b,
       String third,
-      ToDoubleFunction<Second> c) {
-    Map<String, ToDoubleFunction<Second>> all = lines(first, a, second, b);
+      ToDoubleFunction<SecondMetrics> c) {
+    Map<String, ToDoubleFunction<SecondMetrics>> all = lines(first, a, second, b);
     all.put(third, c);
     return all;
   }
 
   private void chart(
-      StringBuilder page, String title, String unit, Map<String, ToDoubleFunction<Second>> lines)
+      StringBuilder page,
+      String title,
+      String unit,
+      Map<String, ToDoubleFunction<SecondMetrics>> lines)
       throws IOException {
     XYChart chart =
         new XYChartBuilder()
@@ -230,7 +239,7 @@
                     time,
                     result.seconds().stream().map(one -> figure.applyAsDouble(one)).toList())
                 .setMarker(SeriesMarkers.NONE));
-    for (Mark mark : result.marks()) {
+    for (FaultInterval mark : result.marks()) {
       chart.addAnnotation(new AnnotationLine(mark.fromS(), true, false));
       chart.addAnnotation(new AnnotationLine(mark.untilS(), true, false));
     }
--- a/testbed/src/main/java/edgegateway/testbed/report/ScalePage.java
+++ b/testbed/src/main/java/edgegateway/testbed/report/ScalePage.java
@@ -1,6 +1,6 @@
 package edgegateway.testbed.report;
 
-import edgegateway.testbed.scale.Curve;
+import edgegateway.testbed.scale.GrowthCurve;
 import java.io.IOException;
 import java.nio.charset.StandardCharsets;
 import java.nio.file.Files;
@@ -21,9 +21,9 @@
   private ScalePage() {}
 
   /** Writes the page. */
-  public static void write(List<Curve> curves, Path to) throws IOException {
-    StringBuilder page = new StringBuilder(Page.head("Over size"));
-    for (Curve curve : curves) {
+  public static void write(List<GrowthCurve> curves, Path to) throws IOException {
+    StringBuilder page = new StringBuilder(ResultPage.head("Over size"));
+    for (GrowthCurve curve : curves) {
       XYChart chart =
           new XYChartBuilder()
               .width(WIDTH)
@@ -43,7 +43,7 @@
       if (!curve.budget().isEmpty()) {
         chart.addSeries("budget", sizes, curve.budget()).setMarker(SeriesMarkers.NONE);
       }
-      page.append(Page.image(curve.title(), chart));
+      page.append(ResultPage.image(curve.title(), chart));
     }
     Files.writeString(to, page.append("</body></html>\n").toString(), StandardCharsets.UTF_8);
   }
--- a/testbed/src/main/java/edgegateway/testbed/scale/CapacityFile.java
+++ b/testbed/src/main/java/edgegateway/testbed/scale/CapacityFile.java
@@ -40,7 +40,7 @@
       String when,
       String quantity,
       String unit,
-      Point.Side side,
+      MeasuredPoint.Side side,
       String figure,
       String by,
       Map<String, Double> where,
@@ -91,12 +91,12 @@
   public static CapacityFile own() throws IOException {
     try (InputStream in = CapacityFile.class.getResourceAsStream("capacity.yaml")) {
       return parse(new String(in.readAllBytes(), StandardCharsets.UTF_8));
-    } catch (Scenario.Invalid e) {
+    } catch (Scenario.InvalidScenarioException e) {
       throw new IOException("capacity.yaml: " + e.getMessage(), e);
     }
   }
 
-  static CapacityFile parse(String text) throws Scenario.Invalid {
+  static CapacityFile parse(String text) throws Scenario.InvalidScenarioException {
     return YamlFile.parse(text, CapacityFile.class);
   }
 
--- a/testbed/src/main/java/edgegateway/testbed/scale/CapacityTables.java
+++ b/testbed/src/main/java/edgegateway/testbed/scale/CapacityTables.java
@@ -23,13 +23,13 @@
    * Where on the way a budget breaks: 0 at the path's first size, 1 at its second and so on;
    * infinite if nowhere.
    */
-  private record Broken(Line line, Slope slope, double place) {}
+  private record Broken(Line line, GrowthSlope slope, double place) {}
 
   private final CapacityFile file;
-  private final List<Point> points;
+  private final List<MeasuredPoint> points;
   private final StringBuilder text = new StringBuilder();
 
-  private CapacityTables(CapacityFile file, List<Point> points) {
+  private CapacityTables(CapacityFile file, List<MeasuredPoint> points) {
     this.file = file;
     this.points = points;
   }
@@ -52,7 +52,7 @@
             "\n\n| role | when | quantity | slope x size = figure | is | budget | figure / budget | "
                 + "mechanism |\n| --- | --- | --- | --- | --- | --- | --- | --- |\n");
     for (Line line : file.lines()) {
-      Slope slope = new Slope(line, points);
+      GrowthSlope slope = new GrowthSlope(line, points);
       boolean bound = line.budget() != null;
       text.append("| ")
           .append(
@@ -82,7 +82,7 @@
     text.append(said.isEmpty() ? "" : "\n");
   }
 
-  private String product(Line line, Slope slope) {
+  private String product(Line line, GrowthSlope slope) {
     Map<String, Double> target = file.target();
     double[] spread = slope.spread(target);
     StringBuilder product = new StringBuilder(ScaleTables.number(slope.at(target)));
@@ -116,7 +116,7 @@
     List<Broken> broken =
         file.lines().stream()
             .filter(line -> line.budget() != null)
-            .map(line -> new Broken(line, new Slope(line, points), 0))
+            .map(line -> new Broken(line, new GrowthSlope(line, points), 0))
             .filter(one -> one.slope.known())
             .map(one -> new Broken(one.line, one.slope, place(one.slope)))
             .filter(one -> !Double.isInfinite(one.place))
@@ -147,7 +147,7 @@
     text.append('\n');
   }
 
-  private double place(Slope slope) {
+  private double place(GrowthSlope slope) {
     double last = file.path().size() - 1.0;
     if (slope.ratio(size(0)) > 1) {
       return 0;
@@ -194,9 +194,10 @@
     text.append(
         "### Runs\n\n| date | command | side | sizes, nodes x servers | seeds |\n| --- | --- | --- | --- | --- |\n");
     for (ScaleResult one : results) {
-      Map<Point.Side, List<Point>> sides =
+      Map<MeasuredPoint.Side, List<MeasuredPoint>> sides =
           one.points().stream()
-              .collect(Collectors.groupingBy(Point::side, TreeMap::new, Collectors.toList()));
+              .collect(
+                  Collectors.groupingBy(MeasuredPoint::side, TreeMap::new, Collectors.toList()));
       sides.forEach(
           (side, played) -> {
             Map<String, TreeSet<Long>> seeds = new LinkedHashMap<>();
--- a/testbed/src/main/java/edgegateway/testbed/scale/Curve.java
+++ b/testbed/src/main/java/edgegateway/testbed/scale/GrowthCurve.java
@@ -14,17 +14,17 @@
  * @param slopes the median of the plays at each size
  * @param budget what the slope may be at each of these sizes; empty if nothing bounds it
  */
-public record Curve(
+public record GrowthCurve(
     String title, String unit, String by, SortedMap<Double, Double> slopes, List<Double> budget) {
   /** The lines that were played at two sizes or more. */
-  public static List<Curve> of(CapacityFile file, List<ScaleResult> results) {
-    List<Point> points = results.stream().flatMap(one -> one.points().stream()).toList();
-    List<Curve> curves = new ArrayList<>();
+  public static List<GrowthCurve> of(CapacityFile file, List<ScaleResult> results) {
+    List<MeasuredPoint> points = results.stream().flatMap(one -> one.points().stream()).toList();
+    List<GrowthCurve> curves = new ArrayList<>();
     for (CapacityFile.Line line : file.lines()) {
-      SortedMap<Double, Double> slopes = new Slope(line, points).medians();
+      SortedMap<Double, Double> slopes = new GrowthSlope(line, points).medians();
       if (slopes.size() > 1) {
         curves.add(
-            new Curve(
+            new GrowthCurve(
                 line.role() + ", " + line.when() + ": " + line.quantity(),
                 line.unit()
                     + (line.times().isEmpty()
--- a/testbed/src/main/java/edgegateway/testbed/scale/Slope.java
+++ b/testbed/src/main/java/edgegateway/testbed/scale/GrowthSlope.java
@@ -11,7 +11,7 @@
  * What measured points say of a line of the capacity tables: its slope over size, and the figure
  * that follows.
  */
-final class Slope {
+final class GrowthSlope {
   private final Line line;
 
   /**
@@ -19,9 +19,9 @@
    */
   private final TreeMap<Double, double[]> measured = new TreeMap<>();
 
-  Slope(Line line, List<Point> points) {
+  GrowthSlope(Line line, List<MeasuredPoint> points) {
     this.line = line;
-    Map<Double, List<Point>> bySize =
+    Map<Double, List<MeasuredPoint>> bySize =
         points.stream()
             .filter(this::concerns)
             .collect(Collectors.groupingBy(point -> point.size().get(line.by())));
@@ -34,16 +34,16 @@
     return List.of(line.figure().split(" \\+ "));
   }
 
-  private double sum(Point of) {
+  private double sum(MeasuredPoint of) {
     return figures().stream().mapToDouble(of.figures()::get).sum();
   }
 
-  private boolean concerns(Point point) {
+  private boolean concerns(MeasuredPoint point) {
     return point.side() == line.side()
         && point.figures().keySet().containsAll(figures())
         && point.size().containsKey(line.by())
         && point.size().keySet().stream()
-            .allMatch(key -> Point.AMOUNTS.contains(key) || line.where().containsKey(key))
+            .allMatch(key -> MeasuredPoint.AMOUNTS.contains(key) || line.where().containsKey(key))
         && line.where().entrySet().stream()
             .allMatch(one -> one.getValue().equals(point.size().get(one.getKey())));
   }
--- a/testbed/src/main/java/edgegateway/testbed/scale/Point.java
+++ b/testbed/src/main/java/edgegateway/testbed/scale/MeasuredPoint.java
@@ -15,7 +15,7 @@
  * @param figures what was measured, by name; the unit ends the name, as in {@code
  *     counter-calls-per-node-s}
  */
-public record Point(
+public record MeasuredPoint(
     Side side, long seed, SortedMap<String, Double> size, SortedMap<String, Double> figures) {
   /**
    * The keys of a size that are about how much there is; any other names something that happened,
@@ -43,7 +43,7 @@
   }
 
   /** Copies both maps. */
-  public Point {
+  public MeasuredPoint {
     size = new TreeMap<>(size);
     figures = new TreeMap<>(figures);
     for (Map.Entry<String, Double> one : figures.entrySet()) {
--- a/testbed/src/main/java/edgegateway/testbed/scale/Quotas.java
+++ b/testbed/src/main/java/edgegateway/testbed/scale/QuotaTracker.java
@@ -1,6 +1,6 @@
 package edgegateway.testbed.scale;
 
-import edgegateway.testbed.load.Plan;
+import edgegateway.testbed.workload.CustomerPlan;
 import java.util.HashMap;
 import java.util.List;
 import java.util.Map;
@@ -10,7 +10,7 @@
  * fills at the plan's rate and holds its burst; a try takes its unit when it is first sent on, if
  * the store holds it. Times are nanoseconds and never run backwards; not thread-safe.
  */
-final class Quotas {
+final class QuotaTracker {
   private static final double SECOND = 1e9;
 
   private static final class Store {
@@ -23,15 +23,15 @@
     }
   }
 
-  private final List<Plan> plans;
+  private final List<CustomerPlan> plans;
   private final Map<Long, Store> stores = new HashMap<>();
 
-  Quotas(List<Plan> plans) {
+  QuotaTracker(List<CustomerPlan> plans) {
     this.plans = plans;
   }
 
   private Store store(long now, long customer, int plan) {
-    Plan of = plans.get(plan);
+    CustomerPlan of = plans.get(plan);
     Store store = stores.computeIfAbsent(customer, any -> new Store(of.burst(), now));
     store.units = Math.min(of.burst(), store.units + (now - store.at) * of.rate() / SECOND);
     store.at = now;
--- a/testbed/src/main/java/edgegateway/testbed/scale/Tally.java
+++ b/testbed/src/main/java/edgegateway/testbed/scale/RequestStatistics.java
@@ -1,6 +1,6 @@
 package edgegateway.testbed.scale;
 
-import edgegateway.testbed.judge.Event;
+import edgegateway.testbed.checker.HistoryEvent;
 import edgegateway.testbed.scenario.Scenario;
 import java.util.Arrays;
 import java.util.HashMap;
@@ -13,25 +13,25 @@
  * over: memory follows what is under way, not how long it goes on. Only tries asked from {@code
  * from} to {@code until} count; the quotas see all.
  */
-final class Tally implements Consumer<Event> {
+final class RequestStatistics implements Consumer<HistoryEvent> {
   private static final long SECOND = 1_000_000_000L;
   private static final int OK = 200;
   private static final int TOO_MANY = 429;
   private static final int UNAVAILABLE = 503;
 
-  private static final class Try {
-    final Event.Asked asked;
+  private static final class ClientAttempt {
+    final HistoryEvent.Asked asked;
     boolean sent;
 
-    Try(Event.Asked asked) {
+    ClientAttempt(HistoryEvent.Asked asked) {
       this.asked = asked;
     }
   }
 
-  private final Quotas quotas;
+  private final QuotaTracker quotas;
   private final long from;
   private final long until;
-  private final Map<String, Try> open = new HashMap<>();
+  private final Map<String, ClientAttempt> open = new HashMap<>();
   private final Map<String, Integer> attempts = new HashMap<>();
   private final int servers;
   private long tries;
@@ -57,12 +57,12 @@
   private final boolean[] modest;
 
   /** Times are those of the events. */
-  Tally(Scenario scenario, long from, long until) {
+  RequestStatistics(Scenario scenario, long from, long until) {
     this.from = from;
     this.until = until;
     asked = new long[(int) Math.ceil((until - from) / SECOND)];
     good = new long[asked.length];
-    quotas = new Quotas(scenario.plans());
+    quotas = new QuotaTracker(scenario.plans());
     servers = scenario.topology().servers();
     modest = new boolean[scenario.plans().size()];
     for (int i = 0; i < modest.length; i++) {
@@ -72,50 +72,50 @@
   }
 
   @Override
-  public void accept(Event event) {
-    if (event instanceof Event.Asked one) {
-      open.put(one.id(), new Try(one));
+  public void accept(HistoryEvent event) {
+    if (event instanceof HistoryEvent.Asked one) {
+      open.put(one.id(), new ClientAttempt(one));
       if (counts(one)) {
         tries++;
         within += modest[one.plan()] ? 1 : 0;
         asked[second(one)]++;
       }
-    } else if (event instanceof Event.Sent one) {
+    } else if (event instanceof HistoryEvent.Sent one) {
       sent(one);
-    } else if (event instanceof Event.Answered answered) {
-      Try of = open.remove(answered.id());
+    } else if (event instanceof HistoryEvent.Answered answered) {
+      ClientAttempt of = open.remove(answered.id());
       if (of != null) {
         answered(of.asked, answered);
       }
-    } else if (event instanceof Event.Left one) {
+    } else if (event instanceof HistoryEvent.Left one) {
       over(one.id());
-    } else if (event instanceof Event.Broken one) {
+    } else if (event instanceof HistoryEvent.Broken one) {
       over(one.id());
-    } else if (event instanceof Event.Fell) {
+    } else if (event instanceof HistoryEvent.Fell) {
       fell++;
-    } else if (event instanceof Event.Pressed one) {
+    } else if (event instanceof HistoryEvent.Pressed one) {
       pressure = Math.max(pressure, one.share());
     }
   }
 
-  private int second(Event.Asked of) {
+  private int second(HistoryEvent.Asked of) {
     return (int) ((of.at() - from) / SECOND);
   }
 
-  private boolean counts(Event.Asked asked) {
+  private boolean counts(HistoryEvent.Asked asked) {
     return asked.at() >= from && asked.at() < until;
   }
 
   private void over(String id) {
-    Try of = open.remove(id);
+    ClientAttempt of = open.remove(id);
     left += of != null && counts(of.asked) ? 1 : 0;
   }
 
-  private void sent(Event.Sent one) {
+  private void sent(HistoryEvent.Sent one) {
     if (one.at() >= from && one.at() < until) {
       attempts.merge(one.server(), 1, Integer::sum);
     }
-    Try of = open.get(one.id());
+    ClientAttempt of = open.get(one.id());
     if (of != null && !of.sent) {
       of.sent = true;
       boolean inside = quotas.sent(one.at(), of.asked.customer(), of.asked.plan());
@@ -124,7 +124,7 @@
     }
   }
 
-  private void answered(Event.Asked of, Event.Answered answered) {
+  private void answered(HistoryEvent.Asked of, HistoryEvent.Answered answered) {
     if (!counts(of)) {
       return;
     }
--- a/testbed/src/main/java/edgegateway/testbed/scale/ScaleFile.java
+++ b/testbed/src/main/java/edgegateway/testbed/scale/ScaleFile.java
@@ -235,7 +235,7 @@
   }
 
   /** Reads and checks a whole file. */
-  public static ScaleFile read(Path file) throws Scenario.Invalid {
+  public static ScaleFile read(Path file) throws Scenario.InvalidScenarioException {
     return YamlFile.read(file, ScaleFile.class);
   }
 
--- a/testbed/src/main/java/edgegateway/testbed/scale/ScaleResult.java
+++ b/testbed/src/main/java/edgegateway/testbed/scale/ScaleResult.java
@@ -16,7 +16,7 @@
  * @param date of the first play, such as 2026-12-02
  * @param command as it was typed
  */
-public record ScaleResult(ScaleFile file, String date, String command, List<Point> points) {
+public record ScaleResult(ScaleFile file, String date, String command, List<MeasuredPoint> points) {
   /** Its name in a folder. */
   public static final String NAME = "scale.json";
 
--- a/testbed/src/main/java/edgegateway/testbed/scale/ScaleTables.java
+++ b/testbed/src/main/java/edgegateway/testbed/scale/ScaleTables.java
@@ -23,12 +23,14 @@
    */
   public static String of(List<ScaleResult> results) {
     StringBuilder text = new StringBuilder();
-    for (Point.Side side : Point.Side.values()) {
-      Map<SortedMap<String, Double>, List<Point>> sizes =
+    for (MeasuredPoint.Side side : MeasuredPoint.Side.values()) {
+      Map<SortedMap<String, Double>, List<MeasuredPoint>> sizes =
           results.stream()
               .flatMap(one -> one.points().stream())
               .filter(point -> point.side() == side)
-              .collect(Collectors.groupingBy(Point::size, LinkedHashMap::new, Collectors.toList()));
+              .collect(
+                  Collectors.groupingBy(
+                      MeasuredPoint::size, LinkedHashMap::new, Collectors.toList()));
       if (!sizes.isEmpty()) {
         table(text, side, sizes);
       }
@@ -37,7 +39,9 @@
   }
 
   private static void table(
-      StringBuilder text, Point.Side side, Map<SortedMap<String, Double>, List<Point>> sizes) {
+      StringBuilder text,
+      MeasuredPoint.Side side,
+      Map<SortedMap<String, Double>, List<MeasuredPoint>> sizes) {
     TreeSet<String> names = new TreeSet<>();
     sizes
         .values()
@@ -50,7 +54,7 @@
     text.append('\n');
     for (String name : names) {
       text.append("| ").append(name).append(" |");
-      for (List<Point> points : sizes.values()) {
+      for (List<MeasuredPoint> points : sizes.values()) {
         text.append(' ').append(cell(points, name)).append(" |");
       }
       text.append('\n');
@@ -60,16 +64,17 @@
 
   private static String label(SortedMap<String, Double> size) {
     return size.entrySet().stream()
-        .filter(one -> SHOWN.contains(one.getKey()) || !Point.AMOUNTS.contains(one.getKey()))
+        .filter(
+            one -> SHOWN.contains(one.getKey()) || !MeasuredPoint.AMOUNTS.contains(one.getKey()))
         .map(
             one ->
-                Point.AMOUNTS.contains(one.getKey())
+                MeasuredPoint.AMOUNTS.contains(one.getKey())
                     ? one.getKey() + " " + number(one.getValue())
                     : one.getKey())
         .collect(Collectors.joining(", "));
   }
 
-  private static String cell(List<Point> points, String name) {
+  private static String cell(List<MeasuredPoint> points, String name) {
     double[] sorted =
         points.stream()
             .map(point -> point.figures().get(name))
--- a/testbed/src/main/java/edgegateway/testbed/scale/ModelScale.java
+++ b/testbed/src/main/java/edgegateway/testbed/scale/SimulationScaleRun.java
@@ -2,11 +2,11 @@
 
 import edgegateway.node.connections.UpstreamConnectionTable;
 import edgegateway.policy.api.Outcome;
-import edgegateway.testbed.model.Meter;
-import edgegateway.testbed.model.Meter.Activity;
-import edgegateway.testbed.model.Model;
 import edgegateway.testbed.scale.ScaleFile.ModelSize;
 import edgegateway.testbed.scenario.Scenario;
+import edgegateway.testbed.simulation.FleetSimulation;
+import edgegateway.testbed.simulation.SimulationMeter;
+import edgegateway.testbed.simulation.SimulationMeter.Activity;
 import java.io.IOException;
 import java.util.Locale;
 import java.util.Map;
@@ -16,7 +16,7 @@
 import org.HdrHistogram.Histogram;
 
 /** Plays a size on virtual time. */
-public final class ModelScale {
+public final class SimulationScaleRun {
   private static final double SECOND = 1e9;
   private static final double MS = 1e6;
   private static final double US = 1e3;
@@ -24,22 +24,23 @@
   /** A counter that costs next to nothing, to tell what the real one's cost does. */
   private static final double FREE_MS = 1e-3;
 
-  private ModelScale() {}
+  private SimulationScaleRun() {}
 
   /**
    * One play, and on a calm day a second with a counter that costs nothing; {@code progress} hears
    * how far it is.
    */
-  public static Point play(ScaleFile file, ModelSize size, long seed, Consumer<String> progress)
+  public static MeasuredPoint play(
+      ScaleFile file, ModelSize size, long seed, Consumer<String> progress)
       throws IOException, InterruptedException {
     Scenario scenario = file.scenario(size, seed);
     SortedMap<String, Double> figures = new TreeMap<>();
-    Tally tally = play(file, scenario, progress, figures);
+    RequestStatistics tally = play(file, scenario, progress, figures);
     tally.figures(figures);
     if (size.event() == null) {
       withFreeCounter(file, scenario, progress, figures);
     }
-    return new Point(Point.Side.MODEL, seed, size.key(), figures);
+    return new MeasuredPoint(MeasuredPoint.Side.MODEL, seed, size.key(), figures);
   }
 
   private static void withFreeCounter(
@@ -62,25 +63,25 @@
     }
   }
 
-  private static Tally play(
+  private static RequestStatistics play(
       ScaleFile file, Scenario scenario, Consumer<String> progress, Map<String, Double> figures)
       throws IOException, InterruptedException {
     double fromS = file.model().fromS();
     double span = file.model().spanS() - fromS;
     double nodes = scenario.topology().nodes();
-    Tally tally =
-        new Tally(
+    RequestStatistics tally =
+        new RequestStatistics(
             scenario,
-            Model.BEGUN + (long) (fromS * SECOND),
-            Model.BEGUN + (long) (file.model().spanS() * SECOND));
-    Model.Measured of =
-        Model.measured(
+            FleetSimulation.BEGUN + (long) (fromS * SECOND),
+            FleetSimulation.BEGUN + (long) (file.model().spanS() * SECOND));
+    FleetSimulation.Measurements of =
+        FleetSimulation.measured(
             scenario,
             UpstreamConnectionTable.kept((long) (file.idleS() * SECOND)),
             (long) (fromS * SECOND),
             tally,
             progress);
-    Meter meter = of.meter();
+    SimulationMeter meter = of.meter();
     double calls = 0;
     for (Outcome one : Outcome.values()) {
       calls += meter.calls(one);
--- a/testbed/src/main/java/edgegateway/testbed/scale/sockets/ListChanges.java
+++ b/testbed/src/main/java/edgegateway/testbed/scale/sockets/EndpointListChanges.java
@@ -1,7 +1,7 @@
 package edgegateway.testbed.scale.sockets;
 
+import edgegateway.testbed.fakes.DiscoveryMember.Phase;
 import edgegateway.testbed.scale.ScaleFile.SocketsSize;
-import edgegateway.testbed.stand.Member.Phase;
 import java.io.IOException;
 import java.util.ArrayList;
 import java.util.List;
@@ -13,7 +13,7 @@
  * Changes of the list, one after the other, while requests go on, and when each is in force where:
  * one entry, a rollout of a service, a zone, and the whole list to all nodes at once.
  */
-final class ListChanges {
+final class EndpointListChanges {
   private static final double SECOND = 1e9;
   private static final int ROLLOUT = 50;
 
@@ -23,7 +23,7 @@
   /** Between two looks at a real node's list, which cost it processor time. */
   private static final long LOOK_MS = 20;
 
-  private final Nodes nodes;
+  private final TestNodes nodes;
   private final SocketsSize size;
   private final int zones;
   private final Map<String, Double> figures;
@@ -37,7 +37,7 @@
   private double realsCpuS;
 
   /** What they come to is put among these figures, which have those of the calm span already. */
-  ListChanges(Nodes nodes, int zones, Map<String, Double> figures) {
+  EndpointListChanges(TestNodes nodes, int zones, Map<String, Double> figures) {
     this.nodes = nodes;
     this.zones = zones;
     this.figures = figures;
@@ -53,7 +53,7 @@
   }
 
   private void wholeList() throws IOException, InterruptedException {
-    Moment before = nodes.now();
+    MetricsSnapshot before = nodes.now();
     // One entry differs: what a real node goes by tells that it has taken the list.
     long since = System.nanoTime();
     inForce(
@@ -61,7 +61,7 @@
         nodes.standIns().restartDiscovery(List.of(size.servers() - 1), Phase.TERMINATING),
         since,
         size.servers() - 1);
-    Moment after = nodes.now();
+    MetricsSnapshot after = nodes.now();
     figures.put(
         "whole-list-bytes-per-node",
         (after.counts().discoveryOut() - before.counts().discoveryOut()) / nodes.count());
@@ -85,7 +85,7 @@
   /** These drain, and are back as ever when that is in force everywhere. */
   private void change(String name, List<Integer> numbers) throws IOException, InterruptedException {
     long since = System.nanoTime();
-    StandIns.Counts before = nodes.standIns().counts();
+    FakePlatform.Counts before = nodes.standIns().counts();
     inForce(
         name,
         nodes.standIns().change(numbers, Phase.TERMINATING, 0),
--- a/testbed/src/main/java/edgegateway/testbed/scale/sockets/StandIns.java
+++ b/testbed/src/main/java/edgegateway/testbed/scale/sockets/FakePlatform.java
@@ -1,19 +1,19 @@
 package edgegateway.testbed.scale.sockets;
 
+import edgegateway.testbed.fakes.DiscoveryMember;
+import edgegateway.testbed.fakes.DiscoveryMember.Phase;
+import edgegateway.testbed.fakes.DiscoveryMessage;
+import edgegateway.testbed.fakes.FakeArchiveServer;
+import edgegateway.testbed.fakes.http.ArchiveServerHttpFake;
+import edgegateway.testbed.fakes.http.CounterHttpFake;
+import edgegateway.testbed.fakes.http.DiscoveryHttpFake;
+import edgegateway.testbed.fakes.http.ManyArchiveServersHttpFake;
 import edgegateway.testbed.fleet.Topology;
-import edgegateway.testbed.net.Party;
+import edgegateway.testbed.network.NetworkPeer;
 import edgegateway.testbed.scale.ScaleFile.ControlTrouble;
 import edgegateway.testbed.scenario.CounterFaults;
 import edgegateway.testbed.scenario.Scenario;
 import edgegateway.testbed.scenario.Scenario.CounterTrouble;
-import edgegateway.testbed.stand.ArchiveServer;
-import edgegateway.testbed.stand.Member;
-import edgegateway.testbed.stand.Member.Phase;
-import edgegateway.testbed.stand.Roll;
-import edgegateway.testbed.stand.http.ArchiveServerPort;
-import edgegateway.testbed.stand.http.ArchiveServersPort;
-import edgegateway.testbed.stand.http.CounterPort;
-import edgegateway.testbed.stand.http.DiscoveryPort;
 import io.netty.channel.EventLoop;
 import io.netty.channel.EventLoopGroup;
 import io.netty.channel.MultiThreadIoEventLoopGroup;
@@ -32,7 +32,8 @@
  * What edge nodes speak with, without links: one discovery, one counter, and archive servers at
  * thousands of addresses behind one socket, each on a loop of its own. It is changed by one thread.
  */
-final class StandIns implements ArchiveServerPort.History, CounterPort.History, AutoCloseable {
+final class FakePlatform
+    implements ArchiveServerHttpFake.History, CounterHttpFake.History, AutoCloseable {
   private static final InetSocketAddress ANY = new InetSocketAddress("127.0.0.1", 0);
   private static final int LOOPS = 4;
   private static final int HOSTS = 250;
@@ -66,15 +67,15 @@
   private final EventLoop clientsLoop = loops.next();
   private final Topology topology;
   private final long callTimeout;
-  private final CounterPort counter;
-  private final ArchiveServersPort servers;
-  private final Member[] members;
+  private final CounterHttpFake counter;
+  private final ManyArchiveServersHttpFake servers;
+  private final DiscoveryMember[] members;
   private final Map<String, Work> works = new ConcurrentHashMap<>();
   private final AtomicLong answered = new AtomicLong();
   private final AtomicLong late = new AtomicLong();
   private final AtomicLong turnedAway = new AtomicLong();
   private final AtomicLong attempts = new AtomicLong();
-  private final DiscoveryPort discovery;
+  private final DiscoveryHttpFake discovery;
   private long revision = 1;
 
   /**
@@ -83,7 +84,7 @@
    * @param callTimeout after which a call to the counter counts as late, in nanoseconds
    * @param work nanoseconds of a core for the request of an id
    */
-  StandIns(
+  FakePlatform(
       Topology topology,
       Scenario.Servers terms,
       Scenario.Counter calls,
@@ -92,15 +93,18 @@
       throws IOException {
     this.topology = topology;
     this.callTimeout = callTimeout;
-    counter = new CounterPort(loops.next(), ANY, calls.terms(), this);
-    servers = new ArchiveServersPort(loops.next(), terms.terms(), work, this);
-    members = new Member[topology.servers().size()];
+    counter = new CounterHttpFake(loops.next(), ANY, calls.terms(), this);
+    servers = new ManyArchiveServersHttpFake(loops.next(), terms.terms(), work, this);
+    members = new DiscoveryMember[topology.servers().size()];
     for (int i = 0; i < members.length; i++) {
       members[i] = member(i, Phase.READY, 0);
     }
     discovery =
-        new DiscoveryPort(
-            loops.next(), ANY, new Roll(revision, true, List.of(members)), (at, roll) -> {});
+        new DiscoveryHttpFake(
+            loops.next(),
+            ANY,
+            new DiscoveryMessage(revision, true, List.of(members)),
+            (at, roll) -> {});
   }
 
   /** The loop of the clients. */
@@ -121,8 +125,8 @@
     return new InetSocketAddress("127.254.0." + (1 + number % HOSTS), servers.address().getPort());
   }
 
-  private Member member(int number, Phase phase, long upSince) {
-    Party server = topology.servers().get(number);
+  private DiscoveryMember member(int number, Phase phase, long upSince) {
+    NetworkPeer server = topology.servers().get(number);
     // Each place from 1 to 250: no address of a net or to all of it.
     String address =
         "127."
@@ -131,7 +135,7 @@
             + (1 + number / HOSTS % HOSTS)
             + "."
             + (1 + number % HOSTS);
-    return new Member(
+    return new DiscoveryMember(
         server.name(),
         address + ":" + servers.address().getPort(),
         server.zone(),
@@ -144,12 +148,12 @@
 
   /** Discovery tells that these are in this phase now, in one message; returns its version. */
   long change(List<Integer> numbers, Phase phase, long upSince) {
-    discovery.send(new Roll(++revision, false, set(numbers, phase, upSince)), 0);
+    discovery.send(new DiscoveryMessage(++revision, false, set(numbers, phase, upSince)), 0);
     return revision;
   }
 
-  private List<Member> set(List<Integer> numbers, Phase phase, long upSince) {
-    List<Member> changed = new ArrayList<>();
+  private List<DiscoveryMember> set(List<Integer> numbers, Phase phase, long upSince) {
+    List<DiscoveryMember> changed = new ArrayList<>();
     for (int number : numbers) {
       members[number] = member(number, phase, upSince);
       changed.add(members[number]);
@@ -163,7 +167,7 @@
    */
   long restartDiscovery(List<Integer> numbers, Phase phase) {
     set(numbers, phase, 0);
-    discovery.restart(new Roll(++revision, true, List.of(members)));
+    discovery.restart(new DiscoveryMessage(++revision, true, List.of(members)));
     return revision;
   }
 
@@ -217,7 +221,7 @@
   }
 
   @Override
-  public void ended(long at, String id, ArchiveServer.Ending how) {
+  public void ended(long at, String id, FakeArchiveServer.Ending how) {
     works.computeIfPresent(id, (key, work) -> new Work(work.arrived, at));
   }
 
--- a/testbed/src/main/java/edgegateway/testbed/scale/sockets/HollowMain.java
+++ b/testbed/src/main/java/edgegateway/testbed/scale/sockets/HollowNodeMain.java
@@ -1,7 +1,7 @@
 package edgegateway.testbed.scale.sockets;
 
 import edgegateway.node.EdgeNode;
-import edgegateway.testbed.process.Operators;
+import edgegateway.testbed.processes.OperatorClient;
 import io.netty.channel.EventLoop;
 import io.netty.channel.EventLoopGroup;
 import io.netty.channel.MultiThreadIoEventLoopGroup;
@@ -23,7 +23,7 @@
  * says on its standard output what its parent asked for, marked so that the nodes' logs can be told
  * from it, and ends with its standard input.
  */
-public final class HollowMain {
+public final class HollowNodeMain {
   /** Begins what is said to the parent. */
   static final String MARK = "@";
 
@@ -50,11 +50,11 @@
     }
   }
 
-  private HollowMain() {}
+  private HollowNodeMain() {}
 
   /** The file of configurations, one a line, and the number of loops. */
   public static void main(String[] args) throws Exception {
-    HollowMain main = new HollowMain();
+    HollowNodeMain main = new HollowNodeMain();
     try {
       main.start(Path.of(args[0]), Integer.parseInt(args[1]));
       main.listen();
@@ -95,7 +95,7 @@
       List<Hollow> its = byLoop.get(i);
       all.get(i)
           .scheduleAtFixedRate(
-              () -> its.forEach(HollowMain::look), LOOK_MS, LOOK_MS, TimeUnit.MILLISECONDS);
+              () -> its.forEach(HollowNodeMain::look), LOOK_MS, LOOK_MS, TimeUnit.MILLISECONDS);
     }
     for (Hollow one : nodes) {
       one.node.start();
@@ -124,7 +124,7 @@
       Map<String, Long> sums = new TreeMap<>();
       Map<String, Long> most = new TreeMap<>();
       for (Hollow one : nodes) {
-        Operators.figures(one.node.metricsText())
+        OperatorClient.figures(one.node.metricsText())
             .forEach(
                 (name, value) -> {
                   sums.merge(name, value, Long::sum);
--- a/testbed/src/main/java/edgegateway/testbed/scale/sockets/HollowNodes.java
+++ b/testbed/src/main/java/edgegateway/testbed/scale/sockets/HollowNodeProcess.java
@@ -1,6 +1,6 @@
 package edgegateway.testbed.scale.sockets;
 
-import edgegateway.testbed.process.Usage;
+import edgegateway.testbed.processes.ProcessUsage;
 import java.io.BufferedReader;
 import java.io.BufferedWriter;
 import java.io.IOException;
@@ -22,7 +22,7 @@
  * The process of the hollow edge nodes, as its parent sees it. It ends with {@link #close()} or
  * with this process.
  */
-final class HollowNodes implements AutoCloseable {
+final class HollowNodeProcess implements AutoCloseable {
   private static final String CONFIGURATIONS = "hollow.jsonl";
   private static final String LOG = "hollow.log";
   private static final int KILL_S = 5;
@@ -50,7 +50,8 @@
    * @param heapMb the most that its heap may grow to
    * @param folder where its configurations and its log go
    */
-  HollowNodes(List<String> configurations, int loops, long heapMb, Path folder, Listing listing)
+  HollowNodeProcess(
+      List<String> configurations, int loops, long heapMb, Path folder, Listing listing)
       throws IOException {
     this.listing = listing;
     Path file = folder.resolve(CONFIGURATIONS);
@@ -67,7 +68,7 @@
                 "-Dio.netty.leakDetection.level=disabled",
                 "-cp",
                 System.getProperty("java.class.path"),
-                HollowMain.class.getName(),
+                HollowNodeMain.class.getName(),
                 file.toString(),
                 Integer.toString(loops))
             .redirectErrorStream(true)
@@ -81,8 +82,8 @@
     try (BufferedReader lines = process.inputReader();
         BufferedWriter to = Files.newBufferedWriter(log)) {
       for (String line = lines.readLine(); line != null; line = lines.readLine()) {
-        if (line.startsWith(HollowMain.MARK)) {
-          heard(line.substring(HollowMain.MARK.length()).split(" "));
+        if (line.startsWith(HollowNodeMain.MARK)) {
+          heard(line.substring(HollowNodeMain.MARK.length()).split(" "));
         } else {
           to.write(line);
           to.newLine();
@@ -91,16 +92,16 @@
     } catch (IOException | UncheckedIOException e) {
       // The process was ended in the middle of a line.
     }
-    said.add(HollowMain.BROKEN + " ended");
+    said.add(HollowNodeMain.BROKEN + " ended");
   }
 
   private void heard(String[] words) {
     switch (words[0]) {
-      case HollowMain.SERVING ->
+      case HollowNodeMain.SERVING ->
           addresses.put(
               Integer.parseInt(words[1]),
               new InetSocketAddress("127.0.0.1", Integer.parseInt(words[2])));
-      case HollowMain.LISTED ->
+      case HollowNodeMain.LISTED ->
           listing.listed(
               Integer.parseInt(words[1]), Long.parseLong(words[2]), Long.parseLong(words[3]));
       default -> said.add(String.join(" ", words));
@@ -118,7 +119,7 @@
 
   /** Returns when all listen; fails if that takes longer, or one can't be started. */
   void ready(long seconds) throws IOException, InterruptedException {
-    next(seconds, HollowMain.READY);
+    next(seconds, HollowNodeMain.READY);
   }
 
   /** Where clients reach one, by its place among the configurations. */
@@ -129,10 +130,10 @@
   /** What operators read, over all nodes. */
   Map<String, Figure> figures() throws IOException, InterruptedException {
     OutputStream to = process.getOutputStream();
-    to.write((HollowMain.FIGURES + "\n").getBytes(StandardCharsets.US_ASCII));
+    to.write((HollowNodeMain.FIGURES + "\n").getBytes(StandardCharsets.US_ASCII));
     to.flush();
     Map<String, Figure> figures = new TreeMap<>();
-    for (String word : next(ANSWER_S, HollowMain.FIGURES).split(" ")) {
+    for (String word : next(ANSWER_S, HollowNodeMain.FIGURES).split(" ")) {
       String[] parts = word.split("=");
       if (parts.length == 3) {
         figures.put(parts[0], new Figure(Long.parseLong(parts[1]), Long.parseLong(parts[2])));
@@ -142,8 +143,8 @@
   }
 
   /** What the process has used. */
-  Usage usage() throws IOException {
-    return Usage.of(process.pid());
+  ProcessUsage usage() throws IOException {
+    return ProcessUsage.of(process.pid());
   }
 
   @Override
--- a/testbed/src/main/java/edgegateway/testbed/scale/sockets/Fit.java
+++ b/testbed/src/main/java/edgegateway/testbed/scale/sockets/MachineCapacity.java
@@ -14,7 +14,7 @@
  * @param memory bytes that may be used
  * @param descriptors that a process may hold
  */
-record Fit(long memory, long descriptors) {
+record MachineCapacity(long memory, long descriptors) {
   private static final long MB = 1 << 20;
   private static final long KB = 1 << 10;
 
@@ -47,10 +47,10 @@
   private static final int LOADED = 500;
 
   /** As this machine has it, half of its memory. */
-  static Fit here() {
+  static MachineCapacity here() {
     OperatingSystemMXBean system =
         (OperatingSystemMXBean) ManagementFactory.getOperatingSystemMXBean();
-    return new Fit(
+    return new MachineCapacity(
         system.getTotalMemorySize() / 2,
         system instanceof UnixOperatingSystemMXBean unix
             ? unix.getMaxFileDescriptorCount()
--- a/testbed/src/main/java/edgegateway/testbed/scale/sockets/Moment.java
+++ b/testbed/src/main/java/edgegateway/testbed/scale/sockets/MetricsSnapshot.java
@@ -1,6 +1,6 @@
 package edgegateway.testbed.scale.sockets;
 
-import edgegateway.testbed.process.Usage;
+import edgegateway.testbed.processes.ProcessUsage;
 import java.util.List;
 import java.util.Map;
 
@@ -14,13 +14,13 @@
  * @param hollow what the hollow nodes' process has used; null if there is none
  * @param hollowVars what operators would read of the hollow nodes
  */
-record Moment(
+record MetricsSnapshot(
     long at,
-    StandIns.Counts counts,
-    List<Usage> reals,
+    FakePlatform.Counts counts,
+    List<ProcessUsage> reals,
     List<Map<String, Long>> vars,
-    Usage hollow,
-    Map<String, HollowNodes.Figure> hollowVars) {
+    ProcessUsage hollow,
+    Map<String, HollowNodeProcess.Figure> hollowVars) {
   /** A figure that operators read, over all real and hollow nodes. */
   long sum(String name) {
     return vars.stream().mapToLong(one -> one.getOrDefault(name, 0L)).sum()
@@ -37,11 +37,11 @@
 
   /** Processor time of all real nodes up to then, in seconds. */
   double realCpuS() {
-    return reals.stream().mapToDouble(Usage::cpuS).sum();
+    return reals.stream().mapToDouble(ProcessUsage::cpuS).sum();
   }
 
   /** The same since an earlier moment. */
-  double realCpuS(Moment before) {
+  double realCpuS(MetricsSnapshot before) {
     return realCpuS() - before.realCpuS();
   }
 }
--- a/testbed/src/main/java/edgegateway/testbed/scale/sockets/RealNodes.java
+++ b/testbed/src/main/java/edgegateway/testbed/scale/sockets/RealNodeProcesses.java
@@ -1,12 +1,12 @@
 package edgegateway.testbed.scale.sockets;
 
-import edgegateway.testbed.fleet.NodeConfig;
-import edgegateway.testbed.process.DeployFile;
-import edgegateway.testbed.process.Guard;
-import edgegateway.testbed.process.NodeProcess;
-import edgegateway.testbed.process.NodeProcess.Signal;
-import edgegateway.testbed.process.Operators;
-import edgegateway.testbed.process.Usage;
+import edgegateway.testbed.fleet.NodeConfigWriter;
+import edgegateway.testbed.processes.DeployFile;
+import edgegateway.testbed.processes.NodeProcess;
+import edgegateway.testbed.processes.NodeProcess.Signal;
+import edgegateway.testbed.processes.OperatorClient;
+import edgegateway.testbed.processes.ProcessGuard;
+import edgegateway.testbed.processes.ProcessUsage;
 import java.io.IOException;
 import java.net.HttpURLConnection;
 import java.net.InetSocketAddress;
@@ -27,7 +27,7 @@
  * Edge nodes as processes of their own, begun as the deploy file says. They end with {@link
  * #close()} or with this process.
  */
-final class RealNodes implements AutoCloseable {
+final class RealNodeProcesses implements AutoCloseable {
   private static final String SERVING = "serving on ";
   private static final String OPERATORS = "operators call at ";
   private static final String ENDED = "";
@@ -47,7 +47,7 @@
     }
   }
 
-  private final Guard guard = new Guard();
+  private final ProcessGuard guard = new ProcessGuard();
   private final List<Real> nodes = new ArrayList<>();
   private final Path folder;
 
@@ -55,7 +55,7 @@
    * Starts all at once, one for each configuration, and returns when all take clients; fails if
    * that takes longer.
    */
-  RealNodes(DeployFile deploy, List<String> configurations, Path folder, long seconds)
+  RealNodeProcesses(DeployFile deploy, List<String> configurations, Path folder, long seconds)
       throws IOException, InterruptedException {
     this.folder = folder;
     try {
@@ -126,7 +126,7 @@
   private static boolean healthy(Real node) throws IOException {
     HttpURLConnection call =
         (HttpURLConnection)
-            URI.create("http://" + NodeConfig.text(node.serving) + "/_health")
+            URI.create("http://" + NodeConfigWriter.text(node.serving) + "/_health")
                 .toURL()
                 .openConnection();
     call.setConnectTimeout(HEALTH_MS);
@@ -141,14 +141,14 @@
 
   /** What operators read of one. */
   Map<String, Long> figures(int node) throws IOException {
-    return Operators.figures(Operators.call(nodes.get(node).operators, "vars"));
+    return OperatorClient.figures(OperatorClient.call(nodes.get(node).operators, "vars"));
   }
 
   /** How many servers one may send to now; -1 if it does not say. */
   int usable(int node) {
     int usable = 0;
     try {
-      for (Matcher zone = USABLE.matcher(Operators.call(nodes.get(node).operators, "zones"));
+      for (Matcher zone = USABLE.matcher(OperatorClient.call(nodes.get(node).operators, "zones"));
           zone.find(); ) {
         usable += Integer.parseInt(zone.group(1));
       }
@@ -159,8 +159,8 @@
   }
 
   /** What one's process has used. */
-  Usage usage(int node) throws IOException {
-    return Usage.of(nodes.get(node).process.pid());
+  ProcessUsage usage(int node) throws IOException {
+    return ProcessUsage.of(nodes.get(node).process.pid());
   }
 
   /** Kills all, and leaves their logs in the folder. */
--- a/testbed/src/main/java/edgegateway/testbed/scale/sockets/Asked.java
+++ b/testbed/src/main/java/edgegateway/testbed/scale/sockets/RequestBatch.java
@@ -1,14 +1,14 @@
 package edgegateway.testbed.scale.sockets;
 
-import edgegateway.testbed.judge.Event;
-import edgegateway.testbed.load.Arrival;
-import edgegateway.testbed.load.Arrivals;
-import edgegateway.testbed.load.Asking;
-import edgegateway.testbed.load.Clients;
-import edgegateway.testbed.load.Plan;
-import edgegateway.testbed.load.RequestClass;
-import edgegateway.testbed.load.Retries;
+import edgegateway.testbed.checker.HistoryEvent;
 import edgegateway.testbed.scenario.Scenario;
+import edgegateway.testbed.workload.ArrivalGenerator;
+import edgegateway.testbed.workload.ClientBehavior;
+import edgegateway.testbed.workload.ClientRetryPolicy;
+import edgegateway.testbed.workload.CustomerPlan;
+import edgegateway.testbed.workload.HttpClients;
+import edgegateway.testbed.workload.RequestArrival;
+import edgegateway.testbed.workload.WorkloadClass;
 import io.netty.channel.EventLoop;
 import java.io.IOException;
 import java.net.InetSocketAddress;
@@ -29,18 +29,18 @@
  * Requests of the lab's clients to one group of doors, drawn ahead from a seed, and what became of
  * them.
  */
-final class Asked {
+final class RequestBatch {
   private static final double SECOND = 1e9;
   private static final int OK = 200;
   private static final int DIGITS = 3;
   private static final long MOST = 60_000_000_000L;
   private static final long LINGER_S = 10;
 
-  private final List<Arrival> arrivals;
-  private final ConcurrentLinkedQueue<Event> history = new ConcurrentLinkedQueue<>();
+  private final List<RequestArrival> arrivals;
+  private final ConcurrentLinkedQueue<HistoryEvent> history = new ConcurrentLinkedQueue<>();
   private final int doors;
-  private final List<RequestClass> classes;
-  private final List<Plan> plans;
+  private final List<WorkloadClass> classes;
+  private final List<CustomerPlan> plans;
   private final long notice;
   private long begun;
   private CompletableFuture<Void> done = CompletableFuture.completedFuture(null);
@@ -58,7 +58,8 @@
    * @param prefix begins each id, so that no two groups share one
    * @param perDoor requests a second at each door
    */
-  Asked(String prefix, Scenario.Traffic load, int doors, double perDoor, double spanS, long seed) {
+  RequestBatch(
+      String prefix, Scenario.Traffic load, int doors, double perDoor, double spanS, long seed) {
     this.doors = doors;
     classes = load.classes().stream().map(Scenario.Kind::requestClass).toList();
     double asked =
@@ -69,7 +70,7 @@
         load.plans().stream()
             .map(
                 plan ->
-                    new Plan(
+                    new CustomerPlan(
                         plan.name(),
                         plan.customers() * doors,
                         plan.rate(),
@@ -83,8 +84,8 @@
     arrivals =
         doors == 0 || perDoor == 0
             ? List.of()
-            : Arrivals.draw(
-                    new Arrivals.Terms(
+            : ArrivalGenerator.draw(
+                    new ArrivalGenerator.Settings(
                         (long) (spanS * SECOND),
                         doors,
                         classes,
@@ -95,7 +96,7 @@
                 .stream()
                 .map(
                     one ->
-                        new Arrival(
+                        new RequestArrival(
                             one.at(),
                             prefix + one.id(),
                             one.customer(),
@@ -109,7 +110,7 @@
   }
 
   /** What is asked, with its work. */
-  List<Arrival> arrivals() {
+  List<RequestArrival> arrivals() {
     return arrivals;
   }
 
@@ -117,14 +118,14 @@
   void play(EventLoop loop, IntFunction<InetSocketAddress> door) {
     begun = System.nanoTime();
     if (!arrivals.isEmpty()) {
-      Asking asking =
-          new Asking(
+      ClientBehavior asking =
+          new ClientBehavior(
               IntStream.range(0, doors).mapToObj(i -> "n" + i).toList(),
               classes,
               plans,
-              Retries.NONE,
+              ClientRetryPolicy.NONE,
               notice);
-      done = new Clients(loop, door, asking, history::add).play(arrivals);
+      done = new HttpClients(loop, door, asking, history::add).play(arrivals);
     }
   }
 
@@ -141,22 +142,22 @@
   }
 
   /** What came of those asked between two times of the machine's clock. */
-  Outcome outcome(StandIns standIns, long from, long to) {
+  Outcome outcome(FakePlatform standIns, long from, long to) {
     Map<String, Long> askedAt = new HashMap<>();
-    List<Event.Answered> answers = new ArrayList<>();
-    for (Event event : history) {
-      if (event instanceof Event.Asked asked && asked.at() >= from && asked.at() < to) {
+    List<HistoryEvent.Answered> answers = new ArrayList<>();
+    for (HistoryEvent event : history) {
+      if (event instanceof HistoryEvent.Asked asked && asked.at() >= from && asked.at() < to) {
         askedAt.put(asked.id(), asked.at());
-      } else if (event instanceof Event.Answered answered) {
+      } else if (event instanceof HistoryEvent.Answered answered) {
         answers.add(answered);
       }
     }
     long served = 0;
     long refused = 0;
     Histogram beyond = new Histogram(MOST, DIGITS);
-    for (Event.Answered answered : answers) {
+    for (HistoryEvent.Answered answered : answers) {
       Long at = askedAt.get(answered.id());
-      StandIns.Work work = standIns.work(answered.id());
+      FakePlatform.Work work = standIns.work(answered.id());
       if (at != null && answered.status() == OK && work != null) {
         served++;
         beyond.recordValue(
--- a/testbed/src/main/java/edgegateway/testbed/scale/sockets/Listings.java
+++ b/testbed/src/main/java/edgegateway/testbed/scale/sockets/RevisionTracker.java
@@ -8,7 +8,7 @@
  * When each node went by a version of the list first, in nanoseconds of the machine's clock. Any
  * thread.
  */
-final class Listings {
+final class RevisionTracker {
   private static final double SECOND = 1e9;
 
   private final Map<Integer, Map<Long, Long>> seen = new ConcurrentHashMap<>();
--- a/testbed/src/main/java/edgegateway/testbed/scale/sockets/SocketsScale.java
+++ b/testbed/src/main/java/edgegateway/testbed/scale/sockets/SocketScaleRun.java
@@ -2,16 +2,16 @@
 
 import com.fasterxml.jackson.databind.ObjectMapper;
 import com.fasterxml.jackson.databind.node.ObjectNode;
-import edgegateway.testbed.fleet.Load;
-import edgegateway.testbed.fleet.NodeConfig;
+import edgegateway.testbed.fakes.DiscoveryMessage;
+import edgegateway.testbed.fleet.NodeConfigWriter;
 import edgegateway.testbed.fleet.Topology;
-import edgegateway.testbed.load.Retries;
-import edgegateway.testbed.process.DeployFile;
-import edgegateway.testbed.scale.Point;
+import edgegateway.testbed.fleet.WorkloadSettings;
+import edgegateway.testbed.processes.DeployFile;
+import edgegateway.testbed.scale.MeasuredPoint;
 import edgegateway.testbed.scale.ScaleFile;
 import edgegateway.testbed.scale.ScaleFile.SocketsSize;
 import edgegateway.testbed.scenario.Scenario;
-import edgegateway.testbed.stand.Roll;
+import edgegateway.testbed.workload.ClientRetryPolicy;
 import java.io.IOException;
 import java.net.InetSocketAddress;
 import java.nio.file.Files;
@@ -34,7 +34,7 @@
  * requests go on; at last processor time is measured without them. Each wait has an end, so the
  * play has one too.
  */
-public final class SocketsScale {
+public final class SocketScaleRun {
   private static final double SECOND = 1e9;
   private static final double MS = 1e6;
   private static final double DIRECT_PER_S = 70;
@@ -65,15 +65,15 @@
   private final SocketsSize size;
   private final Topology topology;
   private final Consumer<String> progress;
-  private final Listings listings = new Listings();
+  private final RevisionTracker listings = new RevisionTracker();
   private final Map<String, Double> figures = new TreeMap<>();
-  private final Asked real;
-  private final Asked hollow;
-  private final Asked direct;
-  private StandIns standIns;
-  private Nodes nodes;
+  private final RequestBatch real;
+  private final RequestBatch hollow;
+  private final RequestBatch direct;
+  private FakePlatform standIns;
+  private TestNodes nodes;
 
-  private SocketsScale(ScaleFile file, SocketsSize size, long seed, Consumer<String> progress) {
+  private SocketScaleRun(ScaleFile file, SocketsSize size, long seed, Consumer<String> progress) {
     this.file = file;
     this.size = size;
     this.progress = progress;
@@ -81,10 +81,10 @@
     topology = Topology.even(zones, size.real() + size.hollow(), size.servers(), file.regions());
     double span = file.sockets().spanS() + Math.min(CHANGES_S, file.sockets().spanS() / 2);
     Scenario.Traffic load = load();
-    real = new Asked("r", load, size.real(), size.realRequestsPerS(), span, seed);
-    hollow = new Asked("h", load, size.hollow(), size.hollowRequestsPerS(), span, seed);
+    real = new RequestBatch("r", load, size.real(), size.realRequestsPerS(), span, seed);
+    hollow = new RequestBatch("h", load, size.hollow(), size.hollowRequestsPerS(), span, seed);
     direct =
-        new Asked(
+        new RequestBatch(
             "d",
             load,
             1,
@@ -133,7 +133,8 @@
   }
 
   /** One play of this checkout's program; {@code progress} hears how far it is. */
-  public static Point play(ScaleFile file, SocketsSize size, long seed, Consumer<String> progress)
+  public static MeasuredPoint play(
+      ScaleFile file, SocketsSize size, long seed, Consumer<String> progress)
       throws IOException, InterruptedException {
     Path folder = Files.createDirectories(Path.of("target", "scale", file.name() + "-sockets"));
     return play(
@@ -152,7 +153,7 @@
    * @throws IOException in one line, if the size does not fit this machine, or something does not
    *     come up in its time
    */
-  static Point play(
+  static MeasuredPoint play(
       ScaleFile file,
       SocketsSize size,
       long seed,
@@ -161,13 +162,14 @@
       Path folder)
       throws IOException, InterruptedException {
     try {
-      Fit.here().check(size);
+      MachineCapacity.here().check(size);
     } catch (IllegalArgumentException e) {
       throw new IOException(size + " does not fit: " + e.getMessage(), e);
     }
-    SocketsScale play = new SocketsScale(file, size, seed, progress);
+    SocketScaleRun play = new SocketScaleRun(file, size, seed, progress);
     play.run(seed, deploy, folder);
-    return new Point(Point.Side.SOCKETS, seed, size.key(), new TreeMap<>(play.figures));
+    return new MeasuredPoint(
+        MeasuredPoint.Side.SOCKETS, seed, size.key(), new TreeMap<>(play.figures));
   }
 
   private void run(long seed, DeployFile deploy, Path folder)
@@ -175,39 +177,40 @@
     Map<String, Double> works = new HashMap<>();
     Stream.of(real, hollow, direct)
         .forEach(all -> all.arrivals().forEach(one -> works.put(one.id(), (double) one.work())));
-    Load load =
-        new Load(
+    WorkloadSettings load =
+        new WorkloadSettings(
             file.load().classes().stream().map(Scenario.Kind::requestClass).toList(),
             file.load().plans().stream().map(Scenario.Customers::plan).toList(),
             file.servers().terms().keyLife(),
             null);
     long callTimeout =
-        NodeConfig.settings(topology, load, topology.nodes().get(0))
+        NodeConfigWriter.settings(topology, load, topology.nodes().get(0))
             .path("domain")
             .path("count-wait-ns")
             .asLong();
-    try (StandIns stand =
-        new StandIns(
+    try (FakePlatform stand =
+        new FakePlatform(
             topology,
             file.servers(),
             file.counter(),
             callTimeout,
-            id -> works.getOrDefault(Retries.request(id), 1.0))) {
+            id -> works.getOrDefault(ClientRetryPolicy.request(id), 1.0))) {
       standIns = stand;
       List<String> configurations = configurations(load, seed);
       long begun = System.nanoTime();
-      try (HollowNodes all =
+      try (HollowNodeProcess all =
               size.hollow() == 0
                   ? null
-                  : new HollowNodes(
+                  : new HollowNodeProcess(
                       configurations.subList(size.real(), configurations.size()),
                       LOOPS,
-                      Fit.hollowHeapMb(size),
+                      MachineCapacity.hollowHeapMb(size),
                       folder,
                       listings::listed);
-          RealNodes processes =
-              new RealNodes(deploy, configurations.subList(0, size.real()), folder, START_S)) {
-        nodes = new Nodes(size, stand, processes, all, listings);
+          RealNodeProcesses processes =
+              new RealNodeProcesses(
+                  deploy, configurations.subList(0, size.real()), folder, START_S)) {
+        nodes = new TestNodes(size, stand, processes, all, listings);
         if (all != null) {
           all.ready(START_S + HOLLOW_START_S * size.hollow());
         }
@@ -223,7 +226,7 @@
     }
   }
 
-  private List<String> configurations(Load load, long seed) throws IOException {
+  private List<String> configurations(WorkloadSettings load, long seed) throws IOException {
     SplittableRandom chance = new SplittableRandom(seed);
     InetSocketAddress any = new InetSocketAddress("127.0.0.1", 0);
     List<String> all = new ArrayList<>();
@@ -232,14 +235,14 @@
       ObjectNode one =
           (ObjectNode)
               JSON.readTree(
-                  NodeConfig.text(
+                  NodeConfigWriter.text(
                       topology,
                       load,
                       topology.nodes().get(i),
                       any,
                       standIns.discovery(),
                       standIns.counter(),
-                      new Roll(0, true, List.of()),
+                      new DiscoveryMessage(0, true, List.of()),
                       chance.nextLong()));
       ObjectNode settings = (ObjectNode) one.path("settings");
       settings.put("siblings", Math.max(size.fleet(), topology.nodes().size()));
@@ -258,19 +261,19 @@
     long from = begun + (long) (file.sockets().fromS() * SECOND);
     long to = begun + (long) (file.sockets().spanS() * SECOND);
     sleepUntil(from);
-    Moment first = nodes.now();
+    MetricsSnapshot first = nodes.now();
     if (size.trouble() != null) {
       sleepUntil((from + to) / 2);
       standIns.trouble(size.trouble(), true);
     }
     sleepUntil(to);
-    Moment last = nodes.now();
+    MetricsSnapshot last = nodes.now();
     if (size.trouble() != null) {
       standIns.trouble(size.trouble(), false);
     }
-    new CalmFigures(size, figures).calm(first, last);
+    new SteadyStateMetrics(size, figures).calm(first, last);
     progress.accept("calm is measured; the list changes");
-    new ListChanges(nodes, topology.zones().size(), figures).play();
+    new EndpointListChanges(nodes, topology.zones().size(), figures).play();
     real.await();
     hollow.await();
     direct.await();
@@ -284,9 +287,9 @@
    */
   private void alone() throws IOException, InterruptedException {
     sleepUntil(System.nanoTime() + (long) (REST_S * SECOND));
-    Moment first = nodes.now();
+    MetricsSnapshot first = nodes.now();
     sleepUntil(first.at() + (long) (Math.min(ALONE_S, file.sockets().spanS() / 2) * SECOND));
-    Moment last = nodes.now();
+    MetricsSnapshot last = nodes.now();
     if (size.real() > 0) {
       double share = last.realCpuS(first) / size.real() / ((last.at() - first.at()) / SECOND);
       figures.put("real-cpu-without-requests-core-share", share);
@@ -301,9 +304,9 @@
   }
 
   private void latencies(long from, long to) {
-    Asked.Outcome by = direct.outcome(standIns, from, to);
-    for (Map.Entry<String, Asked> one : Map.of("real", real, "hollow", hollow).entrySet()) {
-      Asked.Outcome outcome = one.getValue().outcome(standIns, from, to);
+    RequestBatch.Outcome by = direct.outcome(standIns, from, to);
+    for (Map.Entry<String, RequestBatch> one : Map.of("real", real, "hollow", hollow).entrySet()) {
+      RequestBatch.Outcome outcome = one.getValue().outcome(standIns, from, to);
       if (outcome.asked() > 0) {
         figures.put(one.getKey() + "-served-share", (double) outcome.served() / outcome.asked());
         figures.put(
--- a/testbed/src/main/java/edgegateway/testbed/scale/sockets/CalmFigures.java
+++ b/testbed/src/main/java/edgegateway/testbed/scale/sockets/SteadyStateMetrics.java
@@ -1,6 +1,6 @@
 package edgegateway.testbed.scale.sockets;
 
-import edgegateway.testbed.process.Usage;
+import edgegateway.testbed.processes.ProcessUsage;
 import edgegateway.testbed.scale.ScaleFile.SocketsSize;
 import java.util.Map;
 import java.util.TreeMap;
@@ -9,7 +9,7 @@
  * What a calm span came to: differences of two moments by node and second, by the names of a
  * point's figures.
  */
-final class CalmFigures {
+final class SteadyStateMetrics {
   private static final double SECOND = 1e9;
   private static final double MB = 1 << 20;
 
@@ -17,7 +17,7 @@
   private final Map<String, Double> figures;
 
   /** They are put among these figures. */
-  CalmFigures(SocketsSize size, Map<String, Double> figures) {
+  SteadyStateMetrics(SocketsSize size, Map<String, Double> figures) {
     this.size = size;
     this.figures = figures;
   }
@@ -26,14 +26,14 @@
    * Figures of the calm span: of control by node, of calls and requests by the nodes that are
    * asked.
    */
-  void calm(Moment first, Moment last) {
+  void calm(MetricsSnapshot first, MetricsSnapshot last) {
     double span = (last.at() - first.at()) / SECOND;
     double nodes = size.real() + size.hollow();
     double asked =
         (size.realRequestsPerS() > 0 ? size.real() : 0)
             + (size.hollowRequestsPerS() > 0 ? size.hollow() : 0);
-    StandIns.Counts from = first.counts();
-    StandIns.Counts to = last.counts();
+    FakePlatform.Counts from = first.counts();
+    FakePlatform.Counts to = last.counts();
     figures.put(
         "discovery-to-node-bytes-per-node-s",
         (to.discoveryOut() - from.discoveryOut()) / nodes / span);
@@ -83,7 +83,7 @@
     usage(first, last, span);
   }
 
-  private void usage(Moment first, Moment last, double span) {
+  private void usage(MetricsSnapshot first, MetricsSnapshot last, double span) {
     if (size.real() > 0) {
       figures.put("real-cpu-core-share", last.realCpuS(first) / size.real() / span);
       Map<String, Double> threads = new TreeMap<>();
@@ -104,10 +104,10 @@
                   "real-cpu-" + kind + "-core-share", Math.max(0, cpu) / size.real() / span));
       figures.put(
           "real-resident-mb",
-          last.reals().stream().mapToLong(Usage::residentBytes).sum() / MB / size.real());
+          last.reals().stream().mapToLong(ProcessUsage::residentBytes).sum() / MB / size.real());
       figures.put(
           "real-resident-most-mb",
-          last.reals().stream().mapToLong(Usage::residentBytes).max().orElseThrow() / MB);
+          last.reals().stream().mapToLong(ProcessUsage::residentBytes).max().orElseThrow() / MB);
       figures.put("real-longest-turn-before-ms", first.longestTurnMs());
       figures.put("real-longest-turn-ms", last.longestTurnMs());
     }
--- a/testbed/src/main/java/edgegateway/testbed/scale/sockets/Nodes.java
+++ b/testbed/src/main/java/edgegateway/testbed/scale/sockets/TestNodes.java
@@ -1,6 +1,6 @@
 package edgegateway.testbed.scale.sockets;
 
-import edgegateway.testbed.process.Usage;
+import edgegateway.testbed.processes.ProcessUsage;
 import edgegateway.testbed.scale.ScaleFile.SocketsSize;
 import java.io.IOException;
 import java.util.ArrayList;
@@ -13,8 +13,12 @@
  * @param hollows null if there are none
  * @param listings when hollow nodes went by which version of the list
  */
-record Nodes(
-    SocketsSize size, StandIns standIns, RealNodes reals, HollowNodes hollows, Listings listings) {
+record TestNodes(
+    SocketsSize size,
+    FakePlatform standIns,
+    RealNodeProcesses reals,
+    HollowNodeProcess hollows,
+    RevisionTracker listings) {
   /** How many there are. */
   double count() {
     return size.real() + size.hollow();
@@ -30,14 +34,14 @@
   }
 
   /** All that counts up, now. */
-  Moment now() throws IOException, InterruptedException {
-    List<Usage> usages = new ArrayList<>();
+  MetricsSnapshot now() throws IOException, InterruptedException {
+    List<ProcessUsage> usages = new ArrayList<>();
     List<Map<String, Long>> vars = new ArrayList<>();
     for (int i = 0; i < size.real(); i++) {
       usages.add(reals.usage(i));
       vars.add(reals.figures(i));
     }
-    return new Moment(
+    return new MetricsSnapshot(
         System.nanoTime(),
         standIns.counts(),
         usages,
--- a/testbed/src/main/java/edgegateway/testbed/scenario/CounterFaults.java
+++ b/testbed/src/main/java/edgegateway/testbed/scenario/CounterFaults.java
@@ -1,7 +1,7 @@
 package edgegateway.testbed.scenario;
 
+import edgegateway.testbed.fakes.FakeCounter;
 import edgegateway.testbed.scenario.Scenario.CounterTrouble;
-import edgegateway.testbed.stand.Counter;
 import java.util.SplittableRandom;
 import java.util.function.IntConsumer;
 
@@ -12,7 +12,7 @@
   private CounterFaults() {}
 
   /** It begins, at a time of the core's clock. */
-  public static void begin(CounterTrouble what, Counter<?> core, long now) {
+  public static void begin(CounterTrouble what, FakeCounter<?> core, long now) {
     switch (what) {
       case GONE -> parts(core, part -> core.lose(now, part));
       case FLUSHED -> flush(core, now);
@@ -21,7 +21,7 @@
   }
 
   /** It ends. */
-  public static void end(CounterTrouble what, Counter<?> core, long now) {
+  public static void end(CounterTrouble what, FakeCounter<?> core, long now) {
     switch (what) {
       case GONE -> parts(core, part -> core.restore(now, part));
       case FLUSHED -> flush(core, now);
@@ -29,12 +29,12 @@
     }
   }
 
-  private static void flush(Counter<?> core, long now) {
+  private static void flush(FakeCounter<?> core, long now) {
     // All names are forgotten: nothing is drawn.
     core.flush(now, 1, new SplittableRandom(0));
   }
 
-  private static void parts(Counter<?> core, IntConsumer what) {
+  private static void parts(FakeCounter<?> core, IntConsumer what) {
     for (int part = 0; part < core.parts(); part++) {
       what.accept(part);
     }
--- a/testbed/src/main/java/edgegateway/testbed/scenario/Mark.java
+++ b/testbed/src/main/java/edgegateway/testbed/scenario/FaultInterval.java
@@ -4,4 +4,4 @@
  * A fault of a play: when it began and was mended, in seconds from the first arrival, and what it
  * was.
  */
-public record Mark(double fromS, double untilS, String text) {}
+public record FaultInterval(double fromS, double untilS, String text) {}
--- a/testbed/src/main/java/edgegateway/testbed/scenario/Script.java
+++ b/testbed/src/main/java/edgegateway/testbed/scenario/FaultSchedule.java
@@ -1,9 +1,9 @@
 package edgegateway.testbed.scenario;
 
+import edgegateway.testbed.checker.HistoryEvent;
 import edgegateway.testbed.fleet.Topology;
-import edgegateway.testbed.judge.Event;
-import edgegateway.testbed.net.Party;
-import edgegateway.testbed.net.Selector;
+import edgegateway.testbed.network.NetworkPeer;
+import edgegateway.testbed.network.PeerSelector;
 import java.io.IOException;
 import java.util.ArrayList;
 import java.util.Comparator;
@@ -11,7 +11,7 @@
 import java.util.Locale;
 
 /** A scenario's faults as steps in the order of their times. */
-public final class Script {
+public final class FaultSchedule {
   /** How late discovery tells what changes, in nanoseconds. */
   public static final long TOLD = 500_000_000L;
 
@@ -32,12 +32,12 @@
   /** A step: when, in nanoseconds from the first arrival; what, for people; and what it does. */
   public record Step(long at, String text, Change change) {}
 
-  private Script() {}
+  private FaultSchedule() {}
 
   /** The faults of a scenario for people. */
-  static List<Mark> marks(Scenario scenario) {
+  static List<FaultInterval> marks(Scenario scenario) {
     return scenario.faults().stream()
-        .map(fault -> new Mark(fault.atS(), fault.untilS(), text(fault)))
+        .map(fault -> new FaultInterval(fault.atS(), fault.untilS(), text(fault)))
         .toList();
   }
 
@@ -55,7 +55,7 @@
   }
 
   /** All steps of a scenario on a stage. */
-  public static List<Step> of(Scenario scenario, Stage stage) {
+  public static List<Step> of(Scenario scenario, FaultTarget stage) {
     Topology topology = scenario.topology().topology();
     List<Step> steps = new ArrayList<>();
     for (Scenario.Fault fault : scenario.faults()) {
@@ -64,15 +64,15 @@
       long at = (long) (fault.atS() * SECOND);
       long until = (long) (fault.untilS() * SECOND);
       if (fault.what() != null) {
-        Selector whom = Selector.parse(fault.whom());
+        PeerSelector whom = PeerSelector.parse(fault.whom());
         steps.add(new Step(at, text, () -> stage.begin(fault.what(), whom, until - at)));
         steps.add(new Step(until, "no more: " + text, () -> stage.end(fault.what(), whom)));
       } else if (fault.counter() != null) {
         steps.add(new Step(at, text, () -> stage.begin(fault.counter())));
         steps.add(new Step(until, "no more: " + text, () -> stage.end(fault.counter())));
       } else {
-        Selector from = Selector.parse(fault.from());
-        Selector to = Selector.parse(fault.to());
+        PeerSelector from = PeerSelector.parse(fault.from());
+        PeerSelector to = PeerSelector.parse(fault.to());
         boolean both = Boolean.TRUE.equals(fault.both());
         steps.add(
             new Step(
@@ -93,12 +93,12 @@
 
   /** Nodes that the front does not reach, or does not hear, while a fault is on. */
   private static void cutOff(
-      Topology topology, Stage stage, Selector from, Selector to, long span) {
-    for (Party node : topology.nodes()) {
+      Topology topology, FaultTarget stage, PeerSelector from, PeerSelector to, long span) {
+    for (NetworkPeer node : topology.nodes()) {
       boolean there = from.matches(topology.front()) && to.matches(node);
       boolean back = from.matches(node) && to.matches(topology.front());
       if (there || back) {
-        stage.seen(new Event.Lost(stage.now(), node.name(), stage.now() + span + GRACE));
+        stage.seen(new HistoryEvent.Lost(stage.now(), node.name(), stage.now() + span + GRACE));
       }
     }
   }
--- a/testbed/src/main/java/edgegateway/testbed/scenario/Stage.java
+++ b/testbed/src/main/java/edgegateway/testbed/scenario/FaultTarget.java
@@ -1,18 +1,18 @@
 package edgegateway.testbed.scenario;
 
-import edgegateway.testbed.judge.Event;
-import edgegateway.testbed.net.Conditions;
-import edgegateway.testbed.net.Party;
-import edgegateway.testbed.net.Selector;
+import edgegateway.testbed.checker.HistoryEvent;
+import edgegateway.testbed.network.LinkConditions;
+import edgegateway.testbed.network.NetworkPeer;
+import edgegateway.testbed.network.PeerSelector;
 import java.io.IOException;
 
 /** What a scenario's faults act on: real processes, or a model of them. */
-public interface Stage {
+public interface FaultTarget {
   /** Its clock, in nanoseconds. */
   long now();
 
   /** Writes something into the history that the judge reads. */
-  void seen(Event event);
+  void seen(HistoryEvent event);
 
   /**
    * Writes down what there is to say of an archive server's life at its end.
@@ -20,15 +20,16 @@
    * @param pressure the most of what it may be sent while cold that it was sent, as a share
    * @param fellAt when it was pushed over; {@link Long#MAX_VALUE} if it was not
    */
-  default void lived(Party server, double pressure, long fellAt) {
-    seen(new Event.Pressed(now(), server.name(), pressure));
+  default void lived(NetworkPeer server, double pressure, long fellAt) {
+    seen(new HistoryEvent.Pressed(now(), server.name(), pressure));
     if (fellAt != Long.MAX_VALUE) {
-      seen(new Event.Fell(fellAt, server.name()));
+      seen(new HistoryEvent.Fell(fellAt, server.name()));
     }
   }
 
   /** From now on the way between these is so, in the one direction or in both. */
-  void fault(String name, Selector from, Selector to, boolean both, Conditions conditions)
+  void fault(
+      String name, PeerSelector from, PeerSelector to, boolean both, LinkConditions conditions)
       throws IOException;
 
   /** Ends a fault. */
@@ -38,11 +39,11 @@
    * Something happens to processes for {@code span} nanoseconds; what it keeps nodes from is
    * written down as lost.
    */
-  void begin(Scenario.Trouble what, Selector whom, long span)
+  void begin(Scenario.Trouble what, PeerSelector whom, long span)
       throws IOException, InterruptedException;
 
   /** That is mended; which archive servers began anew is written down. */
-  void end(Scenario.Trouble what, Selector whom) throws IOException, InterruptedException;
+  void end(Scenario.Trouble what, PeerSelector whom) throws IOException, InterruptedException;
 
   /** Something happens to the counter. */
   void begin(Scenario.CounterTrouble what);
--- a/testbed/src/main/java/edgegateway/testbed/scenario/Capacity.java
+++ b/testbed/src/main/java/edgegateway/testbed/scenario/FleetCapacity.java
@@ -1,9 +1,9 @@
 package edgegateway.testbed.scenario;
 
-import edgegateway.testbed.judge.Event;
-import edgegateway.testbed.load.Arrival;
-import edgegateway.testbed.stand.ArchiveServer;
-import edgegateway.testbed.stand.ServerTerms;
+import edgegateway.testbed.checker.HistoryEvent;
+import edgegateway.testbed.fakes.FakeArchiveServer;
+import edgegateway.testbed.fakes.FakeArchiveServerSettings;
+import edgegateway.testbed.workload.RequestArrival;
 import java.util.ArrayList;
 import java.util.Comparator;
 import java.util.HashMap;
@@ -14,18 +14,18 @@
  * What the archive servers that run could do at best, as they die, start and warm up. Links, slow
  * and failing servers are not in it.
  */
-final class Capacity {
+final class FleetCapacity {
   private static final double SECOND = 1e9;
   private static final int STEPS = 20;
 
   /** A life of a server; {@code warmFrom} is when it began to warm. */
   private record Life(long from, long until, long warmFrom) {}
 
-  private final ServerTerms terms;
+  private final FakeArchiveServerSettings terms;
   private final List<Life> lives = new ArrayList<>();
 
   /** All servers run warm until the history, in the order of its times, says else. */
-  Capacity(Scenario scenario, List<Event> history) {
+  FleetCapacity(Scenario scenario, List<HistoryEvent> history) {
     terms = scenario.servers().terms();
     Map<String, Life> running = new HashMap<>();
     scenario
@@ -36,11 +36,11 @@
             server ->
                 running.put(
                     server.name(), new Life(Long.MIN_VALUE, Long.MAX_VALUE, Long.MIN_VALUE)));
-    for (Event event : history) {
-      if (event instanceof Event.Died died && running.containsKey(died.server())) {
+    for (HistoryEvent event : history) {
+      if (event instanceof HistoryEvent.Died died && running.containsKey(died.server())) {
         Life life = running.remove(died.server());
         lives.add(new Life(life.from, died.at(), life.warmFrom));
-      } else if (event instanceof Event.Started started) {
+      } else if (event instanceof HistoryEvent.Started started) {
         running.put(started.server(), new Life(started.at(), Long.MAX_VALUE, started.at()));
       }
     }
@@ -58,7 +58,7 @@
               terms.cores()
                   * (life.warmFrom == Long.MIN_VALUE
                       ? 1
-                      : ArchiveServer.warmth(terms, at - life.warmFrom));
+                      : FakeArchiveServer.warmth(terms, at - life.warmFrom));
         }
       }
     }
@@ -69,12 +69,12 @@
    * The most worth of these arrivals, all of one span of that work, that could be served: the
    * dearest first, as far as it goes.
    */
-  static double possible(Scenario scenario, List<Arrival> arrivals, double work) {
+  static double possible(Scenario scenario, List<RequestArrival> arrivals, double work) {
     double left = work;
     double worth = 0;
-    for (Arrival one :
+    for (RequestArrival one :
         arrivals.stream()
-            .sorted(Comparator.comparingDouble((Arrival each) -> -worth(scenario, each)))
+            .sorted(Comparator.comparingDouble((RequestArrival each) -> -worth(scenario, each)))
             .toList()) {
       left -= one.work();
       if (left < 0) {
@@ -85,7 +85,7 @@
     return worth;
   }
 
-  static double worth(Scenario scenario, Arrival of) {
+  static double worth(Scenario scenario, RequestArrival of) {
     return scenario.load().classes().get(of.requestClass()).worth()
         * scenario.load().plans().get(of.plan()).price();
   }
--- a/testbed/src/main/java/edgegateway/testbed/scenario/HistoryFile.java
+++ b/testbed/src/main/java/edgegateway/testbed/scenario/HistoryFile.java
@@ -2,7 +2,7 @@
 
 import com.fasterxml.jackson.databind.ObjectMapper;
 import com.fasterxml.jackson.databind.node.ObjectNode;
-import edgegateway.testbed.judge.Event;
+import edgegateway.testbed.checker.HistoryEvent;
 import java.io.BufferedWriter;
 import java.io.IOException;
 import java.nio.file.Files;
@@ -24,9 +24,10 @@
   private HistoryFile() {}
 
   /** Writes a history into a play's folder. */
-  public static void write(Path folder, long begun, List<Event> history) throws IOException {
+  public static void write(Path folder, long begun, List<HistoryEvent> history) throws IOException {
     try (BufferedWriter out = Files.newBufferedWriter(folder.resolve(NAME))) {
-      for (Event event : history.stream().sorted(Comparator.comparingLong(Event::at)).toList()) {
+      for (HistoryEvent event :
+          history.stream().sorted(Comparator.comparingLong(HistoryEvent::at)).toList()) {
         ObjectNode line =
             JSON.createObjectNode()
                 .put("atS", (event.at() - begun) / SECOND)
--- a/testbed/src/main/java/edgegateway/testbed/scenario/Recovery.java
+++ b/testbed/src/main/java/edgegateway/testbed/scenario/RecoveryMetrics.java
@@ -15,7 +15,7 @@
  *     served
  * @param afterOf the same from the last mend to the end
  */
-public record Recovery(
+public record RecoveryMetrics(
     double before,
     int toHalf,
     int toNineTenths,
@@ -31,16 +31,16 @@
    * Of a play whose faults begin and end at these seconds; null if it had none, or no second before
    * them.
    */
-  static Recovery of(List<Second> seconds, double faultsFrom, double faultsUntil) {
+  static RecoveryMetrics of(List<SecondMetrics> seconds, double faultsFrom, double faultsUntil) {
     int from = (int) faultsFrom;
     int until = (int) Math.ceil(faultsUntil);
     if (from < 2 || until >= seconds.size()) {
       return null;
     }
     double before = goodput(seconds.subList(1, from));
-    ToDoubleFunction<Second> good = Second::good;
-    ToDoubleFunction<Second> possible = Second::possible;
-    return new Recovery(
+    ToDoubleFunction<SecondMetrics> good = SecondMetrics::good;
+    ToDoubleFunction<SecondMetrics> possible = SecondMetrics::possible;
+    return new RecoveryMetrics(
         before,
         after(seconds, until, HALF * before, good),
         after(seconds, until, MOST * before, good),
@@ -50,13 +50,13 @@
         part(seconds.subList(until, seconds.size())));
   }
 
-  private static double part(List<Second> seconds) {
-    double possible = seconds.stream().mapToDouble(Second::possible).sum();
-    return possible == 0 ? 1 : seconds.stream().mapToDouble(Second::good).sum() / possible;
+  private static double part(List<SecondMetrics> seconds) {
+    double possible = seconds.stream().mapToDouble(SecondMetrics::possible).sum();
+    return possible == 0 ? 1 : seconds.stream().mapToDouble(SecondMetrics::good).sum() / possible;
   }
 
   private static int after(
-      List<Second> seconds, int until, double least, ToDoubleFunction<Second> what) {
+      List<SecondMetrics> seconds, int until, double least, ToDoubleFunction<SecondMetrics> what) {
     for (int i = until; i + 1 < seconds.size(); i++) {
       if (share(seconds.get(i), what) >= least && share(seconds.get(i + 1), what) >= least) {
         return i - until;
@@ -65,12 +65,12 @@
     return -1;
   }
 
-  private static double share(Second of, ToDoubleFunction<Second> what) {
+  private static double share(SecondMetrics of, ToDoubleFunction<SecondMetrics> what) {
     return of.worth() == 0 ? 1 : what.applyAsDouble(of) / of.worth();
   }
 
-  private static double goodput(List<Second> seconds) {
-    double worth = seconds.stream().mapToDouble(Second::worth).sum();
-    return worth == 0 ? 1 : seconds.stream().mapToDouble(Second::good).sum() / worth;
+  private static double goodput(List<SecondMetrics> seconds) {
+    double worth = seconds.stream().mapToDouble(SecondMetrics::worth).sum();
+    return worth == 0 ? 1 : seconds.stream().mapToDouble(SecondMetrics::good).sum() / worth;
   }
 }
