--- a/testbed/src/main/java/edgegateway/testbed/scenario/Result.java
+++ b/testbed/src/main/java/edgegateway/testbed/scenario/RunResult.java
@@ -1,13 +1,13 @@
 package edgegateway.testbed.scenario;
 
-import edgegateway.testbed.judge.Event;
-import edgegateway.testbed.judge.Finding;
-import edgegateway.testbed.judge.Judge;
-import edgegateway.testbed.load.Arrival;
-import edgegateway.testbed.load.Arrivals;
-import edgegateway.testbed.load.RequestClass;
-import edgegateway.testbed.load.Retries;
-import edgegateway.testbed.net.Party;
+import edgegateway.testbed.checker.HistoryEvent;
+import edgegateway.testbed.checker.InvariantChecker;
+import edgegateway.testbed.checker.Violation;
+import edgegateway.testbed.network.NetworkPeer;
+import edgegateway.testbed.workload.ArrivalGenerator;
+import edgegateway.testbed.workload.ClientRetryPolicy;
+import edgegateway.testbed.workload.RequestArrival;
+import edgegateway.testbed.workload.WorkloadClass;
 import java.util.ArrayList;
 import java.util.Comparator;
 import java.util.HashMap;
@@ -40,7 +40,7 @@
  * @param marks its faults, as the scenario has them
  * @param findings the broken rules
  */
-public record Result(
+public record RunResult(
     String scenario,
     long seed,
     String arrivals,
@@ -56,10 +56,10 @@
     long attempts,
     int fell,
     double pressure,
-    Recovery recovery,
-    List<Mark> marks,
-    List<Second> seconds,
-    List<Finding> findings) {
+    RecoveryMetrics recovery,
+    List<FaultInterval> marks,
+    List<SecondMetrics> seconds,
+    List<Violation> findings) {
   private static final double MS = 1e6;
   private static final double SECOND = 1e9;
   private static final long MOST = 60_000_000_000L;
@@ -70,7 +70,7 @@
 
   /** A second while it is added up. */
   private static final class Sum {
-    final List<Arrival> arrivals = new ArrayList<>();
+    final List<RequestArrival> arrivals = new ArrayList<>();
     int served;
     int refused;
     double worth;
@@ -79,13 +79,13 @@
     final Set<String> reached = new HashSet<>();
     final Histogram times = new Histogram(MOST, DIGITS);
 
-    Second second(Scenario scenario, double work) {
+    SecondMetrics second(Scenario scenario, double work) {
       double servers = scenario.topology().servers();
-      return new Second(
+      return new SecondMetrics(
           arrivals.size(),
           worth,
           good,
-          Capacity.possible(scenario, arrivals, work),
+          FleetCapacity.possible(scenario, arrivals, work),
           served,
           refused,
           times.getValueAtPercentile(50) / MS,
@@ -100,10 +100,14 @@
    * Judges a history and adds it up; {@code begun} is when arrivals began, {@code end} is after its
    * last event.
    */
-  public static Result of(
-      Scenario scenario, List<Arrival> arrivals, List<Event> history, long begun, long end) {
+  public static RunResult of(
+      Scenario scenario,
+      List<RequestArrival> arrivals,
+      List<HistoryEvent> history,
+      long begun,
+      long end) {
     Map<String, String> zones = new HashMap<>();
-    for (Party server : scenario.topology().topology().servers()) {
+    for (NetworkPeer server : scenario.topology().topology().servers()) {
       zones.put(server.name(), server.zone());
     }
     List<Sum> seconds = new ArrayList<>();
@@ -111,42 +115,43 @@
       seconds.add(new Sum());
     }
     Map<String, Long> askedAt = new HashMap<>();
-    Map<String, Event.Answered> answers = new HashMap<>();
+    Map<String, HistoryEvent.Answered> answers = new HashMap<>();
     int tries = 0;
     int attempts = 0;
     int fell = 0;
     double pressure = 0;
-    List<Event> inOrder = history.stream().sorted(Comparator.comparingLong(Event::at)).toList();
-    for (Event event : inOrder) {
-      if (event instanceof Event.Asked asked) {
-        askedAt.putIfAbsent(Retries.request(asked.id()), asked.at());
+    List<HistoryEvent> inOrder =
+        history.stream().sorted(Comparator.comparingLong(HistoryEvent::at)).toList();
+    for (HistoryEvent event : inOrder) {
+      if (event instanceof HistoryEvent.Asked asked) {
+        askedAt.putIfAbsent(ClientRetryPolicy.request(asked.id()), asked.at());
         tries++;
-      } else if (event instanceof Event.Answered answered) {
+      } else if (event instanceof HistoryEvent.Answered answered) {
         answers.merge(
-            Retries.request(answered.id()),
+            ClientRetryPolicy.request(answered.id()),
             answered,
             (first, next) -> first.status() == OK ? first : next);
-      } else if (event instanceof Event.Sent sent) {
+      } else if (event instanceof HistoryEvent.Sent sent) {
         attempts++;
         int at = (int) ((sent.at() - begun) / SECOND);
         if (at < seconds.size()) {
           seconds.get(at).reached.add(sent.server());
           seconds.get(at).attempts.merge(zones.get(sent.server()), 1, Integer::sum);
         }
-      } else if (event instanceof Event.Fell) {
+      } else if (event instanceof HistoryEvent.Fell) {
         fell++;
-      } else if (event instanceof Event.Pressed pressed) {
+      } else if (event instanceof HistoryEvent.Pressed pressed) {
         pressure = Math.max(pressure, pressed.share());
       }
     }
     Histogram times = new Histogram(MOST, DIGITS);
-    List<RequestClass> classes = scenario.classes();
-    for (Arrival one : arrivals) {
+    List<WorkloadClass> classes = scenario.classes();
+    for (RequestArrival one : arrivals) {
       Sum in = seconds.get((int) (one.at() / SECOND));
-      double its = Capacity.worth(scenario, one);
+      double its = FleetCapacity.worth(scenario, one);
       in.arrivals.add(one);
       in.worth += its;
-      Event.Answered answer = answers.get(one.id());
+      HistoryEvent.Answered answer = answers.get(one.id());
       if (answer != null && answer.status() == OK) {
         long took = answer.at() - askedAt.get(one.id());
         times.recordValue(Math.min(took, MOST));
@@ -162,25 +167,25 @@
     double good = seconds.stream().mapToDouble(one -> one.good).sum();
     int served = seconds.stream().mapToInt(one -> one.served).sum();
     int refused = seconds.stream().mapToInt(one -> one.refused).sum();
-    Capacity capacity = new Capacity(scenario, inOrder);
-    List<Second> all = new ArrayList<>();
+    FleetCapacity capacity = new FleetCapacity(scenario, inOrder);
+    List<SecondMetrics> all = new ArrayList<>();
     for (int i = 0; i < seconds.size(); i++) {
       long from = begun + (long) (i * SECOND);
       Sum one = seconds.get(i);
       all.add(one.second(scenario, capacity.between(from, from + (long) SECOND)));
     }
-    double possible = all.stream().mapToDouble(Second::possible).sum();
-    Recovery recovery =
+    double possible = all.stream().mapToDouble(SecondMetrics::possible).sum();
+    RecoveryMetrics recovery =
         scenario.faults().isEmpty()
             ? null
-            : Recovery.of(
+            : RecoveryMetrics.of(
                 all,
                 scenario.faults().stream().mapToDouble(Scenario.Fault::atS).min().orElseThrow(),
                 scenario.faults().stream().mapToDouble(Scenario.Fault::untilS).max().orElseThrow());
-    return new Result(
+    return new RunResult(
         scenario.name(),
         scenario.seed(),
-        Arrivals.digest(arrivals),
+        ArrivalGenerator.digest(arrivals),
         arrivals.size(),
         worth == 0 ? 0 : good / worth,
         worth == 0 ? 0 : possible / worth,
@@ -194,8 +199,8 @@
         fell,
         pressure,
         recovery,
-        Script.marks(scenario),
+        FaultSchedule.marks(scenario),
         all,
-        Judge.judge(scenario.rules(), history, end));
+        InvariantChecker.judge(scenario.rules(), history, end));
   }
 }
--- a/testbed/src/main/java/edgegateway/testbed/scenario/Scenario.java
+++ b/testbed/src/main/java/edgegateway/testbed/scenario/Scenario.java
@@ -2,20 +2,20 @@
 
 import com.fasterxml.jackson.annotation.JsonProperty;
 import edgegateway.node.zones.ZoneEjectionSettings;
-import edgegateway.testbed.fleet.Load;
+import edgegateway.testbed.checker.InvariantSettings;
+import edgegateway.testbed.fakes.FakeArchiveServerSettings;
+import edgegateway.testbed.fakes.FakeCounterSettings;
 import edgegateway.testbed.fleet.Topology;
-import edgegateway.testbed.judge.Terms;
-import edgegateway.testbed.load.Arrival;
-import edgegateway.testbed.load.Arrivals;
-import edgegateway.testbed.load.Asking;
-import edgegateway.testbed.load.Plan;
-import edgegateway.testbed.load.RequestClass;
-import edgegateway.testbed.load.Retries;
-import edgegateway.testbed.net.Conditions;
-import edgegateway.testbed.net.Party;
-import edgegateway.testbed.net.Selector;
-import edgegateway.testbed.stand.CounterTerms;
-import edgegateway.testbed.stand.ServerTerms;
+import edgegateway.testbed.fleet.WorkloadSettings;
+import edgegateway.testbed.network.LinkConditions;
+import edgegateway.testbed.network.NetworkPeer;
+import edgegateway.testbed.network.PeerSelector;
+import edgegateway.testbed.workload.ArrivalGenerator;
+import edgegateway.testbed.workload.ClientBehavior;
+import edgegateway.testbed.workload.ClientRetryPolicy;
+import edgegateway.testbed.workload.CustomerPlan;
+import edgegateway.testbed.workload.RequestArrival;
+import edgegateway.testbed.workload.WorkloadClass;
 import java.nio.file.Path;
 import java.util.List;
 import java.util.Map;
@@ -62,10 +62,10 @@
   private static final double MOST_SPAN_S = 3_600;
 
   /** A file that can't be played; the message is one line that names the place. */
-  public static final class Invalid extends Exception {
+  public static final class InvalidScenarioException extends Exception {
     private static final long serialVersionUID = 1L;
 
-    Invalid(String message) {
+    InvalidScenarioException(String message) {
       super(message);
     }
   }
@@ -116,11 +116,11 @@
     }
 
     /** The same for a stand-in. */
-    public ServerTerms terms() {
+    public FakeArchiveServerSettings terms() {
       return terms(cores, slots, room, coldFrom, rampS, overload, tipAfterS, keyLifeS);
     }
 
-    private static ServerTerms terms(
+    private static FakeArchiveServerSettings terms(
         double cores,
         int slots,
         int room,
@@ -129,7 +129,7 @@
         double overload,
         double tipAfterS,
         double keyLifeS) {
-      return new ServerTerms(
+      return new FakeArchiveServerSettings(
           cores,
           slots,
           room,
@@ -145,12 +145,12 @@
   public record Counter(int parts, double perCallMs, int line) {
     /** Checks its ranges; the message names the figure. */
     public Counter {
-      new CounterTerms(parts, (long) (perCallMs * MS), line);
+      new FakeCounterSettings(parts, (long) (perCallMs * MS), line);
     }
 
     /** The same for a stand-in. */
-    public CounterTerms terms() {
-      return new CounterTerms(parts, (long) (perCallMs * MS), line);
+    public FakeCounterSettings terms() {
+      return new FakeCounterSettings(parts, (long) (perCallMs * MS), line);
     }
   }
 
@@ -185,7 +185,7 @@
   public record Again(int most, double afterS, boolean heed) {
     /** Checks its ranges; the message names the figure. */
     public Again {
-      new Retries(most, (long) (afterS * SECOND), heed);
+      new ClientRetryPolicy(most, (long) (afterS * SECOND), heed);
     }
   }
 
@@ -200,7 +200,7 @@
       double worth) {
     /** Checks its ranges; the message names the figure. */
     public Kind {
-      new RequestClass(
+      new WorkloadClass(
           name,
           share,
           keyed,
@@ -211,8 +211,8 @@
     }
 
     /** The same for whoever sends. */
-    public RequestClass requestClass() {
-      return new RequestClass(
+    public WorkloadClass requestClass() {
+      return new WorkloadClass(
           name,
           share,
           keyed,
@@ -235,12 +235,12 @@
       int spread) {
     /** Checks its ranges; the message names the figure. */
     public Customers {
-      new Plan(name, customers, rate, burst, price, ceiling, use, spread);
+      new CustomerPlan(name, customers, rate, burst, price, ceiling, use, spread);
     }
 
     /** The same for whoever sends. */
-    public Plan plan() {
-      return new Plan(name, customers, rate, burst, price, ceiling, use, spread);
+    public CustomerPlan plan() {
+      return new CustomerPlan(name, customers, rate, burst, price, ceiling, use, spread);
     }
   }
 
@@ -307,22 +307,22 @@
       check(
           from != null || both == null && cut == null && loss == null && delayMs == null,
           "both, cut, loss and delay-ms are about from and to");
-      Stream.of(from, to, whom).filter(Objects::nonNull).forEach(Selector::parse);
+      Stream.of(from, to, whom).filter(Objects::nonNull).forEach(PeerSelector::parse);
       check(
           what != Trouble.ZONE_OUT
-              || Selector.parse(whom).kind() == Selector.Kind.ZONE
-                  && !Selector.parse(whom).others(),
+              || PeerSelector.parse(whom).kind() == PeerSelector.Kind.ZONE
+                  && !PeerSelector.parse(whom).others(),
           "zone-out is about a zone");
       conditions(cut, loss, delayMs);
     }
 
     /** What it makes of a link; good where it is not about links. */
-    public Conditions conditions() {
+    public LinkConditions conditions() {
       return conditions(cut, loss, delayMs);
     }
 
-    private static Conditions conditions(Boolean cut, Double loss, Double delayMs) {
-      return new Conditions(
+    private static LinkConditions conditions(Boolean cut, Double loss, Double delayMs) {
+      return new LinkConditions(
           Boolean.TRUE.equals(cut),
           loss == null ? 0 : loss,
           0,
@@ -347,14 +347,14 @@
 
   /** A fault about nobody is a slip of the pen, not a calm day. */
   private static void known(Topology of, String text) {
-    Selector selector = Selector.parse(text);
-    Stream<Party> all =
+    PeerSelector selector = PeerSelector.parse(text);
+    Stream<NetworkPeer> all =
         Stream.of(
                 of.nodes().stream(),
                 of.servers().stream(),
                 Stream.of(of.front(), of.counter(), of.discovery()))
             .flatMap(one -> one);
-    Selector named = new Selector(selector.kind(), selector.name(), false, selector.role());
+    PeerSelector named = new PeerSelector(selector.kind(), selector.name(), false, selector.role());
     check(all.anyMatch(named::matches), "'" + text + "' names nobody");
   }
 
@@ -365,39 +365,39 @@
   }
 
   /** Reads and checks a whole file. */
-  public static Scenario read(Path file) throws Invalid {
+  public static Scenario read(Path file) throws InvalidScenarioException {
     return YamlFile.read(file, Scenario.class);
   }
 
-  static Scenario parse(String text) throws Invalid {
+  static Scenario parse(String text) throws InvalidScenarioException {
     return YamlFile.parse(text, Scenario.class);
   }
 
   /** The classes, in their order. */
-  public List<RequestClass> classes() {
+  public List<WorkloadClass> classes() {
     return load.classes().stream().map(Kind::requestClass).toList();
   }
 
   /** The plans, in their order. */
-  public List<Plan> plans() {
+  public List<CustomerPlan> plans() {
     return load.plans().stream().map(Customers::plan).toList();
   }
 
   /** What edge nodes are told of what will be asked. */
-  public Load told() {
-    return new Load(
+  public WorkloadSettings told() {
+    return new WorkloadSettings(
         classes(), plans(), servers.terms().keyLife(), zones == null ? null : zones.settings());
   }
 
   /** How clients ask. */
-  public Asking asking() {
+  public ClientBehavior asking() {
     Again again = load.retries();
-    Retries retries =
+    ClientRetryPolicy retries =
         again == null
-            ? Retries.NONE
-            : new Retries(again.most(), (long) (again.afterS() * SECOND), again.heed());
-    return new Asking(
-        topology.topology().nodes().stream().map(Party::name).toList(),
+            ? ClientRetryPolicy.NONE
+            : new ClientRetryPolicy(again.most(), (long) (again.afterS() * SECOND), again.heed());
+    return new ClientBehavior(
+        topology.topology().nodes().stream().map(NetworkPeer::name).toList(),
         classes(),
         plans(),
         retries,
@@ -405,9 +405,9 @@
   }
 
   /** All requests, as its seed draws them. */
-  public List<Arrival> arrivals() {
-    return Arrivals.draw(
-        new Arrivals.Terms(
+  public List<RequestArrival> arrivals() {
+    return ArrivalGenerator.draw(
+        new ArrivalGenerator.Settings(
             (long) (spanS * SECOND),
             topology.nodes(),
             classes(),
@@ -418,23 +418,25 @@
   }
 
   /** The figures of the rules. */
-  public Terms rules() {
-    Load told = told();
-    return new Terms(
+  public InvariantSettings rules() {
+    WorkloadSettings told = told();
+    return new InvariantSettings(
         ANSWER_SLACK,
         STOP_WITHIN,
         servers.terms().tipAfter(),
         told.classes().stream()
             .map(
                 kind ->
-                    new Terms.Repeat(
-                        kind.keyed() ? Terms.Repeat.Kind.KEYED : Terms.Repeat.Kind.SAFE,
+                    new InvariantSettings.Repeat(
+                        kind.keyed()
+                            ? InvariantSettings.Repeat.Kind.KEYED
+                            : InvariantSettings.Repeat.Kind.SAFE,
                         told.keyLife()))
             .toList(),
         told.plans().stream()
             .map(
                 plan ->
-                    new Terms.Ceiling(
+                    new InvariantSettings.Ceiling(
                         plan.ceiling() * plan.rate(),
                         plan.ceiling() * plan.burst(),
                         told.slack(plan) + plan.ceiling() * plan.rate() * CEILING_SLACK / SECOND))
--- a/testbed/src/main/java/edgegateway/testbed/scenario/Play.java
+++ b/testbed/src/main/java/edgegateway/testbed/scenario/ScenarioRun.java
@@ -1,22 +1,22 @@
 package edgegateway.testbed.scenario;
 
+import edgegateway.testbed.checker.HistoryEvent;
+import edgegateway.testbed.fakes.DiscoveryMember;
+import edgegateway.testbed.fakes.DiscoveryMember.Phase;
+import edgegateway.testbed.fakes.DiscoveryMessage;
+import edgegateway.testbed.fakes.FakeArchiveServer;
+import edgegateway.testbed.fakes.http.ArchiveServerHttpFake;
 import edgegateway.testbed.fleet.Fleet;
 import edgegateway.testbed.fleet.Topology;
-import edgegateway.testbed.judge.Event;
-import edgegateway.testbed.load.Arrival;
-import edgegateway.testbed.load.Clients;
-import edgegateway.testbed.load.Retries;
-import edgegateway.testbed.net.Conditions;
-import edgegateway.testbed.net.Party;
-import edgegateway.testbed.net.Selector;
-import edgegateway.testbed.process.DeployFile;
-import edgegateway.testbed.process.NodeProcess.Signal;
+import edgegateway.testbed.network.LinkConditions;
+import edgegateway.testbed.network.NetworkPeer;
+import edgegateway.testbed.network.PeerSelector;
+import edgegateway.testbed.processes.DeployFile;
+import edgegateway.testbed.processes.NodeProcess.Signal;
 import edgegateway.testbed.scenario.Scenario.Trouble;
-import edgegateway.testbed.stand.ArchiveServer;
-import edgegateway.testbed.stand.Member;
-import edgegateway.testbed.stand.Member.Phase;
-import edgegateway.testbed.stand.Roll;
-import edgegateway.testbed.stand.http.ArchiveServerPort;
+import edgegateway.testbed.workload.ClientRetryPolicy;
+import edgegateway.testbed.workload.HttpClients;
+import edgegateway.testbed.workload.RequestArrival;
 import io.netty.channel.EventLoopGroup;
 import io.netty.channel.MultiThreadIoEventLoopGroup;
 import io.netty.channel.nio.NioIoHandler;
@@ -37,7 +37,7 @@
 import java.util.function.Consumer;
 
 /** One play of a scenario with real processes. */
-public final class Play implements Stage, Fleet.History {
+public final class ScenarioRun implements FaultTarget, Fleet.History {
   private static final double SECOND = 1e9;
 
   /** The status of a process that kill -9 ended. */
@@ -53,13 +53,13 @@
   private static final long LOOK_MS = 20;
   private final Scenario scenario;
   private final Topology topology;
-  private final Queue<Event> history = new ConcurrentLinkedQueue<>();
+  private final Queue<HistoryEvent> history = new ConcurrentLinkedQueue<>();
   private final Consumer<String> progress;
   private final Map<String, Long> works = new HashMap<>();
   private final SplittableRandom chance;
   private Fleet fleet;
 
-  private Play(Scenario scenario, Consumer<String> progress) {
+  private ScenarioRun(Scenario scenario, Consumer<String> progress) {
     this.scenario = scenario;
     this.progress = progress;
     topology = scenario.topology().topology();
@@ -73,13 +73,13 @@
    * @param progress hears a line for each step
    * @throws IOException if a process or a socket can't be had
    */
-  public static Result of(
+  public static RunResult of(
       Scenario scenario, DeployFile deploy, Path folder, Consumer<String> progress)
       throws IOException, InterruptedException {
-    return new Play(scenario, progress).run(deploy, folder);
+    return new ScenarioRun(scenario, progress).run(deploy, folder);
   }
 
-  private Result run(DeployFile deploy, Path folder) throws IOException, InterruptedException {
+  private RunResult run(DeployFile deploy, Path folder) throws IOException, InterruptedException {
     if (topology.nodes().size() > MOST_NODES || topology.servers().size() > MOST_SERVERS) {
       throw new IOException(
           "more than "
@@ -88,7 +88,7 @@
               + MOST_SERVERS
               + " servers are for the model alone");
     }
-    List<Arrival> arrivals = scenario.arrivals();
+    List<RequestArrival> arrivals = scenario.arrivals();
     arrivals.forEach(one -> works.put(one.id(), one.work()));
     long begun;
     EventLoopGroup loops = new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
@@ -97,11 +97,11 @@
             topology,
             deploy,
             folder,
-            new Fleet.Terms(
+            new Fleet.Settings(
                 scenario.servers().terms(),
                 scenario.counter().terms(),
                 scenario.told(),
-                id -> works.getOrDefault(Retries.request(id), 1L)),
+                id -> works.getOrDefault(ClientRetryPolicy.request(id), 1L)),
             this,
             scenario.seed())) {
       fleet = started;
@@ -109,15 +109,15 @@
       ready();
       progress.accept(
           topology.nodes().size() + " nodes are ready, " + arrivals.size() + " requests follow");
-      Clients clients =
-          new Clients(
+      HttpClients clients =
+          new HttpClients(
               loops.next(),
               node -> fleet.door(topology.nodes().get(node)),
               scenario.asking(),
               history::add);
       begun = System.nanoTime();
       CompletableFuture<Void> done = clients.play(arrivals);
-      for (Script.Step step : Script.of(scenario, this)) {
+      for (FaultSchedule.Step step : FaultSchedule.of(scenario, this)) {
         long left = begun + step.at() - System.nanoTime();
         if (left > 0) {
           TimeUnit.NANOSECONDS.sleep(left);
@@ -128,7 +128,7 @@
       }
       await(done, arrivals);
       topology.servers().forEach(this::last);
-      for (Party node : topology.nodes()) {
+      for (NetworkPeer node : topology.nodes()) {
         long first = begun;
         Files.write(
             folder.resolve(node.name()).resolve("log"),
@@ -142,14 +142,14 @@
     } finally {
       loops.shutdownGracefully(0, 1, TimeUnit.SECONDS).syncUninterruptibly();
     }
-    List<Event> all = List.copyOf(history);
+    List<HistoryEvent> all = List.copyOf(history);
     HistoryFile.write(folder, begun, all);
-    return Result.of(scenario, arrivals, all, begun, System.nanoTime());
+    return RunResult.of(scenario, arrivals, all, begun, System.nanoTime());
   }
 
-  private void await(CompletableFuture<Void> done, List<Arrival> arrivals)
+  private void await(CompletableFuture<Void> done, List<RequestArrival> arrivals)
       throws IOException, InterruptedException {
-    long longest = arrivals.stream().mapToLong(Arrival::deadline).max().orElse(0);
+    long longest = arrivals.stream().mapToLong(RequestArrival::deadline).max().orElse(0);
     try {
       done.get(
           (long) (scenario.spanS() * SECOND) + longest + TimeUnit.SECONDS.toNanos(END_S),
@@ -161,7 +161,7 @@
 
   private void ready() throws IOException, InterruptedException {
     long until = System.nanoTime() + TimeUnit.SECONDS.toNanos(READY_S);
-    for (Party node : topology.nodes()) {
+    for (NetworkPeer node : topology.nodes()) {
       while (!fleet.healthy(node)) {
         if (System.nanoTime() > until) {
           throw new IOException(node.name() + " is never ready: " + fleet.log(node));
@@ -172,47 +172,47 @@
   }
 
   @Override
-  public void told(long at, Party node, Roll roll) {
-    for (Member one : roll.members()) {
+  public void told(long at, NetworkPeer node, DiscoveryMessage roll) {
+    for (DiscoveryMember one : roll.members()) {
       if (one.phase() != Phase.READY) {
-        history.add(new Event.Told(at, node.name(), one.id()));
+        history.add(new HistoryEvent.Told(at, node.name(), one.id()));
       } else if (one.upSince() > 0) {
-        history.add(new Event.Learned(at, node.name(), one.id()));
+        history.add(new HistoryEvent.Learned(at, node.name(), one.id()));
       }
     }
   }
 
   @Override
-  public void ended(long at, Party node, int status, boolean asked) {
+  public void ended(long at, NetworkPeer node, int status, boolean asked) {
     if (!asked || status != 0 && status != KILLED) {
-      history.add(new Event.Crashed(at, node.name(), status));
+      history.add(new HistoryEvent.Crashed(at, node.name(), status));
     }
   }
 
   @Override
-  public ArchiveServerPort.History of(Party server) {
-    return new ArchiveServerPort.History() {
+  public ArchiveServerHttpFake.History of(NetworkPeer server) {
+    return new ArchiveServerHttpFake.History() {
       @Override
       public void arrived(long at, String id, String key) {
-        history.add(new Event.Sent(at, id, server.name()));
+        history.add(new HistoryEvent.Sent(at, id, server.name()));
       }
 
       @Override
-      public void ended(long at, String id, ArchiveServer.Ending how) {
-        if (how == ArchiveServer.Ending.TURNED_AWAY) {
-          history.add(new Event.TurnedAway(at, id, server.name()));
+      public void ended(long at, String id, FakeArchiveServer.Ending how) {
+        if (how == FakeArchiveServer.Ending.TURNED_AWAY) {
+          history.add(new HistoryEvent.TurnedAway(at, id, server.name()));
         }
       }
     };
   }
 
-  private void die(Party server) throws IOException {
+  private void die(NetworkPeer server) throws IOException {
     last(server);
-    history.add(new Event.Died(System.nanoTime(), server.name()));
+    history.add(new HistoryEvent.Died(System.nanoTime(), server.name()));
     fleet.kill(server);
   }
 
-  private void last(Party server) {
+  private void last(NetworkPeer server) {
     lived(server, fleet.pressure(server), fleet.fellAt(server));
   }
 
@@ -222,12 +222,13 @@
   }
 
   @Override
-  public void seen(Event event) {
+  public void seen(HistoryEvent event) {
     history.add(event);
   }
 
   @Override
-  public void fault(String name, Selector from, Selector to, boolean both, Conditions conditions)
+  public void fault(
+      String name, PeerSelector from, PeerSelector to, boolean both, LinkConditions conditions)
       throws IOException {
     fleet.fault(name, from, to, both, conditions);
   }
@@ -238,46 +239,48 @@
   }
 
   @Override
-  public void begin(Scenario.Trouble what, Selector whom, long span)
+  public void begin(Scenario.Trouble what, PeerSelector whom, long span)
       throws IOException, InterruptedException {
     if (what == Trouble.ZONE_OUT) {
       operators("zone-out " + whom.name());
       return;
     }
-    for (Party node : nodes(whom)) {
+    for (NetworkPeer node : nodes(whom)) {
       long from = System.nanoTime();
       switch (what) {
         case KILL -> {
           fleet.signal(node, Signal.KILL);
-          history.add(new Event.Lost(from, node.name(), System.nanoTime() + Script.GRACE));
+          history.add(
+              new HistoryEvent.Lost(from, node.name(), System.nanoTime() + FaultSchedule.GRACE));
         }
         case STOP -> {
           fleet.signal(node, Signal.STOP);
-          history.add(new Event.Lost(from, node.name(), from + span + Script.GRACE));
+          history.add(new HistoryEvent.Lost(from, node.name(), from + span + FaultSchedule.GRACE));
         }
         case TERM -> fleet.term(node);
         case SILENT -> fleet.silent(node, true);
         case DRAIN, SLOW, FAILING, ZONE_OUT -> {}
       }
     }
-    for (Party server : servers(whom)) {
+    for (NetworkPeer server : servers(whom)) {
       SplittableRandom own = chance.split();
       fleet.on(server, core -> ServerFaults.begin(what, core, System.nanoTime(), own));
       if (what == Trouble.KILL) {
         die(server);
       } else if (what == Trouble.DRAIN) {
-        fleet.drain(server, Script.TOLD);
+        fleet.drain(server, FaultSchedule.TOLD);
       }
     }
   }
 
   @Override
-  public void end(Scenario.Trouble what, Selector whom) throws IOException, InterruptedException {
+  public void end(Scenario.Trouble what, PeerSelector whom)
+      throws IOException, InterruptedException {
     if (what == Trouble.ZONE_OUT) {
       operators("zone-in " + whom.name());
       return;
     }
-    for (Party server : servers(whom)) {
+    for (NetworkPeer server : servers(whom)) {
       if (what == Trouble.SLOW || what == Trouble.FAILING) {
         fleet.on(server, core -> ServerFaults.end(what, core, System.nanoTime()));
       }
@@ -285,14 +288,14 @@
         die(server);
       }
       if (what == Trouble.DRAIN || what == Trouble.KILL) {
-        history.add(new Event.Started(System.nanoTime(), server.name()));
-        fleet.restart(server, Script.TOLD);
+        history.add(new HistoryEvent.Started(System.nanoTime(), server.name()));
+        fleet.restart(server, FaultSchedule.TOLD);
       }
     }
     if (what == Trouble.KILL || what == Trouble.TERM) {
       fleet.start(nodes(whom));
     }
-    for (Party node : nodes(whom)) {
+    for (NetworkPeer node : nodes(whom)) {
       if (what == Trouble.STOP) {
         fleet.signal(node, Signal.CONT);
       } else if (what == Trouble.SILENT) {
@@ -303,7 +306,7 @@
 
   /** As operators do it: node by node, those that don't answer are left. */
   private void operators(String line) {
-    for (Party node : topology.nodes()) {
+    for (NetworkPeer node : topology.nodes()) {
       try {
         progress.accept(node.name() + " " + line + ": " + fleet.call(node, line).trim());
       } catch (IOException e) {
@@ -312,11 +315,11 @@
     }
   }
 
-  private List<Party> nodes(Selector whom) {
+  private List<NetworkPeer> nodes(PeerSelector whom) {
     return topology.nodes().stream().filter(node -> whom.matches(node)).toList();
   }
 
-  private List<Party> servers(Selector whom) {
+  private List<NetworkPeer> servers(PeerSelector whom) {
     return topology.servers().stream().filter(server -> whom.matches(server)).toList();
   }
 
--- a/testbed/src/main/java/edgegateway/testbed/scenario/Second.java
+++ b/testbed/src/main/java/edgegateway/testbed/scenario/SecondMetrics.java
@@ -17,7 +17,7 @@
  *     can do warm
  * @param attempts attempts that reached archive servers in this second, by zone
  */
-public record Second(
+public record SecondMetrics(
     int asked,
     double worth,
     double good,
--- a/testbed/src/main/java/edgegateway/testbed/scenario/ServerFaults.java
+++ b/testbed/src/main/java/edgegateway/testbed/scenario/ServerFaults.java
@@ -1,7 +1,7 @@
 package edgegateway.testbed.scenario;
 
+import edgegateway.testbed.fakes.FakeArchiveServer;
 import edgegateway.testbed.scenario.Scenario.Trouble;
-import edgegateway.testbed.stand.ArchiveServer;
 import java.util.SplittableRandom;
 
 /** What a scenario does to the core of an archive server that goes on running. */
@@ -12,7 +12,8 @@
   private ServerFaults() {}
 
   /** It begins, at a time of the core's clock; other troubles are none of the core's. */
-  public static void begin(Trouble what, ArchiveServer<?> core, long now, SplittableRandom chance) {
+  public static void begin(
+      Trouble what, FakeArchiveServer<?> core, long now, SplittableRandom chance) {
     if (what == Trouble.SLOW) {
       core.slow(now, SLOWER);
     } else if (what == Trouble.FAILING) {
@@ -21,7 +22,7 @@
   }
 
   /** It ends. */
-  public static void end(Trouble what, ArchiveServer<?> core, long now) {
+  public static void end(Trouble what, FakeArchiveServer<?> core, long now) {
     if (what == Trouble.SLOW) {
       core.slow(now, 1);
     } else if (what == Trouble.FAILING) {
--- a/testbed/src/main/java/edgegateway/testbed/scenario/YamlFile.java
+++ b/testbed/src/main/java/edgegateway/testbed/scenario/YamlFile.java
@@ -30,16 +30,16 @@
   private YamlFile() {}
 
   /** Reads and checks a whole file. */
-  public static <T> T read(Path file, Class<T> kind) throws Scenario.Invalid {
+  public static <T> T read(Path file, Class<T> kind) throws Scenario.InvalidScenarioException {
     try {
       return parse(Files.readString(file), kind);
     } catch (IOException e) {
-      throw new Scenario.Invalid(file + " cannot be read: " + e.getMessage());
+      throw new Scenario.InvalidScenarioException(file + " cannot be read: " + e.getMessage());
     }
   }
 
   /** The same of a text. */
-  public static <T> T parse(String text, Class<T> kind) throws Scenario.Invalid {
+  public static <T> T parse(String text, Class<T> kind) throws Scenario.InvalidScenarioException {
     try {
       return YAML.readValue(text, kind);
     } catch (JsonProcessingException e) {
@@ -52,7 +52,7 @@
           cause instanceof JsonProcessingException json
               ? json.getOriginalMessage()
               : cause.getMessage();
-      throw new Scenario.Invalid(
+      throw new Scenario.InvalidScenarioException(
           "line "
               + (at == null ? "?" : at.getLineNr())
               + ": "
--- a/testbed/src/main/java/edgegateway/testbed/model/Model.java
+++ b/testbed/src/main/java/edgegateway/testbed/simulation/FleetSimulation.java
@@ -1,26 +1,26 @@
-package edgegateway.testbed.model;
+package edgegateway.testbed.simulation;
 
 import edgegateway.policy.api.Endpoint;
 import edgegateway.policy.api.EndpointState;
 import edgegateway.policy.api.PolicySettings;
 import edgegateway.protocol.PolicySettingsReader;
 import edgegateway.protocol.SettingsFlattener;
-import edgegateway.testbed.fleet.NodeConfig;
+import edgegateway.testbed.checker.HistoryEvent;
+import edgegateway.testbed.fleet.NodeConfigWriter;
 import edgegateway.testbed.fleet.Topology;
-import edgegateway.testbed.judge.Event;
-import edgegateway.testbed.load.Arrival;
-import edgegateway.testbed.load.Arrivals;
-import edgegateway.testbed.net.Conditions;
-import edgegateway.testbed.net.Faults;
-import edgegateway.testbed.net.Party;
-import edgegateway.testbed.net.Selector;
+import edgegateway.testbed.network.ActiveFaults;
+import edgegateway.testbed.network.LinkConditions;
+import edgegateway.testbed.network.NetworkPeer;
+import edgegateway.testbed.network.PeerSelector;
 import edgegateway.testbed.scenario.CounterFaults;
-import edgegateway.testbed.scenario.Result;
+import edgegateway.testbed.scenario.FaultSchedule;
+import edgegateway.testbed.scenario.FaultTarget;
+import edgegateway.testbed.scenario.RunResult;
 import edgegateway.testbed.scenario.Scenario;
 import edgegateway.testbed.scenario.Scenario.Trouble;
-import edgegateway.testbed.scenario.Script;
 import edgegateway.testbed.scenario.ServerFaults;
-import edgegateway.testbed.scenario.Stage;
+import edgegateway.testbed.workload.ArrivalGenerator;
+import edgegateway.testbed.workload.RequestArrival;
 import java.io.IOException;
 import java.util.ArrayDeque;
 import java.util.ArrayList;
@@ -36,7 +36,7 @@
  * One play of a scenario on a clock of its own: the program's module in each node, the lab's
  * stand-ins around them. The same scenario and seed give the same history, on any machine.
  */
-public final class Model implements Stage {
+public final class FleetSimulation implements FaultTarget {
   /** Not 0: that stands for long ago. */
   private static final long START = 1_000_000_000_000L;
 
@@ -58,44 +58,46 @@
   private static final int CHANGES = 5;
 
   private final Scenario scenario;
-  private final List<Arrival> arrivals;
+  private final List<RequestArrival> arrivals;
   private final Topology topology;
-  private final Timeline timeline = new Timeline(START);
-  private final Faults faults = new Faults();
+  private final VirtualClock timeline = new VirtualClock(START);
+  private final ActiveFaults faults = new ActiveFaults();
   private final SplittableRandom chance;
-  private final Network network;
-  private final Consumer<Event> history;
-  private final Meter meter = new Meter();
-  private final Map<String, ServerHost> servers = new LinkedHashMap<>();
-  private final List<NodeHost> nodes = new ArrayList<>();
-  private final CounterHost counter;
+  private final SimulatedNetwork network;
+  private final Consumer<HistoryEvent> history;
+  private final SimulationMeter meter = new SimulationMeter();
+  private final Map<String, SimulatedArchiveServer> servers = new LinkedHashMap<>();
+  private final List<SimulatedNode> nodes = new ArrayList<>();
+  private final SimulatedCounter counter;
 
   /** What discovery tells; null to be made anew. */
   private List<Endpoint> listed;
 
-  private final ArrayDeque<Script.Step> steps = new ArrayDeque<>();
+  private final ArrayDeque<FaultSchedule.Step> steps = new ArrayDeque<>();
 
-  private Model(Scenario scenario, long keep, Consumer<Event> history, Consumer<String> log)
+  private FleetSimulation(
+      Scenario scenario, long keep, Consumer<HistoryEvent> history, Consumer<String> log)
       throws IOException {
     this.scenario = scenario;
     this.history = history;
     arrivals = scenario.arrivals();
     topology = scenario.topology().topology();
     chance = new SplittableRandom(scenario.seed());
-    network = new Network(timeline, faults, chance.split());
-    for (Party server : topology.servers()) {
+    network = new SimulatedNetwork(timeline, faults, chance.split());
+    for (NetworkPeer server : topology.servers()) {
       servers.put(
-          server.name(), new ServerHost(timeline, server, scenario.servers().terms(), history));
+          server.name(),
+          new SimulatedArchiveServer(timeline, server, scenario.servers().terms(), history));
     }
-    counter = new CounterHost(timeline, topology.counter(), scenario.counter().terms());
-    for (Party node : topology.nodes()) {
+    counter = new SimulatedCounter(timeline, topology.counter(), scenario.counter().terms());
+    for (NetworkPeer node : topology.nodes()) {
       PolicySettings settings =
           PolicySettingsReader.read(
-              SettingsFlattener.of(NodeConfig.settings(topology, scenario.told(), node)));
+              SettingsFlattener.of(NodeConfigWriter.settings(topology, scenario.told(), node)));
       nodes.add(
-          new NodeHost(
+          new SimulatedNode(
               node,
-              new NodeHost.Surroundings(
+              new SimulatedNode.Environment(
                   timeline,
                   network,
                   settings,
@@ -106,7 +108,7 @@
                   counter,
                   keep,
                   meter,
-                  id -> Arrivals.of(arrivals, id).work(),
+                  id -> ArrivalGenerator.of(arrivals, id).work(),
                   this::told,
                   (who, text) ->
                       log.accept(
@@ -121,16 +123,17 @@
    * Plays a scenario from its start to its last answer and judges it; {@code log} hears the nodes'
    * own lines.
    */
-  public static Result of(Scenario scenario, Consumer<String> log)
+  public static RunResult of(Scenario scenario, Consumer<String> log)
       throws IOException, InterruptedException {
-    List<Event> history = new ArrayList<>();
-    Model model = new Model(scenario, Pool.EVER, history::add, log);
+    List<HistoryEvent> history = new ArrayList<>();
+    FleetSimulation model =
+        new FleetSimulation(scenario, SimulatedConnectionPool.EVER, history::add, log);
     long begun = model.begin();
     model.play(
         begun,
         begun + Math.max(model.longest(), model.steps.isEmpty() ? 0 : model.steps.getLast().at()));
     model.servers.values().forEach(model::last);
-    return Result.of(scenario, model.arrivals, history, begun, model.timeline.now());
+    return RunResult.of(scenario, model.arrivals, history, begun, model.timeline.now());
   }
 
   /**
@@ -142,11 +145,15 @@
    * @param history hears each event when it happens, its clock as {@link #BEGUN} tells
    * @param progress hears how far it is
    */
-  public static Measured measured(
-      Scenario scenario, long keep, long from, Consumer<Event> history, Consumer<String> progress)
+  public static Measurements measured(
+      Scenario scenario,
+      long keep,
+      long from,
+      Consumer<HistoryEvent> history,
+      Consumer<String> progress)
       throws IOException, InterruptedException {
     long before = heap();
-    Model model = new Model(scenario, keep, history, line -> {});
+    FleetSimulation model = new FleetSimulation(scenario, keep, history, line -> {});
     long bare = heap();
     long begun = model.begin();
     double perNode = (heap() - bare) / (double) model.nodes.size();
@@ -163,7 +170,7 @@
     model.slices(begun, (long) (scenario.spanS() * SECOND), progress);
     wall = System.nanoTime() - wall;
     model.meter.on(false);
-    Map<ServerHost, Integer> byServer = new HashMap<>();
+    Map<SimulatedArchiveServer, Integer> byServer = new HashMap<>();
     int connections = model.nodes.stream().mapToInt(node -> node.connections(byServer)).sum();
     long used = heap() - before;
     model.finish(begun);
@@ -172,7 +179,7 @@
     for (int i = 0; i < CHANGES; i++) {
       model.nodes.forEach(node -> node.told(first));
     }
-    return new Measured(
+    return new Measurements(
         model.meter,
         connections,
         byServer.values().stream().mapToInt(one -> one).max().orElse(0),
@@ -190,8 +197,8 @@
    * @param heap bytes that the whole play held at the end
    * @param pace how many seconds of the machine a second took
    */
-  public record Measured(
-      Meter meter,
+  public record Measurements(
+      SimulationMeter meter,
       int connections,
       int mostConnections,
       double heapPerNode,
@@ -206,11 +213,11 @@
 
   /** Starts all; when the first request may come. */
   private long begin() {
-    nodes.forEach(NodeHost::start);
+    nodes.forEach(SimulatedNode::start);
     timeline.run(BEGUN);
-    new ClientsHost(timeline, network, topology.front(), nodes, scenario.asking(), history)
+    new SimulatedClients(timeline, network, topology.front(), nodes, scenario.asking(), history)
         .play(arrivals);
-    steps.addAll(Script.of(scenario, this));
+    steps.addAll(FaultSchedule.of(scenario, this));
     return timeline.now();
   }
 
@@ -238,7 +245,7 @@
   /** What was asked is over before the counts are read, each in its time. */
   private void finish(long begun) throws IOException, InterruptedException {
     long until = begun + longest();
-    while (timeline.now() < until && !nodes.stream().allMatch(NodeHost::idle)) {
+    while (timeline.now() < until && !nodes.stream().allMatch(SimulatedNode::idle)) {
       play(begun, timeline.now() + HEARD);
     }
     play(begun, timeline.now() + HEARD);
@@ -246,20 +253,20 @@
 
   private void play(long begun, long until) throws IOException, InterruptedException {
     while (!steps.isEmpty() && begun + steps.peek().at() <= until) {
-      Script.Step step = steps.poll();
+      FaultSchedule.Step step = steps.poll();
       timeline.run(begun + step.at());
       step.change().make();
     }
     timeline.run(until);
   }
 
-  private void die(ServerHost server) {
+  private void die(SimulatedArchiveServer server) {
     last(server);
-    history.accept(new Event.Died(now(), server.party().name()));
+    history.accept(new HistoryEvent.Died(now(), server.party().name()));
     server.kill();
   }
 
-  private void last(ServerHost server) {
+  private void last(SimulatedArchiveServer server) {
     lived(server.party(), server.pressure(), server.fellAt());
   }
 
@@ -270,7 +277,7 @@
     return listed;
   }
 
-  private Endpoint entry(ServerHost of) {
+  private Endpoint entry(SimulatedArchiveServer of) {
     int zone = topology.zones().indexOf(of.party().zone());
     return new Endpoint(
         of.party().name(),
@@ -288,12 +295,13 @@
   }
 
   @Override
-  public void seen(Event event) {
+  public void seen(HistoryEvent event) {
     history.accept(event);
   }
 
   @Override
-  public void fault(String name, Selector from, Selector to, boolean both, Conditions conditions) {
+  public void fault(
+      String name, PeerSelector from, PeerSelector to, boolean both, LinkConditions conditions) {
     faults.set(name, from, to, both, conditions);
   }
 
@@ -303,12 +311,12 @@
   }
 
   @Override
-  public void begin(Scenario.Trouble what, Selector whom, long span) {
+  public void begin(Scenario.Trouble what, PeerSelector whom, long span) {
     if (what == Trouble.ZONE_OUT) {
       nodes.forEach(node -> node.leaveZone(topology.zones().indexOf(whom.name()), true));
       return;
     }
-    for (NodeHost node : nodes(whom)) {
+    for (SimulatedNode node : nodes(whom)) {
       switch (what) {
         case KILL -> {
           lost(node, 0);
@@ -323,7 +331,7 @@
         case DRAIN, SLOW, FAILING, ZONE_OUT -> {}
       }
     }
-    for (ServerHost server : servers(whom)) {
+    for (SimulatedArchiveServer server : servers(whom)) {
       SplittableRandom own = chance.split();
       server.on(core -> ServerFaults.begin(what, core, now(), own));
       if (what == Trouble.KILL) {
@@ -336,23 +344,23 @@
   }
 
   @Override
-  public void end(Scenario.Trouble what, Selector whom) {
+  public void end(Scenario.Trouble what, PeerSelector whom) {
     if (what == Trouble.ZONE_OUT) {
       nodes.forEach(node -> node.leaveZone(topology.zones().indexOf(whom.name()), false));
       return;
     }
-    for (ServerHost server : servers(whom)) {
+    for (SimulatedArchiveServer server : servers(whom)) {
       server.on(core -> ServerFaults.end(what, core, now()));
       if (what == Trouble.DRAIN) {
         die(server);
       }
       if (what == Trouble.DRAIN || what == Trouble.KILL) {
         server.start();
-        history.accept(new Event.Started(now(), server.party().name()));
+        history.accept(new HistoryEvent.Started(now(), server.party().name()));
         tell(server);
       }
     }
-    for (NodeHost node : nodes(whom)) {
+    for (SimulatedNode node : nodes(whom)) {
       switch (what) {
         case KILL, TERM -> node.start();
         case STOP -> node.resume();
@@ -362,29 +370,30 @@
     }
   }
 
-  private void lost(NodeHost node, long span) {
-    history.accept(new Event.Lost(now(), node.party().name(), now() + span + Script.GRACE));
+  private void lost(SimulatedNode node, long span) {
+    history.accept(
+        new HistoryEvent.Lost(now(), node.party().name(), now() + span + FaultSchedule.GRACE));
   }
 
-  private void tell(ServerHost server) {
+  private void tell(SimulatedArchiveServer server) {
     listed = null;
     Endpoint entry = entry(server);
-    timeline.after(Script.TOLD, () -> nodes.forEach(node -> node.told(entry)));
+    timeline.after(FaultSchedule.TOLD, () -> nodes.forEach(node -> node.told(entry)));
   }
 
-  private void told(Party node, Endpoint entry) {
+  private void told(NetworkPeer node, Endpoint entry) {
     if (entry.state() != EndpointState.READY) {
-      history.accept(new Event.Told(now(), node.name(), entry.id()));
+      history.accept(new HistoryEvent.Told(now(), node.name(), entry.id()));
     } else if (entry.startedAtNanos() > 0) {
-      history.accept(new Event.Learned(now(), node.name(), entry.id()));
+      history.accept(new HistoryEvent.Learned(now(), node.name(), entry.id()));
     }
   }
 
-  private List<NodeHost> nodes(Selector whom) {
+  private List<SimulatedNode> nodes(PeerSelector whom) {
     return nodes.stream().filter(node -> whom.matches(node.party())).toList();
   }
 
-  private List<ServerHost> servers(Selector whom) {
+  private List<SimulatedArchiveServer> servers(PeerSelector whom) {
     return servers.values().stream().filter(server -> whom.matches(server.party())).toList();
   }
 
--- a/testbed/src/main/java/edgegateway/testbed/model/ServerHost.java
+++ b/testbed/src/main/java/edgegateway/testbed/simulation/SimulatedArchiveServer.java
@@ -1,17 +1,17 @@
-package edgegateway.testbed.model;
-
-import edgegateway.testbed.judge.Event;
-import edgegateway.testbed.net.Party;
-import edgegateway.testbed.stand.ArchiveServer;
-import edgegateway.testbed.stand.ArchiveServer.Ended;
-import edgegateway.testbed.stand.ArchiveServer.Ending;
-import edgegateway.testbed.stand.ServerTerms;
+package edgegateway.testbed.simulation;
+
+import edgegateway.testbed.checker.HistoryEvent;
+import edgegateway.testbed.fakes.FakeArchiveServer;
+import edgegateway.testbed.fakes.FakeArchiveServer.Ended;
+import edgegateway.testbed.fakes.FakeArchiveServer.Ending;
+import edgegateway.testbed.fakes.FakeArchiveServerSettings;
+import edgegateway.testbed.network.NetworkPeer;
 import java.util.LinkedHashSet;
 import java.util.Set;
 import java.util.function.Consumer;
 
 /** An archive server's machine: its process, which may die and start again, cold. */
-final class ServerHost implements Peer {
+final class SimulatedArchiveServer implements SimulatedPeer {
   /** Whoever asked for something here. */
   interface Caller {
     /** It ended so; called when it ends, at the server. */
@@ -23,28 +23,32 @@
 
   private record Call(String id, Caller caller) {}
 
-  private final Timeline timeline;
-  private final Party party;
-  private final ServerTerms terms;
-  private final Consumer<Event> history;
+  private final VirtualClock timeline;
+  private final NetworkPeer party;
+  private final FakeArchiveServerSettings terms;
+  private final Consumer<HistoryEvent> history;
   private final Set<Call> calls = new LinkedHashSet<>();
-  private ArchiveServer<Call> core;
+  private FakeArchiveServer<Call> core;
   private int life;
   private boolean draining;
   private long startedAt;
   private long wakeAt = Long.MAX_VALUE;
 
   /** Warm, and started long ago. */
-  ServerHost(Timeline timeline, Party party, ServerTerms terms, Consumer<Event> history) {
+  SimulatedArchiveServer(
+      VirtualClock timeline,
+      NetworkPeer party,
+      FakeArchiveServerSettings terms,
+      Consumer<HistoryEvent> history) {
     this.timeline = timeline;
     this.party = party;
     this.terms = terms;
     this.history = history;
-    core = new ArchiveServer<>(terms, timeline.now(), timeline.now() - terms.ramp());
+    core = new FakeArchiveServer<>(terms, timeline.now(), timeline.now() - terms.ramp());
   }
 
   @Override
-  public Party party() {
+  public NetworkPeer party() {
     return party;
   }
 
@@ -82,7 +86,7 @@
   }
 
   /** Carries out a fault on its core, if it runs. */
-  void on(Consumer<ArchiveServer<?>> what) {
+  void on(Consumer<FakeArchiveServer<?>> what) {
     if (core != null) {
       what.accept(core);
       look();
@@ -100,13 +104,13 @@
 
   void start() {
     draining = false;
-    core = new ArchiveServer<>(terms, timeline.now(), timeline.now());
+    core = new FakeArchiveServer<>(terms, timeline.now(), timeline.now());
     startedAt = timeline.now();
   }
 
   /** A request has come whole; {@code work} in nanoseconds of a core. */
   void arrive(String id, String key, long work, Caller caller) {
-    history.accept(new Event.Sent(timeline.now(), id, party.name()));
+    history.accept(new HistoryEvent.Sent(timeline.now(), id, party.name()));
     Call call = new Call(id, caller);
     calls.add(call);
     core.arrive(timeline.now(), call, key, work);
@@ -120,7 +124,7 @@
       Call call = one.request();
       calls.remove(call);
       if (one.how() == Ending.TURNED_AWAY) {
-        history.accept(new Event.TurnedAway(timeline.now(), call.id, party.name()));
+        history.accept(new HistoryEvent.TurnedAway(timeline.now(), call.id, party.name()));
       }
       call.caller.ended(one.how());
     }
--- a/testbed/src/main/java/edgegateway/testbed/model/ClientsHost.java
+++ b/testbed/src/main/java/edgegateway/testbed/simulation/SimulatedClients.java
@@ -1,64 +1,67 @@
-package edgegateway.testbed.model;
+package edgegateway.testbed.simulation;
 
 import edgegateway.policy.api.Request;
-import edgegateway.testbed.judge.Event;
-import edgegateway.testbed.load.Arrival;
-import edgegateway.testbed.load.Asking;
-import edgegateway.testbed.load.Asking.Ask;
-import edgegateway.testbed.net.Party;
+import edgegateway.testbed.checker.HistoryEvent;
+import edgegateway.testbed.network.NetworkPeer;
+import edgegateway.testbed.workload.ClientBehavior;
+import edgegateway.testbed.workload.ClientBehavior.ClientRequest;
+import edgegateway.testbed.workload.RequestArrival;
 import java.util.ArrayList;
 import java.util.Iterator;
 import java.util.List;
 import java.util.function.Consumer;
 
 /** The front and the clients behind it, as {@code Clients} plays them on sockets. */
-final class ClientsHost {
+final class SimulatedClients {
   private static final long CONNECT = 1_000_000_000L;
   private static final long HEALTH = 100_000_000L;
   private static final int OK = 200;
 
-  private final Timeline timeline;
-  private final Network network;
-  private final Party party;
-  private final List<NodeHost> nodes;
-  private final Asking asking;
-  private final Consumer<Event> history;
-  private final List<Pool> pools = new ArrayList<>();
-
-  ClientsHost(
-      Timeline timeline,
-      Network network,
-      Party party,
-      List<NodeHost> nodes,
-      Asking asking,
-      Consumer<Event> history) {
+  private final VirtualClock timeline;
+  private final SimulatedNetwork network;
+  private final NetworkPeer party;
+  private final List<SimulatedNode> nodes;
+  private final ClientBehavior asking;
+  private final Consumer<HistoryEvent> history;
+  private final List<SimulatedConnectionPool> pools = new ArrayList<>();
+
+  SimulatedClients(
+      VirtualClock timeline,
+      SimulatedNetwork network,
+      NetworkPeer party,
+      List<SimulatedNode> nodes,
+      ClientBehavior asking,
+      Consumer<HistoryEvent> history) {
     this.timeline = timeline;
     this.network = network;
     this.party = party;
     this.nodes = nodes;
     this.asking = asking;
     this.history = history;
-    Meter off = new Meter();
+    SimulationMeter off = new SimulationMeter();
     nodes.forEach(
-        node -> pools.add(new Pool(timeline, network, party, node, CONNECT, Pool.EVER, off)));
+        node ->
+            pools.add(
+                new SimulatedConnectionPool(
+                    timeline, network, party, node, CONNECT, SimulatedConnectionPool.EVER, off)));
   }
 
   /** Sends all at their times from now on. */
-  void play(List<Arrival> arrivals) {
+  void play(List<RequestArrival> arrivals) {
     long begun = timeline.now();
     next(arrivals.iterator(), begun);
     timeline.after(HEALTH, this::askHealth);
   }
 
   /** Only the next one waits on the timeline: all of a large fleet's would fill it. */
-  private void next(Iterator<Arrival> arrivals, long begun) {
+  private void next(Iterator<RequestArrival> arrivals, long begun) {
     if (arrivals.hasNext()) {
-      Arrival one = arrivals.next();
+      RequestArrival one = arrivals.next();
       timeline.at(
           begun + one.at(),
           () -> {
             next(arrivals, begun);
-            new Try(asking.first(one, timeline.now())).start();
+            new ClientAttempt(asking.first(one, timeline.now())).start();
           });
     }
   }
@@ -67,7 +70,7 @@
     for (int i = 0; i < nodes.size(); i++) {
       if (asking.front().doubted(i)) {
         int node = i;
-        NodeHost asked = nodes.get(i);
+        SimulatedNode asked = nodes.get(i);
         network.pass(
             party,
             asked.party(),
@@ -82,15 +85,16 @@
   }
 
   /** One request on its way. */
-  private final class Try implements Pool.User, NodeHost.Client {
-    private final Ask ask;
-    private final NodeHost host;
-    private final Pool pool;
+  private final class ClientAttempt
+      implements SimulatedConnectionPool.ConnectionUser, SimulatedNode.Client {
+    private final ClientRequest ask;
+    private final SimulatedNode host;
+    private final SimulatedConnectionPool pool;
     private int life;
     private boolean reused;
     private boolean over;
 
-    Try(Ask ask) {
+    ClientAttempt(ClientRequest ask) {
       this.ask = ask;
       host = nodes.get(ask.node());
       pool = pools.get(ask.node());
@@ -104,7 +108,7 @@
     public void refused() {
       asking.front().refused(timeline.now(), ask.node());
       if (ask.asked()) {
-        history.accept(new Event.Left(timeline.now(), ask.id()));
+        history.accept(new HistoryEvent.Left(timeline.now(), ask.id()));
       }
       again(0);
       over = true;
@@ -120,10 +124,10 @@
       reused = again;
       long now = timeline.now();
       if (ask.write(now)) {
-        timeline.at(ask.deadline() + Asking.LINGER, this::leave);
+        timeline.at(ask.deadline() + ClientBehavior.LINGER, this::leave);
       }
       history.accept(ask.event(now));
-      Arrival of = ask.of();
+      RequestArrival of = ask.of();
       long span = Math.max(1, ask.deadline() - now);
       network.pass(
           party,
@@ -159,7 +163,7 @@
             if (!over) {
               over = true;
               pool.release(life);
-              history.accept(new Event.Answered(timeline.now(), ask.id(), status));
+              history.accept(new HistoryEvent.Answered(timeline.now(), ask.id(), status));
               if (status != OK) {
                 again(advice);
               }
@@ -177,7 +181,7 @@
               pool.connect(this);
             } else if (!over) {
               over = true;
-              history.accept(new Event.Broken(timeline.now(), ask.id()));
+              history.accept(new HistoryEvent.Broken(timeline.now(), ask.id()));
               again(0);
             }
           });
@@ -187,14 +191,14 @@
     private void again(long advice) {
       long pause = ask.pause(timeline.now(), advice);
       if (pause >= 0) {
-        timeline.after(pause, () -> new Try(ask.again(timeline.now())).start());
+        timeline.after(pause, () -> new ClientAttempt(ask.again(timeline.now())).start());
       }
     }
 
     private void leave() {
       if (!over) {
         over = true;
-        history.accept(new Event.Left(timeline.now(), ask.id()));
+        history.accept(new HistoryEvent.Left(timeline.now(), ask.id()));
         network.pass(
             party,
             host.party(),
--- a/testbed/src/main/java/edgegateway/testbed/model/Pool.java
+++ b/testbed/src/main/java/edgegateway/testbed/simulation/SimulatedConnectionPool.java
@@ -1,17 +1,17 @@
-package edgegateway.testbed.model;
+package edgegateway.testbed.simulation;
 
-import edgegateway.testbed.net.Party;
+import edgegateway.testbed.network.NetworkPeer;
 import java.util.Arrays;
 
 /**
  * One party's connections to another, each with one request at a time; idle ones are used again
  * while their peer lives.
  */
-final class Pool {
+final class SimulatedConnectionPool {
   /**
    * Hears how it went; {@code reused} connections may be closed from the other end at any moment.
    */
-  interface User {
+  interface ConnectionUser {
     /** A connection to this life of the peer. */
     void connected(int life, boolean reused);
 
@@ -22,13 +22,13 @@
   /** For idle connections that are kept for ever. */
   static final long EVER = Long.MAX_VALUE;
 
-  private final Timeline timeline;
-  private final Network network;
-  private final Party from;
-  private final Peer to;
+  private final VirtualClock timeline;
+  private final SimulatedNetwork network;
+  private final NetworkPeer from;
+  private final SimulatedPeer to;
   private final long timeout;
   private final long keep;
-  private final Meter meter;
+  private final SimulationMeter meter;
 
   /** Since when each has been idle, the one used last at the end. */
   private long[] since = new long[1];
@@ -37,14 +37,14 @@
   private int idleLife;
 
   /** Idle connections end after {@code keep} nanoseconds. */
-  Pool(
-      Timeline timeline,
-      Network network,
-      Party from,
-      Peer to,
+  SimulatedConnectionPool(
+      VirtualClock timeline,
+      SimulatedNetwork network,
+      NetworkPeer from,
+      SimulatedPeer to,
       long timeout,
       long keep,
-      Meter meter) {
+      SimulationMeter meter) {
     this.timeline = timeline;
     this.network = network;
     this.from = from;
@@ -55,7 +55,7 @@
   }
 
   /** Takes an idle connection at once, or makes a new one. */
-  void take(User user) {
+  void take(ConnectionUser user) {
     if (idle() > 0) {
       idle--;
       meter.connection(true);
@@ -82,7 +82,7 @@
   }
 
   /** Makes a new one. */
-  void connect(User user) {
+  void connect(ConnectionUser user) {
     meter.connection(false);
     boolean[] over = new boolean[1];
     timeline.after(
--- a/testbed/src/main/java/edgegateway/testbed/model/CounterHost.java
+++ b/testbed/src/main/java/edgegateway/testbed/simulation/SimulatedCounter.java
@@ -1,25 +1,25 @@
-package edgegateway.testbed.model;
+package edgegateway.testbed.simulation;
 
-import edgegateway.testbed.net.Party;
-import edgegateway.testbed.stand.Counter;
-import edgegateway.testbed.stand.Counter.Answer;
-import edgegateway.testbed.stand.CounterTerms;
+import edgegateway.testbed.fakes.FakeCounter;
+import edgegateway.testbed.fakes.FakeCounter.Answer;
+import edgegateway.testbed.fakes.FakeCounterSettings;
+import edgegateway.testbed.network.NetworkPeer;
 import java.util.function.Consumer;
 
 /** The shared counter's machine. */
-final class CounterHost {
-  private final Timeline timeline;
-  private final Party party;
-  private final Counter<Consumer<Double>> core;
+final class SimulatedCounter {
+  private final VirtualClock timeline;
+  private final NetworkPeer party;
+  private final FakeCounter<Consumer<Double>> core;
   private long wakeAt = Long.MAX_VALUE;
 
-  CounterHost(Timeline timeline, Party party, CounterTerms terms) {
+  SimulatedCounter(VirtualClock timeline, NetworkPeer party, FakeCounterSettings terms) {
     this.timeline = timeline;
     this.party = party;
-    core = new Counter<>(terms, timeline.now());
+    core = new FakeCounter<>(terms, timeline.now());
   }
 
-  Party party() {
+  NetworkPeer party() {
     return party;
   }
 
@@ -32,7 +32,7 @@
   }
 
   /** Something happens to its core. */
-  void on(Consumer<Counter<?>> what) {
+  void on(Consumer<FakeCounter<?>> what) {
     what.accept(core);
     look();
   }
--- a/testbed/src/main/java/edgegateway/testbed/model/Network.java
+++ b/testbed/src/main/java/edgegateway/testbed/simulation/SimulatedNetwork.java
@@ -1,24 +1,24 @@
-package edgegateway.testbed.model;
+package edgegateway.testbed.simulation;
 
-import edgegateway.testbed.net.Conditions;
-import edgegateway.testbed.net.Faults;
-import edgegateway.testbed.net.Party;
-import edgegateway.testbed.net.Stream;
+import edgegateway.testbed.network.ActiveFaults;
+import edgegateway.testbed.network.LinkConditions;
+import edgegateway.testbed.network.NetworkPeer;
+import edgegateway.testbed.network.TcpStreamModel;
 import java.util.SplittableRandom;
 
 /**
  * The links of a modelled fleet: each message is a part of a stream of its own, with the lab's
  * faults on its way.
  */
-final class Network {
+final class SimulatedNetwork {
   /** One way between two machines of a region. */
-  private static final Conditions HOP = new Conditions(false, 0, 0, 200_000, 0, 0);
+  private static final LinkConditions HOP = new LinkConditions(false, 0, 0, 200_000, 0, 0);
 
-  private final Timeline timeline;
-  private final Faults faults;
+  private final VirtualClock timeline;
+  private final ActiveFaults faults;
   private final SplittableRandom chance;
 
-  Network(Timeline timeline, Faults faults, SplittableRandom chance) {
+  SimulatedNetwork(VirtualClock timeline, ActiveFaults faults, SplittableRandom chance) {
     this.timeline = timeline;
     this.faults = faults;
     this.chance = chance;
@@ -30,13 +30,13 @@
   }
 
   /** Lets something happen at the other end when word of it has come there. */
-  void pass(Party from, Party to, Runnable arrives) {
-    Stream<Runnable> stream = new Stream<>(chance);
+  void pass(NetworkPeer from, NetworkPeer to, Runnable arrives) {
+    TcpStreamModel<Runnable> stream = new TcpStreamModel<>(chance);
     stream.enter(timeline.now(), arrives, 0, between(from, to));
     await(stream, from, to);
   }
 
-  private void await(Stream<Runnable> stream, Party from, Party to) {
+  private void await(TcpStreamModel<Runnable> stream, NetworkPeer from, NetworkPeer to) {
     timeline.at(
         stream.next(),
         () -> {
@@ -49,7 +49,7 @@
         });
   }
 
-  private Conditions between(Party from, Party to) {
+  private LinkConditions between(NetworkPeer from, NetworkPeer to) {
     return faults.between(from, to).and(HOP);
   }
 }
--- a/testbed/src/main/java/edgegateway/testbed/model/NodeHost.java
+++ b/testbed/src/main/java/edgegateway/testbed/simulation/SimulatedNode.java
@@ -1,4 +1,4 @@
-package edgegateway.testbed.model;
+package edgegateway.testbed.simulation;
 
 import edgegateway.node.zones.ZoneEjectionController;
 import edgegateway.node.zones.ZoneEjectionSettings;
@@ -10,9 +10,9 @@
 import edgegateway.policy.api.PolicyActions;
 import edgegateway.policy.api.PolicySettings;
 import edgegateway.policy.api.Request;
-import edgegateway.testbed.model.Meter.Activity;
-import edgegateway.testbed.net.Party;
-import edgegateway.testbed.stand.ArchiveServer.Ending;
+import edgegateway.testbed.fakes.FakeArchiveServer.Ending;
+import edgegateway.testbed.network.NetworkPeer;
+import edgegateway.testbed.simulation.SimulationMeter.Activity;
 import java.util.ArrayList;
 import java.util.LinkedHashMap;
 import java.util.List;
@@ -26,7 +26,7 @@
  * An edge node's machine: the program's module, and around it what the real node does on sockets,
  * without them.
  */
-final class NodeHost implements PolicyActions, Peer {
+final class SimulatedNode implements PolicyActions, SimulatedPeer {
   /** Whoever waits for an answer. */
   interface Client {
     /**
@@ -43,20 +43,20 @@
    * What a node is told at each of its starts, and where it reaches whom; it keeps idle connections
    * for {@code keep} nanoseconds.
    */
-  record Surroundings(
-      Timeline timeline,
-      Network network,
+  record Environment(
+      VirtualClock timeline,
+      SimulatedNetwork network,
       PolicySettings settings,
       ZoneEjectionSettings zones,
       List<String> zoneNames,
       Supplier<List<Endpoint>> list,
-      Map<String, ServerHost> servers,
-      CounterHost counter,
+      Map<String, SimulatedArchiveServer> servers,
+      SimulatedCounter counter,
       long keep,
-      Meter meter,
+      SimulationMeter meter,
       ToLongFunction<String> work,
-      BiConsumer<Party, Endpoint> told,
-      BiConsumer<Party, String> log) {}
+      BiConsumer<NetworkPeer, Endpoint> told,
+      BiConsumer<NetworkPeer, String> log) {}
 
   /** As the real node: the module sees deadlines early, and what it leaves unanswered is failed. */
   private static final long ANSWER_MARGIN = 12_000_000L;
@@ -81,7 +81,7 @@
   private static final int FAILED = 502;
   private static final int REFUSED = 503;
 
-  private final class Open {
+  private final class InFlightRequest {
     final Request request;
     final Client client;
     final boolean keyed;
@@ -90,7 +90,7 @@
     int attempts;
     boolean answered;
 
-    Open(Request request, boolean keyed, Client client) {
+    InFlightRequest(Request request, boolean keyed, Client client) {
       this.request = request;
       this.keyed = keyed;
       this.client = client;
@@ -98,8 +98,8 @@
   }
 
   private final class Attempt {
-    final Open of;
-    final ServerHost server;
+    final InFlightRequest of;
+    final SimulatedArchiveServer server;
     final long sentAt = timeline.now();
 
     /** How long its server had it. */
@@ -108,19 +108,19 @@
     boolean written;
     boolean over;
 
-    Attempt(Open of, ServerHost server) {
+    Attempt(InFlightRequest of, SimulatedArchiveServer server) {
       this.of = of;
       this.server = server;
     }
   }
 
-  private final Party party;
-  private final Surroundings around;
-  private final Timeline timeline;
-  private final Meter meter;
+  private final NetworkPeer party;
+  private final Environment around;
+  private final VirtualClock timeline;
+  private final SimulationMeter meter;
   private final SplittableRandom chance;
-  private final Map<String, Open> open = new LinkedHashMap<>();
-  private final Map<ServerHost, Pool> pools = new LinkedHashMap<>();
+  private final Map<String, InFlightRequest> open = new LinkedHashMap<>();
+  private final Map<SimulatedArchiveServer, SimulatedConnectionPool> pools = new LinkedHashMap<>();
   private GatewayPolicy gateway;
   private ZoneEjectionController verdicts;
   private int life;
@@ -134,7 +134,7 @@
 
   private final Map<String, Endpoint> unsaid = new LinkedHashMap<>();
 
-  NodeHost(Party party, Surroundings around, SplittableRandom chance) {
+  SimulatedNode(NetworkPeer party, Environment around, SplittableRandom chance) {
     this.party = party;
     this.around = around;
     this.chance = chance;
@@ -143,7 +143,7 @@
   }
 
   @Override
-  public Party party() {
+  public NetworkPeer party() {
     return party;
   }
 
@@ -273,7 +273,7 @@
     ready = ending = paused = false;
     backlog.clear();
     pools.clear();
-    List<Open> lost = new ArrayList<>(open.values());
+    List<InFlightRequest> lost = new ArrayList<>(open.values());
     open.clear();
     lost.forEach(
         one -> {
@@ -330,7 +330,7 @@
             asked.gatewayCount(),
             asked.firstGateway(),
             asked.clientRetry());
-    Open of = new Open(request, keyed, client);
+    InFlightRequest of = new InFlightRequest(request, keyed, client);
     open.put(request.id(), of);
     soon(
         Math.max(0, span - LAST_MOMENT),
@@ -349,14 +349,14 @@
   }
 
   /** Connections to archive servers now, in use and idle, added up by server. */
-  int connections(Map<ServerHost, Integer> byServer) {
+  int connections(Map<SimulatedArchiveServer, Integer> byServer) {
     int[] all = new int[1];
     pools.forEach(
         (server, pool) -> {
           all[0] += pool.idle();
           byServer.merge(server, pool.idle(), Integer::sum);
         });
-    for (Open one : open.values()) {
+    for (InFlightRequest one : open.values()) {
       if (one.attempt != null && one.attempt.written) {
         all[0]++;
         byServer.merge(one.attempt.server, 1, Integer::sum);
@@ -370,7 +370,7 @@
     enter(() -> gone(id, open.get(id)));
   }
 
-  private void gone(String id, Open of) {
+  private void gone(String id, InFlightRequest of) {
     if (of != null && !of.answered) {
       of.answered = true;
       gone(id);
@@ -382,12 +382,12 @@
     settle(open.get(id));
   }
 
-  private void answer(Open of, int status, long advice) {
+  private void answer(InFlightRequest of, int status, long advice) {
     of.answered = true;
     of.client.answer(status, advice);
   }
 
-  private void settle(Open of) {
+  private void settle(InFlightRequest of) {
     if (of != null && of.answered && of.attempt == null) {
       open.remove(of.request.id());
       endIfDone();
@@ -400,18 +400,21 @@
   }
 
   private void begin(String id, String server, long patience) {
-    Open of = open.get(id);
-    ServerHost to = around.servers.get(server);
+    InFlightRequest of = open.get(id);
+    SimulatedArchiveServer to = around.servers.get(server);
     Attempt attempt = new Attempt(of, to);
     of.attempt = attempt;
     of.attempts++;
     soon(patience, () -> end(attempt, attempt.written ? Outcome.TIMEOUT : Outcome.CONNECT_FAILED));
-    Pool pool =
+    SimulatedConnectionPool pool =
         pools.computeIfAbsent(
-            to, any -> new Pool(timeline, around.network, party, to, CONNECT, around.keep, meter));
+            to,
+            any ->
+                new SimulatedConnectionPool(
+                    timeline, around.network, party, to, CONNECT, around.keep, meter));
     int born = life;
     pool.take(
-        new Pool.User() {
+        new SimulatedConnectionPool.ConnectionUser() {
           @Override
           public void connected(int serverLife, boolean reused) {
             enter(
@@ -432,8 +435,8 @@
         });
   }
 
-  private void write(Attempt attempt, Pool pool, int serverLife) {
-    ServerHost to = attempt.server;
+  private void write(Attempt attempt, SimulatedConnectionPool pool, int serverLife) {
+    SimulatedArchiveServer to = attempt.server;
     String id = attempt.of.request.id();
     around.network.pass(
         party,
@@ -448,7 +451,7 @@
               id,
               attempt.of.keyed ? id : null,
               around.work.applyAsLong(id),
-              new ServerHost.Caller() {
+              new SimulatedArchiveServer.Caller() {
                 @Override
                 public void ended(Ending how) {
                   attempt.served = timeline.now() - arrived;
@@ -481,14 +484,14 @@
   }
 
   private void end(Attempt attempt, Outcome outcome) {
-    Open of = attempt.of;
+    InFlightRequest of = attempt.of;
     if (attempt.over || open.get(of.request.id()) != of) {
       return;
     }
     attempt.over = true;
     of.attempt = null;
     if (outcome == Outcome.OK && !of.answered) {
-      meter.added(timeline.now() - of.takenAt - attempt.served - 2 * Network.hop());
+      meter.added(timeline.now() - of.takenAt - attempt.served - 2 * SimulatedNetwork.hop());
       answer(of, OK, 0);
     }
     meter.time(
@@ -521,7 +524,7 @@
   private void decline(String id, int status, long advice) {
     meter.outside(
         () -> {
-          Open of = open.get(id);
+          InFlightRequest of = open.get(id);
           answer(of, status, advice);
           settle(of);
         });
@@ -535,7 +538,7 @@
   private void call(long name, double amount, long lifetime) {
     boolean[] over = new boolean[1];
     int of = life;
-    CounterHost counter = around.counter;
+    SimulatedCounter counter = around.counter;
     soon(
         around.settings.counter().timeoutNanos(),
         () -> counted(over, of, name, Outcome.TIMEOUT, 0));
--- a/testbed/src/main/java/edgegateway/testbed/model/Peer.java
+++ b/testbed/src/main/java/edgegateway/testbed/simulation/SimulatedPeer.java
@@ -1,11 +1,11 @@
-package edgegateway.testbed.model;
+package edgegateway.testbed.simulation;
 
-import edgegateway.testbed.net.Party;
+import edgegateway.testbed.network.NetworkPeer;
 
 /** A process that others connect to. */
-interface Peer {
+interface SimulatedPeer {
   /** Who it is. */
-  Party party();
+  NetworkPeer party();
 
   /** Whether something listens there now. */
   boolean listens();
--- a/testbed/src/main/java/edgegateway/testbed/model/Meter.java
+++ b/testbed/src/main/java/edgegateway/testbed/simulation/SimulationMeter.java
@@ -1,4 +1,4 @@
-package edgegateway.testbed.model;
+package edgegateway.testbed.simulation;
 
 import edgegateway.policy.api.Outcome;
 import java.util.EnumMap;
@@ -10,7 +10,7 @@
  * archive servers, calls to the counter, and the processor time of the program's module by
  * activity. What lists cost is kept whether it is on or not. Not thread-safe.
  */
-public final class Meter {
+public final class SimulationMeter {
   /** What the module is busy with. */
   public enum Activity {
     /** A whole list, as the first. */
--- a/testbed/src/main/java/edgegateway/testbed/model/Timeline.java
+++ b/testbed/src/main/java/edgegateway/testbed/simulation/VirtualClock.java
@@ -1,4 +1,4 @@
-package edgegateway.testbed.model;
+package edgegateway.testbed.simulation;
 
 import java.util.Comparator;
 import java.util.PriorityQueue;
@@ -7,7 +7,7 @@
  * A clock of the model's own and what is to happen on it: in the order of time, and at one moment
  * in the order in which it was asked for. Times are nanoseconds; not thread-safe.
  */
-final class Timeline {
+final class VirtualClock {
   private record Entry(long at, long order, Runnable what) {}
 
   private final PriorityQueue<Entry> entries =
@@ -15,7 +15,7 @@
   private long now;
   private long asked;
 
-  Timeline(long start) {
+  VirtualClock(long start) {
     now = start;
   }
 
--- a/testbed/src/main/java/edgegateway/testbed/load/Arrivals.java
+++ b/testbed/src/main/java/edgegateway/testbed/workload/ArrivalGenerator.java
@@ -1,4 +1,4 @@
-package edgegateway.testbed.load;
+package edgegateway.testbed.workload;
 
 import java.nio.charset.StandardCharsets;
 import java.security.MessageDigest;
@@ -12,7 +12,7 @@
  * All requests of a play, in the order of their times: Poisson arrivals of each customer, unevenly
  * spread over its edge nodes, with weights that change. The same seed draws the same ones.
  */
-public final class Arrivals {
+public final class ArrivalGenerator {
   private static final double SECOND = 1e9;
   private static final long CUSTOMERS = 1L << 33;
 
@@ -24,31 +24,31 @@
    * @param shift the mean span between changes of a customer's weights, in nanoseconds, above 0
    * @param skew how uneven the weights are: 0 even, 1 and more with most on one node
    */
-  public record Terms(
+  public record Settings(
       long span,
       int nodes,
-      List<RequestClass> classes,
-      List<Plan> plans,
+      List<WorkloadClass> classes,
+      List<CustomerPlan> plans,
       long shift,
       double skew) {}
 
-  private final Terms terms;
-  private final List<Arrival> drawn = new ArrayList<>();
+  private final Settings terms;
+  private final List<RequestArrival> drawn = new ArrayList<>();
 
   /** The classes' shares, and their sum. */
   private final double[] shares;
 
   private final double whole;
 
-  private Arrivals(Terms terms) {
+  private ArrivalGenerator(Settings terms) {
     this.terms = terms;
-    shares = terms.classes.stream().mapToDouble(RequestClass::share).toArray();
-    whole = terms.classes.stream().mapToDouble(RequestClass::share).sum();
+    shares = terms.classes.stream().mapToDouble(WorkloadClass::share).toArray();
+    whole = terms.classes.stream().mapToDouble(WorkloadClass::share).sum();
   }
 
   /** Draws all; the ids begin with {@code r}. */
-  public static List<Arrival> draw(Terms terms, long seed) {
-    Arrivals all = new Arrivals(terms);
+  public static List<RequestArrival> draw(Settings terms, long seed) {
+    ArrivalGenerator all = new ArrivalGenerator(terms);
     SplittableRandom chance = new SplittableRandom(seed);
     for (int plan = 0; plan < terms.plans.size(); plan++) {
       for (int i = 0; i < terms.plans.get(plan).customers(); i++) {
@@ -62,10 +62,10 @@
                 ? Long.compare(a.at(), b.at())
                 : Long.compare(a.customer(), b.customer()));
     for (int i = 0; i < all.drawn.size(); i++) {
-      Arrival one = all.drawn.get(i);
+      RequestArrival one = all.drawn.get(i);
       all.drawn.set(
           i,
-          new Arrival(
+          new RequestArrival(
               one.at(),
               "r" + i,
               one.customer(),
@@ -80,12 +80,12 @@
   }
 
   /** The request, of those that {@link #draw} drew, that a try's id belongs to. */
-  public static Arrival of(List<Arrival> drawn, String id) {
-    return drawn.get(Integer.parseInt(Retries.request(id).substring(1)));
+  public static RequestArrival of(List<RequestArrival> drawn, String id) {
+    return drawn.get(Integer.parseInt(ClientRetryPolicy.request(id).substring(1)));
   }
 
   private void customer(int plan, SplittableRandom chance) {
-    Plan of = terms.plans.get(plan);
+    CustomerPlan of = terms.plans.get(plan);
     long customer = chance.nextLong(CUSTOMERS);
     int first = chance.nextInt(terms.nodes);
     int spread = Math.min(of.spread(), terms.nodes);
@@ -100,9 +100,9 @@
         shiftAt += exponential(terms.shift, chance);
       }
       int kind = pick(shares, whole, chance);
-      RequestClass as = terms.classes.get(kind);
+      WorkloadClass as = terms.classes.get(kind);
       drawn.add(
-          new Arrival(
+          new RequestArrival(
               at,
               "",
               customer,
@@ -149,7 +149,7 @@
    * A fingerprint of what was drawn: equal if and only if the arrivals are, for all practical
    * purposes.
    */
-  public static String digest(List<Arrival> arrivals) {
+  public static String digest(List<RequestArrival> arrivals) {
     try {
       MessageDigest digest = MessageDigest.getInstance("SHA-256");
       arrivals.forEach(one -> digest.update(one.toString().getBytes(StandardCharsets.UTF_8)));
--- a/testbed/src/main/java/edgegateway/testbed/load/Asking.java
+++ b/testbed/src/main/java/edgegateway/testbed/workload/ClientBehavior.java
@@ -1,13 +1,13 @@
-package edgegateway.testbed.load;
+package edgegateway.testbed.workload;
 
-import edgegateway.testbed.judge.Event;
+import edgegateway.testbed.checker.HistoryEvent;
 import java.util.List;
 
 /**
  * How clients ask, whatever carries their requests: by which edge node, under which id, until when,
  * and when again. Times are nanoseconds of the caller's clock; not thread-safe.
  */
-public final class Asking {
+public final class ClientBehavior {
   /**
    * So long after its time a client still looks for the answer, to tell one that is late from none;
    * nanoseconds.
@@ -15,30 +15,30 @@
   public static final long LINGER = 500_000_000L;
 
   private final List<String> nodes;
-  private final List<RequestClass> classes;
-  private final List<Plan> plans;
-  private final Retries retries;
-  private final Front front;
+  private final List<WorkloadClass> classes;
+  private final List<CustomerPlan> plans;
+  private final ClientRetryPolicy retries;
+  private final FrontLoadBalancer front;
 
   /**
    * All nodes are up; {@code notice} is how long the front sends to a dead one after its first
    * refusal.
    */
-  public Asking(
+  public ClientBehavior(
       List<String> nodes,
-      List<RequestClass> classes,
-      List<Plan> plans,
-      Retries retries,
+      List<WorkloadClass> classes,
+      List<CustomerPlan> plans,
+      ClientRetryPolicy retries,
       long notice) {
     this.nodes = nodes;
     this.classes = classes;
     this.plans = plans;
     this.retries = retries;
-    front = new Front(nodes.size(), notice);
+    front = new FrontLoadBalancer(nodes.size(), notice);
   }
 
   /** What it knows of the edge nodes. */
-  public Front front() {
+  public FrontLoadBalancer front() {
     return front;
   }
 
@@ -48,13 +48,13 @@
   }
 
   /** The first try of a request that arrives now. */
-  public Ask first(Arrival of, long now) {
-    return new Ask(of, 0, 0, now);
+  public ClientRequest first(RequestArrival of, long now) {
+    return new ClientRequest(of, 0, 0, now);
   }
 
   /** One try of a request. */
-  public final class Ask {
-    private final Arrival of;
+  public final class ClientRequest {
+    private final RequestArrival of;
     private final String id;
     private final int number;
     private final int spread;
@@ -63,17 +63,17 @@
     private boolean asked;
 
     /** {@code until} is the first try's deadline; 0 for the first one itself. */
-    private Ask(Arrival of, int number, long until, long now) {
+    private ClientRequest(RequestArrival of, int number, long until, long now) {
       this.of = of;
       this.number = number;
-      id = Retries.id(of.id(), number);
+      id = ClientRetryPolicy.id(of.id(), number);
       deadline = until;
       spread = Math.min(plans.get(of.plan()).spread(), nodes.size());
       node = front.pick(now, of, spread);
     }
 
     /** The request. */
-    public Arrival of() {
+    public RequestArrival of() {
       return of;
     }
 
@@ -93,12 +93,12 @@
     }
 
     /** Its class. */
-    public RequestClass requestClass() {
+    public WorkloadClass requestClass() {
       return classes.get(of.requestClass());
     }
 
     /** Its plan. */
-    public Plan plan() {
+    public CustomerPlan plan() {
       return plans.get(of.plan());
     }
 
@@ -121,8 +121,8 @@
     }
 
     /** That it was written, for the judge. */
-    public Event.Asked event(long now) {
-      return new Event.Asked(
+    public HistoryEvent.Asked event(long now) {
+      return new HistoryEvent.Asked(
           now, id, nodes.get(node), of.customer(), of.plan(), of.requestClass(), deadline);
     }
 
@@ -138,8 +138,8 @@
     }
 
     /** The next try, after its pause. */
-    public Ask again(long now) {
-      return new Ask(of, number + 1, deadline, now);
+    public ClientRequest again(long now) {
+      return new ClientRequest(of, number + 1, deadline, now);
     }
   }
 }
--- a/testbed/src/main/java/edgegateway/testbed/load/Retries.java
+++ b/testbed/src/main/java/edgegateway/testbed/workload/ClientRetryPolicy.java
@@ -1,4 +1,4 @@
-package edgegateway.testbed.load;
+package edgegateway.testbed.workload;
 
 import java.util.SplittableRandom;
 
@@ -11,14 +11,14 @@
  *     one and a half of it
  * @param heed whether they stay away for as long as they are advised
  */
-public record Retries(int most, long after, boolean heed) {
+public record ClientRetryPolicy(int most, long after, boolean heed) {
   /** Clients that ask once. */
-  public static final Retries NONE = new Retries(0, 1, true);
+  public static final ClientRetryPolicy NONE = new ClientRetryPolicy(0, 1, true);
 
   private static final char MARK = '.';
 
   /** Checks its ranges; the message names the figure. */
-  public Retries {
+  public ClientRetryPolicy {
     if (most < 0 || after < 1) {
       throw new IllegalArgumentException((most < 0 ? "most is below 0" : "after is not above 0"));
     }
--- a/testbed/src/main/java/edgegateway/testbed/load/Plan.java
+++ b/testbed/src/main/java/edgegateway/testbed/workload/CustomerPlan.java
@@ -1,4 +1,4 @@
-package edgegateway.testbed.load;
+package edgegateway.testbed.workload;
 
 /**
  * A plan, as the settings name it, and the customers who have it.
@@ -11,7 +11,7 @@
  * @param use which part of that each asks for on average; above 1 is beyond the quota
  * @param spread through how many edge nodes in a row each comes, 1 or more
  */
-public record Plan(
+public record CustomerPlan(
     String name,
     int customers,
     double rate,
@@ -21,10 +21,10 @@
     double use,
     int spread) {
   /** Checks its ranges; the message names the figure. */
-  public Plan {
-    RequestClass.above(name, "rate", rate);
-    RequestClass.above(name, "burst", burst);
-    RequestClass.above(name, "price", price);
+  public CustomerPlan {
+    WorkloadClass.above(name, "rate", rate);
+    WorkloadClass.above(name, "burst", burst);
+    WorkloadClass.above(name, "price", price);
     if (customers < 0 || !(ceiling >= 0) || !(use >= 0) || spread < 1) {
       throw new IllegalArgumentException(
           name
--- a/testbed/src/main/java/edgegateway/testbed/load/Front.java
+++ b/testbed/src/main/java/edgegateway/testbed/workload/FrontLoadBalancer.java
@@ -1,4 +1,4 @@
-package edgegateway.testbed.load;
+package edgegateway.testbed.workload;
 
 import java.util.Arrays;
 
@@ -7,7 +7,7 @@
  * it notices, and takes it in again once its health has said yes. Times are nanoseconds of the
  * caller's clock; not thread-safe.
  */
-public final class Front {
+public final class FrontLoadBalancer {
   private static final long UP = Long.MAX_VALUE;
 
   private final long notice;
@@ -16,7 +16,7 @@
   private final long[] refusedSince;
 
   /** All of so many nodes are up; a dead one is noticed {@code notice} after its first refusal. */
-  public Front(int nodes, long notice) {
+  public FrontLoadBalancer(int nodes, long notice) {
     this.notice = notice;
     refusedSince = new long[nodes];
     Arrays.fill(refusedSince, UP);
@@ -46,7 +46,7 @@
    * The node for a request: the one drawn, or the next of its set that is not out; the drawn one if
    * all are.
    */
-  public int pick(long now, Arrival of, int spread) {
+  public int pick(long now, RequestArrival of, int spread) {
     for (int i = 0; i < spread; i++) {
       int offset = Math.floorMod(of.node() - of.first() + i, refusedSince.length) % spread;
       int node = (of.first() + offset) % refusedSince.length;
--- a/testbed/src/main/java/edgegateway/testbed/load/Clients.java
+++ b/testbed/src/main/java/edgegateway/testbed/workload/HttpClients.java
@@ -1,7 +1,7 @@
-package edgegateway.testbed.load;
+package edgegateway.testbed.workload;
 
-import edgegateway.testbed.judge.Event;
-import edgegateway.testbed.load.Asking.Ask;
+import edgegateway.testbed.checker.HistoryEvent;
+import edgegateway.testbed.workload.ClientBehavior.ClientRequest;
 import io.netty.bootstrap.Bootstrap;
 import io.netty.buffer.Unpooled;
 import io.netty.channel.Channel;
@@ -32,11 +32,11 @@
 import java.util.function.IntFunction;
 
 /**
- * Sends arrivals to edge nodes as {@link Asking} says (protocol, Clients to edge nodes), all on one
- * event loop. A connection carries one request at a time; a client leaves when its time is up, and
- * comes again if it may.
+ * Sends arrivals to edge nodes as {@link ClientBehavior} says (protocol, Clients to edge nodes),
+ * all on one event loop. A connection carries one request at a time; a client leaves when its time
+ * is up, and comes again if it may.
  */
-public final class Clients {
+public final class HttpClients {
   private static final long MS = 1_000_000L;
   private static final double SECOND = 1e9;
   private static final int MOST_BODY = 1 << 16;
@@ -47,11 +47,11 @@
 
   private final EventLoop loop;
   private final IntFunction<InetSocketAddress> door;
-  private final Asking asking;
-  private final Consumer<Event> history;
+  private final ClientBehavior asking;
+  private final Consumer<HistoryEvent> history;
   private final List<ArrayDeque<Channel>> idle = new ArrayList<>();
   private final CompletableFuture<Void> done = new CompletableFuture<>();
-  private List<Arrival> arrivals;
+  private List<RequestArrival> arrivals;
   private long begun;
   private int next;
   private int open;
@@ -62,8 +62,11 @@
    * @param door where the front reaches a node, by number; asked for each connection
    * @param history hears what was asked and answered, on the loop
    */
-  public Clients(
-      EventLoop loop, IntFunction<InetSocketAddress> door, Asking asking, Consumer<Event> history) {
+  public HttpClients(
+      EventLoop loop,
+      IntFunction<InetSocketAddress> door,
+      ClientBehavior asking,
+      Consumer<HistoryEvent> history) {
     this.loop = loop;
     this.door = door;
     this.asking = asking;
@@ -74,7 +77,7 @@
   }
 
   /** Sends all at their times from now on; completes when each has ended. */
-  public CompletableFuture<Void> play(List<Arrival> all) {
+  public CompletableFuture<Void> play(List<RequestArrival> all) {
     loop.execute(
         () -> {
           arrivals = all;
@@ -89,7 +92,7 @@
     long now = System.nanoTime() - begun;
     while (next < arrivals.size() && arrivals.get(next).at() <= now) {
       open++;
-      new Try(asking.first(arrivals.get(next++), System.nanoTime())).start();
+      new ClientAttempt(asking.first(arrivals.get(next++), System.nanoTime())).start();
     }
     if (next < arrivals.size()) {
       loop.schedule(this::send, arrivals.get(next).at() - now, TimeUnit.NANOSECONDS);
@@ -102,7 +105,7 @@
     for (int i = 0; i < asking.nodes(); i++) {
       if (asking.front().doubted(i)) {
         int node = i;
-        connect(node, new Health(node));
+        connect(node, new HealthCheck(node));
       }
     }
     if (!done.isDone()) {
@@ -145,10 +148,10 @@
   }
 
   /** One look at a node's health, on a connection of its own. */
-  private final class Health extends SimpleChannelInboundHandler<FullHttpResponse> {
+  private final class HealthCheck extends SimpleChannelInboundHandler<FullHttpResponse> {
     private final int node;
 
-    Health(int node) {
+    HealthCheck(int node) {
       this.node = node;
     }
 
@@ -172,18 +175,18 @@
   }
 
   /** A connection: it carries one try after another. */
-  private final class Line extends SimpleChannelInboundHandler<FullHttpResponse> {
+  private final class ClientConnection extends SimpleChannelInboundHandler<FullHttpResponse> {
     private final int node;
-    private Try current;
+    private ClientAttempt current;
 
-    Line(int node, Try first) {
+    ClientConnection(int node, ClientAttempt first) {
       this.node = node;
       current = first;
     }
 
     @Override
     protected void channelRead0(ChannelHandlerContext context, FullHttpResponse answer) {
-      Try answered = current;
+      ClientAttempt answered = current;
       current = null;
       if (HttpUtil.isKeepAlive(answer)) {
         idle.get(node).push(context.channel());
@@ -210,14 +213,14 @@
   }
 
   /** One request on its way. */
-  private final class Try {
-    private final Ask ask;
+  private final class ClientAttempt {
+    private final ClientRequest ask;
     private final int node;
     private Channel on;
     private boolean reused;
     private boolean over;
 
-    Try(Ask ask) {
+    ClientAttempt(ClientRequest ask) {
       this.ask = ask;
       node = ask.node();
     }
@@ -226,7 +229,7 @@
       Channel free = idle.get(node).poll();
       if (free != null) {
         reused = true;
-        free.pipeline().get(Line.class).current = this;
+        free.pipeline().get(ClientConnection.class).current = this;
         write(free);
       } else {
         open();
@@ -234,7 +237,7 @@
     }
 
     private void open() {
-      connect(node, new Line(node, this))
+      connect(node, new ClientConnection(node, this))
           .addListener(
               (ChannelFutureListener)
                   made -> {
@@ -245,7 +248,7 @@
                       if (ask.asked()) {
                         // Written once to a connection that was closed already, and nobody is there
                         // now.
-                        history.accept(new Event.Left(System.nanoTime(), ask.id()));
+                        history.accept(new HistoryEvent.Left(System.nanoTime(), ask.id()));
                       }
                       again(0);
                       end();
@@ -257,7 +260,8 @@
       on = to;
       long now = System.nanoTime();
       if (ask.write(now)) {
-        loop.schedule(this::leave, ask.deadline() - now + Asking.LINGER, TimeUnit.NANOSECONDS);
+        loop.schedule(
+            this::leave, ask.deadline() - now + ClientBehavior.LINGER, TimeUnit.NANOSECONDS);
       }
       boolean keyed = ask.requestClass().keyed();
       DefaultFullHttpRequest request = request(keyed ? HttpMethod.POST : HttpMethod.GET, "/api");
@@ -277,7 +281,7 @@
     }
 
     void answered(int status, long advice) {
-      history.accept(new Event.Answered(System.nanoTime(), ask.id(), status));
+      history.accept(new HistoryEvent.Answered(System.nanoTime(), ask.id(), status));
       if (status != OK) {
         again(advice);
       }
@@ -290,7 +294,9 @@
       if (pause >= 0) {
         open++;
         loop.schedule(
-            () -> new Try(ask.again(System.nanoTime())).start(), pause, TimeUnit.NANOSECONDS);
+            () -> new ClientAttempt(ask.again(System.nanoTime())).start(),
+            pause,
+            TimeUnit.NANOSECONDS);
       }
     }
 
@@ -305,7 +311,7 @@
         return;
       }
       if (!over) {
-        history.accept(new Event.Broken(System.nanoTime(), ask.id()));
+        history.accept(new HistoryEvent.Broken(System.nanoTime(), ask.id()));
         again(0);
       }
       end();
@@ -313,7 +319,7 @@
 
     private void leave() {
       if (!over) {
-        history.accept(new Event.Left(System.nanoTime(), ask.id()));
+        history.accept(new HistoryEvent.Left(System.nanoTime(), ask.id()));
         end();
         if (on != null) {
           on.close();
--- a/testbed/src/main/java/edgegateway/testbed/load/Arrival.java
+++ b/testbed/src/main/java/edgegateway/testbed/workload/RequestArrival.java
@@ -1,4 +1,4 @@
-package edgegateway.testbed.load;
+package edgegateway.testbed.workload;
 
 /**
  * A request that a client will send.
@@ -13,7 +13,7 @@
  * @param deadline how long the client waits, in nanoseconds
  * @param work what it needs, in nanoseconds of a core
  */
-public record Arrival(
+public record RequestArrival(
     long at,
     String id,
     long customer,
--- a/testbed/src/main/java/edgegateway/testbed/load/RequestClass.java
+++ b/testbed/src/main/java/edgegateway/testbed/workload/WorkloadClass.java
@@ -1,4 +1,4 @@
-package edgegateway.testbed.load;
+package edgegateway.testbed.workload;
 
 /**
  * A class of requests, as the settings name it.
@@ -10,10 +10,10 @@
  * @param work mean work, in nanoseconds of a core
  * @param worth what an answer is worth, above 0
  */
-public record RequestClass(
+public record WorkloadClass(
     String name, double share, boolean keyed, long aim, long deadline, double work, double worth) {
   /** Checks its ranges; the message names the figure. */
-  public RequestClass {
+  public WorkloadClass {
     above(name, "share", share);
     above(name, "aim", aim);
     above(name, "deadline", deadline);
--- a/testbed/src/main/java/edgegateway/testbed/load/package-info.java
+++ b/testbed/src/main/java/edgegateway/testbed/workload/package-info.java
@@ -1,2 +1,2 @@
 /** What clients ask for, drawn ahead from a seed ({@code docs/design/lab.md}). */
-package edgegateway.testbed.load;
+package edgegateway.testbed.workload;
--- a/testbed/src/test/java/edgegateway/testbed/judge/JudgeTest.java
+++ b/testbed/src/test/java/edgegateway/testbed/checker/InvariantCheckerTest.java
@@ -1,22 +1,22 @@
-package edgegateway.testbed.judge;
+package edgegateway.testbed.checker;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 
-import edgegateway.testbed.judge.Event.Answered;
-import edgegateway.testbed.judge.Event.Asked;
-import edgegateway.testbed.judge.Event.Broken;
-import edgegateway.testbed.judge.Event.Crashed;
-import edgegateway.testbed.judge.Event.Fell;
-import edgegateway.testbed.judge.Event.Learned;
-import edgegateway.testbed.judge.Event.Left;
-import edgegateway.testbed.judge.Event.Lost;
-import edgegateway.testbed.judge.Event.Sent;
-import edgegateway.testbed.judge.Event.Started;
-import edgegateway.testbed.judge.Event.Told;
-import edgegateway.testbed.judge.Event.TurnedAway;
-import edgegateway.testbed.judge.Finding.Rule;
-import edgegateway.testbed.judge.Terms.Ceiling;
-import edgegateway.testbed.judge.Terms.Repeat;
+import edgegateway.testbed.checker.HistoryEvent.Answered;
+import edgegateway.testbed.checker.HistoryEvent.Asked;
+import edgegateway.testbed.checker.HistoryEvent.Broken;
+import edgegateway.testbed.checker.HistoryEvent.Crashed;
+import edgegateway.testbed.checker.HistoryEvent.Fell;
+import edgegateway.testbed.checker.HistoryEvent.Learned;
+import edgegateway.testbed.checker.HistoryEvent.Left;
+import edgegateway.testbed.checker.HistoryEvent.Lost;
+import edgegateway.testbed.checker.HistoryEvent.Sent;
+import edgegateway.testbed.checker.HistoryEvent.Started;
+import edgegateway.testbed.checker.HistoryEvent.Told;
+import edgegateway.testbed.checker.HistoryEvent.TurnedAway;
+import edgegateway.testbed.checker.InvariantSettings.Ceiling;
+import edgegateway.testbed.checker.InvariantSettings.Repeat;
+import edgegateway.testbed.checker.Violation.Rule;
 import java.util.ArrayList;
 import java.util.Arrays;
 import java.util.Collections;
@@ -25,7 +25,7 @@
 import org.junit.jupiter.api.Test;
 
 /** Made-up histories: each breaks one rule once, beside one that is like it and breaks none. */
-class JudgeTest {
+class InvariantCheckerTest {
   private static final long MS = 1_000_000L;
   private static final long SECOND = 1_000 * MS;
   private static final int SAFE = 0;
@@ -33,8 +33,8 @@
   private static final int UNSAFE = 2;
   private static final int FREE = 0;
   private static final int CEILED = 1;
-  private static final Terms TERMS =
-      new Terms(
+  private static final InvariantSettings TERMS =
+      new InvariantSettings(
           58 * MS,
           1_050 * MS,
           SECOND,
@@ -52,14 +52,14 @@
    * The findings of a history, as rule, request, node; it does not matter in which order it is
    * told.
    */
-  private static List<String> judge(Event... history) {
-    List<Event> events = new ArrayList<>(Arrays.asList(history));
+  private static List<String> judge(HistoryEvent... history) {
+    List<HistoryEvent> events = new ArrayList<>(Arrays.asList(history));
     List<String> found =
-        Judge.judge(TERMS, events, 100 * SECOND).stream()
+        InvariantChecker.judge(TERMS, events, 100 * SECOND).stream()
             .map(one -> (one.rule() + " " + one.id() + " " + one.node()).trim() + ": " + one.text())
             .toList();
     Collections.shuffle(events, new Random(1));
-    assertEquals(found.size(), Judge.judge(TERMS, events, 100 * SECOND).size());
+    assertEquals(found.size(), InvariantChecker.judge(TERMS, events, 100 * SECOND).size());
     return found;
   }
 
@@ -160,7 +160,7 @@
 
   @Test
   void aCeilingIsCountedOverAllNodesAndByFirstAttemptsOnly() {
-    List<Event> history = new ArrayList<>();
+    List<HistoryEvent> history = new ArrayList<>();
     // 3 units, 2 a second, 1 below: four at once are the most.
     for (int i = 0; i < 4; i++) {
       history.add(new Asked(0, "r" + i, "n" + i, 7, CEILED, SAFE, SECOND));
@@ -171,16 +171,16 @@
     history.add(new Asked(0, "other", "n1", 8, CEILED, SAFE, SECOND));
     history.add(new Sent(50, "other", "s1"));
     history.add(new Answered(100, "other", 200));
-    assertEquals(NONE, judge(history.toArray(new Event[0])));
+    assertEquals(NONE, judge(history.toArray(new HistoryEvent[0])));
     history.add(new Asked(0, "late", "n1", 7, CEILED, SAFE, SECOND));
     history.add(new Answered(900 * MS, "late", 200));
     history.add(new Sent(501 * MS, "late", "s1"));
-    assertEquals(NONE, judge(history.toArray(new Event[0])));
+    assertEquals(NONE, judge(history.toArray(new HistoryEvent[0])));
     history.set(history.size() - 1, new Sent(400 * MS, "late", "s1"));
     assertEquals(
         List.of(
             "CEILING late n1: customer 0000000000000007 is 1.2 units below its ceiling's store"),
-        judge(history.toArray(new Event[0])));
+        judge(history.toArray(new HistoryEvent[0])));
   }
 
   /**
@@ -189,7 +189,7 @@
    */
   @Test
   void aColdServerIsPushedOverByThoseWhoWereToldOfItsStart() {
-    List<Event> history =
+    List<HistoryEvent> history =
         new ArrayList<>(
             List.of(
                 new Started(0, "s1"),
@@ -205,16 +205,18 @@
     assertEquals(
         List.of(
             "COLD: s1 was pushed over while cold, by 2 attempts of 3 from nodes that were told of its start"),
-        judge(history.toArray(new Event[0])));
+        judge(history.toArray(new HistoryEvent[0])));
     history.set(2, new Learned(2_400 * MS, "n2", "s1"));
-    assertEquals(NONE, judge(history.toArray(new Event[0])));
+    assertEquals(NONE, judge(history.toArray(new HistoryEvent[0])));
     history.set(2, new Learned(-MS, "n2", "s1"));
-    assertEquals(NONE, judge(history.toArray(new Event[0])));
+    assertEquals(NONE, judge(history.toArray(new HistoryEvent[0])));
   }
 
   @Test
   void aProcessThatEndsByItselfIsFound() {
     assertEquals(List.of("CRASH  n1: ended by itself with 3"), judge(new Crashed(0, "n1", 3)));
-    assertEquals(Rule.CRASH, Judge.judge(TERMS, List.of(new Crashed(0, "n1", 3)), 1).get(0).rule());
+    assertEquals(
+        Rule.CRASH,
+        InvariantChecker.judge(TERMS, List.of(new Crashed(0, "n1", 3)), 1).get(0).rule());
   }
 }
--- a/testbed/src/test/java/edgegateway/testbed/cli/CapacityPageTest.java
+++ b/testbed/src/test/java/edgegateway/testbed/cli/CapacityPageTest.java
@@ -33,7 +33,7 @@
                 Stream.concat(
                     results().stream().map(Path::toString), Stream.of("--page", copy.toString())))
             .toArray(String[]::new);
-    assertEquals(0, Lab.commandLine().execute(args));
+    assertEquals(0, TestbedCommand.commandLine().execute(args));
     assertEquals(
         Files.readString(copy),
         Files.readString(PAGE),
@@ -42,6 +42,6 @@
 
   @Test
   void aPageWithoutMarksIsLeftAsItIs() {
-    assertThrows(IOException.class, () -> ScaleReport.within("# Capacity", "tables"));
+    assertThrows(IOException.class, () -> ScaleReportCommand.within("# Capacity", "tables"));
   }
 }
--- a/testbed/src/test/java/edgegateway/testbed/cli/LabTest.java
+++ b/testbed/src/test/java/edgegateway/testbed/cli/TestbedCommandTest.java
@@ -4,7 +4,7 @@
 import static org.junit.jupiter.api.Assertions.assertThrows;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import edgegateway.testbed.judge.Event;
+import edgegateway.testbed.checker.HistoryEvent;
 import edgegateway.testbed.scenario.HistoryFile;
 import java.io.ByteArrayOutputStream;
 import java.io.PrintStream;
@@ -16,7 +16,7 @@
 import org.junit.jupiter.api.io.TempDir;
 
 /** The command line, where it starts no process. */
-class LabTest {
+class TestbedCommandTest {
   private static final long MS = 1_000_000L;
   @TempDir Path folder;
   private String said = "";
@@ -28,7 +28,7 @@
     try (PrintStream to = new PrintStream(bytes, true, StandardCharsets.UTF_8)) {
       System.setOut(to);
       System.setErr(to);
-      return Lab.commandLine().execute(args);
+      return TestbedCommand.commandLine().execute(args);
     } finally {
       System.setOut(out);
       System.setErr(err);
@@ -144,8 +144,8 @@
     assertEquals(2, lab("report", folder.toString()));
     assertEquals(2, lab("trace", folder.toString(), "r1"));
     assertEquals(2, lab("model", "scenarios/calm.yaml", "--seeds", "5..4"));
-    assertThrows(IllegalArgumentException.class, () -> Seeds.parse("1..10001"));
-    assertEquals(new Seeds(7, 7), Seeds.parse("7"));
+    assertThrows(IllegalArgumentException.class, () -> SeedRange.parse("1..10001"));
+    assertEquals(new SeedRange(7, 7), SeedRange.parse("7"));
     assertEquals(0, lab("list", "scenarios"));
     assertTrue(said.contains("zone-lost"), said);
   }
@@ -156,10 +156,10 @@
         folder,
         0,
         List.of(
-            new Event.Asked(MS, "r1", "n0", 7, 0, 0, 900 * MS),
-            new Event.Asked(2 * MS, "r2", "n1", 8, 0, 0, 900 * MS),
-            new Event.Sent(3 * MS, "r1", "s4"),
-            new Event.Answered(9 * MS, "r1", 200)));
+            new HistoryEvent.Asked(MS, "r1", "n0", 7, 0, 0, 900 * MS),
+            new HistoryEvent.Asked(2 * MS, "r2", "n1", 8, 0, 0, 900 * MS),
+            new HistoryEvent.Sent(3 * MS, "r1", "s4"),
+            new HistoryEvent.Answered(9 * MS, "r1", 200)));
     Files.createDirectories(folder.resolve("n0"));
     Files.write(
         folder.resolve("n0").resolve("log"),
--- a/testbed/src/test/java/edgegateway/testbed/stand/ArchiveServerTest.java
+++ b/testbed/src/test/java/edgegateway/testbed/fakes/FakeArchiveServerTest.java
@@ -1,12 +1,12 @@
-package edgegateway.testbed.stand;
+package edgegateway.testbed.fakes;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertNull;
 import static org.junit.jupiter.api.Assertions.assertThrows;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import edgegateway.testbed.stand.ArchiveServer.Ended;
-import edgegateway.testbed.stand.ArchiveServer.Ending;
+import edgegateway.testbed.fakes.FakeArchiveServer.Ended;
+import edgegateway.testbed.fakes.FakeArchiveServer.Ending;
 import java.util.EnumMap;
 import java.util.HashSet;
 import java.util.Map;
@@ -14,16 +14,16 @@
 import java.util.SplittableRandom;
 import org.junit.jupiter.api.Test;
 
-class ArchiveServerTest {
+class FakeArchiveServerTest {
   private static final long MS = 1_000_000L;
   private static final long SECOND = 1_000 * MS;
-  private static final ServerTerms TERMS =
-      new ServerTerms(4, 16, 10, 0.24, 17 * SECOND, 2.5, 1_500 * MS, 6 * SECOND);
+  private static final FakeArchiveServerSettings TERMS =
+      new FakeArchiveServerSettings(4, 16, 10, 0.24, 17 * SECOND, 2.5, 1_500 * MS, 6 * SECOND);
   private static final long WARM = -100 * SECOND;
 
   /** Sends at an even rate for a span; how many ended in which way within it. */
   private static Map<Ending, Integer> load(
-      ArchiveServer<Integer> server, double perSecond, long span, long work) {
+      FakeArchiveServer<Integer> server, double perSecond, long span, long work) {
     Map<Ending, Integer> ended = new EnumMap<>(Ending.class);
     long gap = (long) (SECOND / perSecond);
     for (long at = 0; at < span; at += gap) {
@@ -39,7 +39,7 @@
   void eachRequestEndsOnceOverManySeeds() {
     for (int seed = 0; seed < 200; seed++) {
       SplittableRandom chance = new SplittableRandom(seed);
-      ArchiveServer<Integer> server = new ArchiveServer<>(TERMS, 0, WARM);
+      FakeArchiveServer<Integer> server = new FakeArchiveServer<>(TERMS, 0, WARM);
       Set<Integer> out = new HashSet<>();
       long at = 0;
       for (int i = 0; i < 300; i++) {
@@ -66,14 +66,14 @@
   void warmItDoesWhatItsCoresCanAndTurnsTheRestAway() {
     // 4 cores at 200 ms of work: 20 a second.
     Map<Ending, Integer> ended =
-        load(new ArchiveServer<>(TERMS, 0, WARM), 40, 20 * SECOND, 200 * MS);
+        load(new FakeArchiveServer<>(TERMS, 0, WARM), 40, 20 * SECOND, 200 * MS);
     assertEquals(400, ended.get(Ending.SERVED), 10);
     assertEquals(380, ended.get(Ending.TURNED_AWAY), 15);
   }
 
   @Test
   void itWarmsUpEvenly() {
-    ArchiveServer<Integer> server = new ArchiveServer<>(TERMS, 0, 0);
+    FakeArchiveServer<Integer> server = new FakeArchiveServer<>(TERMS, 0, 0);
     assertEquals(0.24, server.warmth(0));
     assertEquals(0.62, server.warmth(8_500 * MS), 1e-9);
     assertEquals(1, server.warmth(17 * SECOND));
@@ -86,31 +86,31 @@
 
   @Test
   void coldItFallsOverByTheSumOfWhatReachesItWarmItDoesNot() {
-    ArchiveServer<Integer> cold = new ArchiveServer<>(TERMS, 0, 0);
+    FakeArchiveServer<Integer> cold = new FakeArchiveServer<>(TERMS, 0, 0);
     // After 1.5 s it has 0.31 of 4 cores, and bears 2.5 times that: 3.1 cores' worth; 18 a second
     // of 200 ms are 3.6.
     load(cold, 18, 2 * SECOND, 200 * MS);
     assertTrue(cold.fellAt() != Long.MAX_VALUE);
     cold.arrive(3 * SECOND, -1, null, MS);
     assertNull(cold.poll(10 * SECOND));
-    ArchiveServer<Integer> careful = new ArchiveServer<>(TERMS, 0, 0);
+    FakeArchiveServer<Integer> careful = new FakeArchiveServer<>(TERMS, 0, 0);
     load(careful, 11, 2 * SECOND, 200 * MS);
     assertTrue(careful.fellAt() == Long.MAX_VALUE);
-    ArchiveServer<Integer> warm = new ArchiveServer<>(TERMS, 0, WARM);
+    FakeArchiveServer<Integer> warm = new FakeArchiveServer<>(TERMS, 0, WARM);
     load(warm, 200, 5 * SECOND, 200 * MS);
     assertTrue(warm.fellAt() == Long.MAX_VALUE);
   }
 
   @Test
   void aSlowOneDoesAFifthAndAFailingOneLosesItsShare() {
-    ArchiveServer<Integer> slow = new ArchiveServer<>(TERMS, 0, WARM);
+    FakeArchiveServer<Integer> slow = new FakeArchiveServer<>(TERMS, 0, WARM);
     slow.slow(0, 5);
     assertEquals(80, load(slow, 40, 20 * SECOND, 200 * MS).get(Ending.SERVED), 12);
-    ArchiveServer<Integer> failing = new ArchiveServer<>(TERMS, 0, WARM);
+    FakeArchiveServer<Integer> failing = new FakeArchiveServer<>(TERMS, 0, WARM);
     failing.fail(0, 0.2, new SplittableRandom(1));
     Map<Ending, Integer> ended = load(failing, 10, 100 * SECOND, 200 * MS);
     assertEquals(0.2, ended.get(Ending.FAILED) / 1_000.0, 0.05);
-    ArchiveServer<Integer> once = new ArchiveServer<>(TERMS, 0, WARM);
+    FakeArchiveServer<Integer> once = new FakeArchiveServer<>(TERMS, 0, WARM);
     once.fail(0, 1, new SplittableRandom(1));
     once.arrive(0, -1, "k", 100 * MS);
     assertEquals(Ending.FAILED, once.poll(SECOND).how());
@@ -121,7 +121,7 @@
 
   @Test
   void aRepeatOfAKeyDoesNotRunAgainWhileItIsKept() {
-    ArchiveServer<Integer> server = new ArchiveServer<>(TERMS, 0, WARM);
+    FakeArchiveServer<Integer> server = new FakeArchiveServer<>(TERMS, 0, WARM);
     server.arrive(0, 1, "k", 100 * MS);
     server.arrive(50 * MS, 2, "k", 100 * MS);
     assertEquals(new Ended<>(2, Ending.TURNED_AWAY), server.poll(50 * MS));
@@ -136,7 +136,7 @@
 
   @Test
   void aDrainFinishesWhatItHasAndTakesNothingNew() {
-    ArchiveServer<Integer> server = new ArchiveServer<>(TERMS, 0, WARM);
+    FakeArchiveServer<Integer> server = new FakeArchiveServer<>(TERMS, 0, WARM);
     server.arrive(0, 1, null, 100 * MS);
     server.drain();
     server.arrive(1, 2, null, 100 * MS);
@@ -149,13 +149,15 @@
   void termsOutOfRangeAreRefusedByName() {
     assertEquals(
         "coldFrom is out of its range",
-        assertThrows(IllegalArgumentException.class, () -> new ServerTerms(4, 1, 0, 0, 0, 1, 1, 0))
+        assertThrows(
+                IllegalArgumentException.class,
+                () -> new FakeArchiveServerSettings(4, 1, 0, 0, 0, 1, 1, 0))
             .getMessage());
     assertEquals(
         "cores is out of its range",
         assertThrows(
                 IllegalArgumentException.class,
-                () -> new ServerTerms(Double.NaN, 1, 0, 1, 0, 1, 1, 0))
+                () -> new FakeArchiveServerSettings(Double.NaN, 1, 0, 1, 0, 1, 1, 0))
             .getMessage());
   }
 }
--- a/testbed/src/test/java/edgegateway/testbed/stand/CounterTest.java
+++ b/testbed/src/test/java/edgegateway/testbed/fakes/FakeCounterTest.java
@@ -1,29 +1,29 @@
-package edgegateway.testbed.stand;
+package edgegateway.testbed.fakes;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertNull;
 import static org.junit.jupiter.api.Assertions.assertThrows;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import edgegateway.testbed.stand.Counter.Answer;
+import edgegateway.testbed.fakes.FakeCounter.Answer;
 import java.util.HashMap;
 import java.util.Map;
 import java.util.SplittableRandom;
 import org.junit.jupiter.api.Test;
 
-class CounterTest {
+class FakeCounterTest {
   private static final long MS = 1_000_000L;
   private static final long SECOND = 1_000 * MS;
 
-  private static Counter<Integer> counter(int parts, int line) {
-    return new Counter<>(new CounterTerms(parts, MS, line), 0);
+  private static FakeCounter<Integer> counter(int parts, int line) {
+    return new FakeCounter<>(new FakeCounterSettings(parts, MS, line), 0);
   }
 
   @Test
   void totalsAreExactAndAnswersOfANameComeInOrderOverManySeeds() {
     for (int seed = 0; seed < 200; seed++) {
       SplittableRandom chance = new SplittableRandom(seed);
-      Counter<Integer> counter = counter(1 + chance.nextInt(3), 1 + chance.nextInt(20));
+      FakeCounter<Integer> counter = counter(1 + chance.nextInt(3), 1 + chance.nextInt(20));
       Map<Integer, String> names = new HashMap<>();
       Map<Integer, Double> amounts = new HashMap<>();
       Map<String, Double> totals = new HashMap<>();
@@ -58,7 +58,7 @@
 
   @Test
   void callsAreServedInTurnAndTurnedAwayWhenTheLineIsLong() {
-    Counter<Integer> counter = counter(1, 3);
+    FakeCounter<Integer> counter = counter(1, 3);
     for (int i = 0; i < 5; i++) {
       counter.call(0, i, "n", 1, SECOND);
     }
@@ -74,7 +74,7 @@
 
   @Test
   void aNameLivesAsItsFirstCallSaidAndAMinuteAtMost() {
-    Counter<Integer> counter = counter(1, 9);
+    FakeCounter<Integer> counter = counter(1, 9);
     counter.call(0, 0, "short", 5, 3 * SECOND);
     counter.call(2 * SECOND, 1, "short", 1, 60 * SECOND);
     counter.call(2 * SECOND, 2, "long", 1, 600 * SECOND);
@@ -88,7 +88,7 @@
 
   @Test
   void aFlushForgetsAShareAndALostPartComesBackEmpty() {
-    Counter<Integer> counter = counter(1, 2_000);
+    FakeCounter<Integer> counter = counter(1, 2_000);
     for (int i = 0; i < 1_000; i++) {
       counter.call(0, i, "n" + i, 1, 50 * SECOND);
     }
@@ -117,6 +117,7 @@
   void termsOutOfRangeAreRefusedByName() {
     assertEquals(
         "line is below 1",
-        assertThrows(IllegalArgumentException.class, () -> new CounterTerms(1, 1, 0)).getMessage());
+        assertThrows(IllegalArgumentException.class, () -> new FakeCounterSettings(1, 1, 0))
+            .getMessage());
   }
 }
--- a/testbed/src/test/java/edgegateway/testbed/stand/http/PortsTest.java
+++ b/testbed/src/test/java/edgegateway/testbed/fakes/http/HttpFakesTest.java
@@ -1,14 +1,14 @@
-package edgegateway.testbed.stand.http;
+package edgegateway.testbed.fakes.http;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertThrows;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import edgegateway.testbed.stand.ArchiveServer;
-import edgegateway.testbed.stand.CounterTerms;
-import edgegateway.testbed.stand.Member;
-import edgegateway.testbed.stand.Roll;
-import edgegateway.testbed.stand.ServerTerms;
+import edgegateway.testbed.fakes.DiscoveryMember;
+import edgegateway.testbed.fakes.DiscoveryMessage;
+import edgegateway.testbed.fakes.FakeArchiveServer;
+import edgegateway.testbed.fakes.FakeArchiveServerSettings;
+import edgegateway.testbed.fakes.FakeCounterSettings;
 import io.netty.channel.EventLoopGroup;
 import io.netty.channel.MultiThreadIoEventLoopGroup;
 import io.netty.channel.nio.NioIoHandler;
@@ -28,7 +28,7 @@
 
 /** The stand-ins as an edge node meets them: on sockets. */
 @Timeout(value = 60, threadMode = Timeout.ThreadMode.SEPARATE_THREAD)
-class PortsTest {
+class HttpFakesTest {
   private static final long MS = 1_000_000L;
   private static final long SECOND = 1_000 * MS;
   private static final InetSocketAddress ANY = new InetSocketAddress("127.0.0.1", 0);
@@ -49,7 +49,7 @@
     private final Socket socket;
     private final BufferedReader in;
 
-    Client(Port to) throws IOException {
+    Client(HttpFake to) throws IOException {
       this(to.address());
     }
 
@@ -104,21 +104,21 @@
   @Test
   void anArchiveServerServesTurnsAwayAndTellsItsHistory() throws Exception {
     List<String> history = new CopyOnWriteArrayList<>();
-    ArchiveServerPort server =
-        new ArchiveServerPort(
+    ArchiveServerHttpFake server =
+        new ArchiveServerHttpFake(
             group.next(),
             ANY,
-            new ServerTerms(1, 1, 0, 1, 0, 2.5, SECOND, 6 * SECOND),
+            new FakeArchiveServerSettings(1, 1, 0, 1, 0, 2.5, SECOND, 6 * SECOND),
             0,
             id -> id.equals("long") ? 600 * SECOND : MS,
-            new ArchiveServerPort.History() {
+            new ArchiveServerHttpFake.History() {
               @Override
               public void arrived(long at, String id, String key) {
                 history.add(id + " " + key);
               }
 
               @Override
-              public void ended(long at, String id, ArchiveServer.Ending how) {
+              public void ended(long at, String id, FakeArchiveServer.Ending how) {
                 history.add(id + " " + how);
               }
             });
@@ -152,7 +152,8 @@
   /** A connection's answers come in the order of its calls, whichever part has them. */
   @Test
   void theCounterAnswersInOrderAndRefusesWhatIsNoCall() throws Exception {
-    CounterPort counter = new CounterPort(group.next(), ANY, new CounterTerms(2, MS, 99));
+    CounterHttpFake counter =
+        new CounterHttpFake(group.next(), ANY, new FakeCounterSettings(2, MS, 99));
     open.add(counter);
     Client client = new Client(counter);
     for (int i = 0; i < 3; i++) {
@@ -181,7 +182,8 @@
     double[] held = new double[1];
     counter.on(core -> held[0] = core.total(System.nanoTime(), "a"));
     assertEquals(10_000_011.5, held[0]);
-    CounterPort busy = new CounterPort(group.next(), ANY, new CounterTerms(1, 600 * SECOND, 1));
+    CounterHttpFake busy =
+        new CounterHttpFake(group.next(), ANY, new FakeCounterSettings(1, 600 * SECOND, 1));
     open.add(busy);
     new Client(busy).send("POST /tally/a?n=1&keep_ms=1");
     boolean[] waits = new boolean[1];
@@ -193,9 +195,12 @@
 
   @Test
   void discoveryTellsItsListAndWhatChanges() throws Exception {
-    Member one = new Member("s-1", "127.0.0.1:81", "a", "m2", 3, Member.Phase.READY, 1.5, 0);
-    DiscoveryPort discovery =
-        new DiscoveryPort(group.next(), ANY, new Roll(7, true, List.of(one)), (at, roll) -> {});
+    DiscoveryMember one =
+        new DiscoveryMember(
+            "s-1", "127.0.0.1:81", "a", "m2", 3, DiscoveryMember.Phase.READY, 1.5, 0);
+    DiscoveryHttpFake discovery =
+        new DiscoveryHttpFake(
+            group.next(), ANY, new DiscoveryMessage(7, true, List.of(one)), (at, roll) -> {});
     open.add(discovery);
     String entry =
         "{\"id\":\"s-1\",\"host_port\":\"127.0.0.1:81\",\"locality\":\"a\",\"flavor\":\"m2\",\"cell\":3,\"phase\":\"";
@@ -211,11 +216,19 @@
     assertEquals("\n", client.chunk());
     discovery.silent(true);
     discovery.send(
-        new Roll(
+        new DiscoveryMessage(
             8,
             false,
             List.of(
-                new Member("s-1", "127.0.0.1:81", "a", "m2", 3, Member.Phase.TERMINATING, 1.5, 9))),
+                new DiscoveryMember(
+                    "s-1",
+                    "127.0.0.1:81",
+                    "a",
+                    "m2",
+                    3,
+                    DiscoveryMember.Phase.TERMINATING,
+                    1.5,
+                    9))),
         MS);
     discovery.silent(false);
     assertEquals(
@@ -228,14 +241,17 @@
 
   @Test
   void discoveryThatBeginsAnewResetsItsWatchesAndTellsTheWholeList() throws Exception {
-    Member one = new Member("s-1", "127.0.0.1:81", "a", "m2", 3, Member.Phase.READY, 1.5, 0);
-    DiscoveryPort discovery =
-        new DiscoveryPort(group.next(), ANY, new Roll(7, true, List.of(one)), (at, roll) -> {});
+    DiscoveryMember one =
+        new DiscoveryMember(
+            "s-1", "127.0.0.1:81", "a", "m2", 3, DiscoveryMember.Phase.READY, 1.5, 0);
+    DiscoveryHttpFake discovery =
+        new DiscoveryHttpFake(
+            group.next(), ANY, new DiscoveryMessage(7, true, List.of(one)), (at, roll) -> {});
     open.add(discovery);
     Client before = new Client(discovery).send("GET /catalog/members?watch=1&after=7");
     before.answer();
     assertEquals("\n", before.chunk());
-    discovery.restart(new Roll(9, true, List.of(one)));
+    discovery.restart(new DiscoveryMessage(9, true, List.of(one)));
     assertThrows(IOException.class, () -> before.in.read(), "its watches were not reset");
     for (int after : new int[] {7, 8}) {
       Client again = new Client(discovery).send("GET /catalog/members?watch=1&after=" + after);
@@ -248,19 +264,19 @@
   @Test
   void eachAddressIsAnArchiveServer() throws Exception {
     List<String> history = new CopyOnWriteArrayList<>();
-    ArchiveServersPort servers =
-        new ArchiveServersPort(
+    ManyArchiveServersHttpFake servers =
+        new ManyArchiveServersHttpFake(
             group.next(),
-            new ServerTerms(1, 1, 0, 1, 0, 2.5, SECOND, 6 * SECOND),
+            new FakeArchiveServerSettings(1, 1, 0, 1, 0, 2.5, SECOND, 6 * SECOND),
             id -> id.startsWith("long") ? 600 * SECOND : MS,
-            new ArchiveServerPort.History() {
+            new ArchiveServerHttpFake.History() {
               @Override
               public void arrived(long at, String id, String key) {
                 history.add(id);
               }
 
               @Override
-              public void ended(long at, String id, ArchiveServer.Ending how) {
+              public void ended(long at, String id, FakeArchiveServer.Ending how) {
                 history.add(id + " " + how);
               }
             });
@@ -292,7 +308,8 @@
 
   @Test
   void answersAreCutInHalfAndCounted() throws Exception {
-    CounterPort counter = new CounterPort(group.next(), ANY, new CounterTerms(1, MS, 99));
+    CounterHttpFake counter =
+        new CounterHttpFake(group.next(), ANY, new FakeCounterSettings(1, MS, 99));
     open.add(counter);
     assertEquals("200 1", new Client(counter).send("POST /tally/a?n=1&keep_ms=60000").answer());
     long out = counter.traffic().out();
--- a/testbed/src/test/java/edgegateway/testbed/fleet/FleetTest.java
+++ b/testbed/src/test/java/edgegateway/testbed/fleet/FleetTest.java
@@ -4,17 +4,17 @@
 import static org.junit.jupiter.api.Assertions.assertThrows;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import edgegateway.testbed.load.Plan;
-import edgegateway.testbed.load.RequestClass;
-import edgegateway.testbed.net.Conditions;
-import edgegateway.testbed.net.Party;
-import edgegateway.testbed.net.Selector;
-import edgegateway.testbed.process.DeployFile;
-import edgegateway.testbed.process.NodeProcess.Signal;
-import edgegateway.testbed.stand.ArchiveServer;
-import edgegateway.testbed.stand.CounterTerms;
-import edgegateway.testbed.stand.ServerTerms;
-import edgegateway.testbed.stand.http.ArchiveServerPort;
+import edgegateway.testbed.fakes.FakeArchiveServer;
+import edgegateway.testbed.fakes.FakeArchiveServerSettings;
+import edgegateway.testbed.fakes.FakeCounterSettings;
+import edgegateway.testbed.fakes.http.ArchiveServerHttpFake;
+import edgegateway.testbed.network.LinkConditions;
+import edgegateway.testbed.network.NetworkPeer;
+import edgegateway.testbed.network.PeerSelector;
+import edgegateway.testbed.processes.DeployFile;
+import edgegateway.testbed.processes.NodeProcess.Signal;
+import edgegateway.testbed.workload.CustomerPlan;
+import edgegateway.testbed.workload.WorkloadClass;
 import java.io.IOException;
 import java.net.ConnectException;
 import java.net.HttpURLConnection;
@@ -36,36 +36,36 @@
 class FleetTest {
   private static final long MS = 1_000_000L;
   private static final long SECOND = 1_000 * MS;
-  private static final List<RequestClass> CLASSES =
+  private static final List<WorkloadClass> CLASSES =
       List.of(
-          new RequestClass("search", 0.63, false, 2 * SECOND, 6 * SECOND, 5 * MS, 1),
-          new RequestClass("license", 0.37, true, 2 * SECOND, 6 * SECOND, 5 * MS, 1));
-  private static final List<Plan> PLANS =
+          new WorkloadClass("search", 0.63, false, 2 * SECOND, 6 * SECOND, 5 * MS, 1),
+          new WorkloadClass("license", 0.37, true, 2 * SECOND, 6 * SECOND, 5 * MS, 1));
+  private static final List<CustomerPlan> PLANS =
       List.of(
-          new Plan("basico", 20, 2, 20, 1, 0, 0.4, 3),
-          new Plan("profesional", 10, 4, 20, 1, 2, 0.4, 3),
-          new Plan("editorial", 3, 20, 20, 1, 0, 0.4, 2));
+          new CustomerPlan("basico", 20, 2, 20, 1, 0, 0.4, 3),
+          new CustomerPlan("profesional", 10, 4, 20, 1, 2, 0.4, 3),
+          new CustomerPlan("editorial", 3, 20, 20, 1, 0, 0.4, 2));
   private static final int DEADLINE_MS = 6_000;
   @TempDir Path folder;
   private final Topology topology = Topology.even(List.of("a", "b"), 3, 6);
 
   /** Which server served a request. */
-  private final Map<String, Party> served = new ConcurrentHashMap<>();
+  private final Map<String, NetworkPeer> served = new ConcurrentHashMap<>();
 
   private final Set<String> arrived = ConcurrentHashMap.newKeySet();
   private Fleet fleet;
   private int asked;
 
-  private ArchiveServerPort.History history(Party server) {
-    return new ArchiveServerPort.History() {
+  private ArchiveServerHttpFake.History history(NetworkPeer server) {
+    return new ArchiveServerHttpFake.History() {
       @Override
       public void arrived(long at, String id, String key) {
         arrived.add(id + " at " + server.name());
       }
 
       @Override
-      public void ended(long at, String id, ArchiveServer.Ending how) {
-        if (how != ArchiveServer.Ending.TURNED_AWAY) {
+      public void ended(long at, String id, FakeArchiveServer.Ending how) {
+        if (how != FakeArchiveServer.Ending.TURNED_AWAY) {
           served.put(id, server);
         }
       }
@@ -79,15 +79,16 @@
             topology,
             DeployFile.read(Path.of("..").toRealPath()),
             folder,
-            new Fleet.Terms(
-                new ServerTerms(4, 16, 50, 0.24, 17 * SECOND, 2.5, 1_500 * MS, 6 * SECOND),
-                new CounterTerms(2, MS, 500),
-                new Load(CLASSES, PLANS, 6 * SECOND, null),
+            new Fleet.Settings(
+                new FakeArchiveServerSettings(
+                    4, 16, 50, 0.24, 17 * SECOND, 2.5, 1_500 * MS, 6 * SECOND),
+                new FakeCounterSettings(2, MS, 500),
+                new WorkloadSettings(CLASSES, PLANS, 6 * SECOND, null),
                 id -> 5 * MS),
             this::history,
             1);
     fleet.start(topology.nodes());
-    for (Party node : topology.nodes()) {
+    for (NetworkPeer node : topology.nodes()) {
       ready(node);
     }
   }
@@ -97,7 +98,7 @@
     fleet.close();
   }
 
-  private HttpURLConnection to(Party node, String path) throws IOException {
+  private HttpURLConnection to(NetworkPeer node, String path) throws IOException {
     InetSocketAddress at = fleet.door(node);
     HttpURLConnection call =
         (HttpURLConnection)
@@ -106,14 +107,14 @@
     return call;
   }
 
-  private void ready(Party node) throws Exception {
+  private void ready(NetworkPeer node) throws Exception {
     while (!fleet.healthy(node)) {
       Thread.sleep(20);
     }
   }
 
   /** One request of a customer of its own; its id, if it was served, else its status. */
-  private String ask(Party node) throws IOException {
+  private String ask(NetworkPeer node) throws IOException {
     String id = "t-" + asked++;
     HttpURLConnection call = to(node, "/api");
     call.setRequestProperty("X-Trace-Id", id);
@@ -132,14 +133,19 @@
 
   @Test
   void aCutZoneIsServedAroundAndAKilledNodeComesBack() throws Exception {
-    Party first = topology.nodes().get(0);
-    Party other = topology.nodes().get(1);
+    NetworkPeer first = topology.nodes().get(0);
+    NetworkPeer other = topology.nodes().get(1);
     for (int i = 0; i < 30; i++) {
       String id = ask(topology.nodes().get(i % 3));
       assertTrue(served.containsKey(id), id + ": " + fleet.log(first));
     }
     // All that stands in b is cut off from whoever does not; n0 stands in a.
-    fleet.fault("cut", Selector.parse("zone:b"), Selector.parse("!zone:b"), true, Conditions.CUT);
+    fleet.fault(
+        "cut",
+        PeerSelector.parse("zone:b"),
+        PeerSelector.parse("!zone:b"),
+        true,
+        LinkConditions.CUT);
     arrived.clear();
     int running = 0;
     for (int i = 0; running < 20; i++) {
--- a/testbed/src/test/java/edgegateway/testbed/net/DoorTest.java
+++ b/testbed/src/test/java/edgegateway/testbed/network/FaultyListenerTest.java
@@ -1,4 +1,4 @@
-package edgegateway.testbed.net;
+package edgegateway.testbed.network;
 
 import static org.junit.jupiter.api.Assertions.assertThrows;
 
@@ -18,7 +18,7 @@
 
 /** A listening address whose loop has much else to do. */
 @Timeout(value = 60, threadMode = Timeout.ThreadMode.SEPARATE_THREAD)
-class DoorTest {
+class FaultyListenerTest {
   private static final int BUSY_MS = 5;
   private final EventLoopGroup group =
       new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
@@ -45,11 +45,12 @@
   @Test
   void whoeverConnectsOnceItRefusesIsRefusedAlthoughTheLoopIsBusy() throws Exception {
     EventLoop loop = group.next();
-    Door door =
-        new Door(loop, new InetSocketAddress("127.0.0.1", 0), new ChannelInboundHandlerAdapter());
-    door.be(Door.State.TAKES);
+    FaultyListener door =
+        new FaultyListener(
+            loop, new InetSocketAddress("127.0.0.1", 0), new ChannelInboundHandlerAdapter());
+    door.be(FaultyListener.State.TAKES);
     loop.execute(() -> work(loop));
-    door.be(Door.State.REFUSES);
+    door.be(FaultyListener.State.REFUSES);
     try (Socket socket = new Socket()) {
       assertThrows(ConnectException.class, () -> socket.connect(door.address(), 1_000));
     }
--- a/testbed/src/test/java/edgegateway/testbed/net/TcpLinkTest.java
+++ b/testbed/src/test/java/edgegateway/testbed/network/TcpLinkTest.java
@@ -1,4 +1,4 @@
-package edgegateway.testbed.net;
+package edgegateway.testbed.network;
 
 import static org.junit.jupiter.api.Assertions.assertArrayEquals;
 import static org.junit.jupiter.api.Assertions.assertEquals;
@@ -31,8 +31,8 @@
   private static final long MS = 1_000_000L;
   private final EventLoopGroup group =
       new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
-  private volatile Conditions there = Conditions.GOOD;
-  private volatile Conditions back = Conditions.GOOD;
+  private volatile LinkConditions there = LinkConditions.GOOD;
+  private volatile LinkConditions back = LinkConditions.GOOD;
   private ServerSocket target;
   private TcpLink link;
   private Socket client;
@@ -73,7 +73,7 @@
     assertEquals(word, to.getInputStream().read());
   }
 
-  private void conditions(Conditions forth, Conditions home) throws IOException {
+  private void conditions(LinkConditions forth, LinkConditions home) throws IOException {
     there = forth;
     back = home;
     link.changed();
@@ -109,7 +109,7 @@
 
   @Test
   void atThirtyPercentLossAllComesInOrderAndLate() throws Exception {
-    conditions(new Conditions(false, 0.3, 0, 2 * MS, MS, 0), Conditions.GOOD);
+    conditions(new LinkConditions(false, 0.3, 0, 2 * MS, MS, 0), LinkConditions.GOOD);
     byte[] sent = bytes(40);
     long began = System.nanoTime();
     for (byte one : sent) {
@@ -118,20 +118,20 @@
       says(server, client, 7);
     }
     assertArrayEquals(sent, server.getInputStream().readNBytes(sent.length));
-    assertTrue(System.nanoTime() - began >= Stream.LEAST_TIMEOUT, "nothing was lost");
+    assertTrue(System.nanoTime() - began >= TcpStreamModel.LEAST_TIMEOUT, "nothing was lost");
   }
 
   /** The far side still hears; only its answers do not come. */
   @Test
   void aOneWayCutIsSilentAndHealsWithWhatWasInFlight() throws Exception {
-    conditions(Conditions.GOOD, Conditions.CUT);
+    conditions(LinkConditions.GOOD, LinkConditions.CUT);
     says(client, server, 1);
     server.getOutputStream().write(2);
     client.setSoTimeout(300);
     assertThrows(SocketTimeoutException.class, () -> client.getInputStream().read());
     assertThrows(
         SocketTimeoutException.class, () -> connect(300), "a new connection came up over a cut");
-    conditions(Conditions.GOOD, Conditions.GOOD);
+    conditions(LinkConditions.GOOD, LinkConditions.GOOD);
     client.setSoTimeout(20_000);
     assertEquals(2, client.getInputStream().read());
     try (Socket next = connect(10_000);
--- a/testbed/src/test/java/edgegateway/testbed/process/NodeProcessTest.java
+++ b/testbed/src/test/java/edgegateway/testbed/processes/NodeProcessTest.java
@@ -1,11 +1,11 @@
-package edgegateway.testbed.process;
+package edgegateway.testbed.processes;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
 import static org.junit.jupiter.api.Assertions.assertThrows;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import edgegateway.testbed.process.NodeProcess.Signal;
+import edgegateway.testbed.processes.NodeProcess.Signal;
 import java.io.IOException;
 import java.nio.file.Files;
 import java.nio.file.Path;
@@ -26,7 +26,7 @@
 class NodeProcessTest {
   @TempDir Path folder;
   private final BlockingQueue<String> log = new LinkedBlockingQueue<>();
-  private Guard guard;
+  private ProcessGuard guard;
 
   /** A lab of its own that is killed: it says which process it began. */
   static final class Lab {
@@ -38,7 +38,7 @@
               new DeployFile(Path.of("."), "exec sleep 600"),
               Path.of(args[0]),
               Map.of(),
-              new Guard(),
+              new ProcessGuard(),
               line -> {});
       System.out.println(node.pid());
       Thread.sleep(600_000);
@@ -47,7 +47,7 @@
 
   @BeforeEach
   void open() throws IOException {
-    guard = new Guard();
+    guard = new ProcessGuard();
   }
 
   @AfterEach
--- a/testbed/src/test/java/edgegateway/testbed/process/UsageTest.java
+++ b/testbed/src/test/java/edgegateway/testbed/processes/ProcessUsageTest.java
@@ -1,4 +1,4 @@
-package edgegateway.testbed.process;
+package edgegateway.testbed.processes;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertThrows;
@@ -9,18 +9,18 @@
 import org.junit.jupiter.api.Test;
 
 /** What is read of a process, against what this one knows of itself. */
-class UsageTest {
+class ProcessUsageTest {
   private static final long LEAST_NS = 100_000_000L;
 
   @Test
   void processorTimeAndMemoryAreThisProcesss() throws Exception {
-    Usage before = Usage.of(ProcessHandle.current().pid());
+    ProcessUsage before = ProcessUsage.of(ProcessHandle.current().pid());
     long begun = System.nanoTime();
     long sum = 0;
     while (System.nanoTime() - begun < LEAST_NS) {
       sum += System.nanoTime() % 7;
     }
-    Usage after = Usage.of(ProcessHandle.current().pid());
+    ProcessUsage after = ProcessUsage.of(ProcessHandle.current().pid());
     assertTrue(sum > 0 && after.cpuS() > before.cpuS(), () -> before + " " + after);
     assertTrue(after.residentBytes() > 1 << 20, after::toString);
     assertTrue(
@@ -32,13 +32,13 @@
   void whoHasEndedIsTold() throws Exception {
     Process ended = new ProcessBuilder("true").start();
     ended.waitFor();
-    assertThrows(IOException.class, () -> Usage.of(ended.pid()));
+    assertThrows(IOException.class, () -> ProcessUsage.of(ended.pid()));
   }
 
   @Test
   void figuresAreTheLinesThatAreNumbers() {
     assertEquals(
         Map.of("app.a", 7L, "app.b.c", -1L),
-        Operators.figures("app.a=7\napp.b.c=-1\napp.d=x\n--\n"));
+        OperatorClient.figures("app.a=7\napp.b.c=-1\napp.d=x\n--\n"));
   }
 }
--- a/testbed/src/test/java/edgegateway/testbed/scale/CapacityTest.java
+++ b/testbed/src/test/java/edgegateway/testbed/scale/CapacityTest.java
@@ -30,15 +30,16 @@
           - {role: edge node, when: calm, quantity: never run, unit: s, side: sockets, figure: x, by: nodes, budget: 1, mechanism: page}
         """;
 
-  private static Point point(long seed, double nodes, double servers, double calls, double opened) {
-    return new Point(
-        Point.Side.MODEL,
+  private static MeasuredPoint point(
+      long seed, double nodes, double servers, double calls, double opened) {
+    return new MeasuredPoint(
+        MeasuredPoint.Side.MODEL,
         seed,
         new TreeMap<>(Map.of("nodes", nodes, "servers", servers)),
         new TreeMap<>(Map.of("calls-per-node-s", calls, "opened", opened)));
   }
 
-  private static ScaleResult result(Point... points) {
+  private static ScaleResult result(MeasuredPoint... points) {
     return new ScaleResult(null, "2026-12-02", "scale by-hand.yaml", List.of(points));
   }
 
@@ -142,15 +143,17 @@
   @Test
   void aSlopeGoesOnStraightBeyondWhatWasMeasuredAndNotBelowNothing() throws Exception {
     Line line = CapacityFile.parse(FILE).lines().get(1);
-    Slope up = new Slope(line, List.of(point(1, 100, 200, 0, 0.1), point(1, 100, 800, 0, 0.4)));
+    GrowthSlope up =
+        new GrowthSlope(line, List.of(point(1, 100, 200, 0, 0.1), point(1, 100, 800, 0, 0.4)));
     assertEquals(1.6, up.at(Map.of("servers", 3_200.0)), 1e-9);
     assertEquals("derived, drawn on", up.mark(Map.of("servers", 3_200.0)));
     assertEquals("derived", up.mark(Map.of("servers", 500.0)));
     assertEquals(0.25, up.at(Map.of("servers", 500.0)), 1e-9);
-    Slope down = new Slope(line, List.of(point(1, 100, 200, 0, 0.4), point(1, 100, 800, 0, 0.1)));
+    GrowthSlope down =
+        new GrowthSlope(line, List.of(point(1, 100, 200, 0, 0.4), point(1, 100, 800, 0, 0.1)));
     assertEquals(0, down.at(Map.of("servers", 3_200.0)));
     assertEquals(
-        0.4, new Slope(line, List.of(point(1, 100, 200, 0, 0.4))).at(Map.of("servers", 9.0)));
+        0.4, new GrowthSlope(line, List.of(point(1, 100, 200, 0, 0.4))).at(Map.of("servers", 9.0)));
   }
 
   @Test
@@ -159,9 +162,9 @@
         CapacityFile.parse(FILE.replace("figure: opened", "figure: opened + calls-per-node-s"))
             .lines()
             .get(1);
-    assertEquals(11.1, new Slope(both, byHand.points()).at(Map.of("servers", 800.0)), 1e-9);
+    assertEquals(11.1, new GrowthSlope(both, byHand.points()).at(Map.of("servers", 800.0)), 1e-9);
     assertTrue(
-        !new Slope(
+        !new GrowthSlope(
                 CapacityFile.parse(FILE.replace("figure: opened", "figure: opened + closed"))
                     .lines()
                     .get(1),
@@ -175,10 +178,10 @@
    */
   @Test
   void aCurveHasItsBudgetAtEachSize() throws Exception {
-    List<Curve> curves = Curve.of(CapacityFile.parse(FILE), List.of(byHand));
+    List<GrowthCurve> curves = GrowthCurve.of(CapacityFile.parse(FILE), List.of(byHand));
     assertEquals(
         List.of("counter, calm: calls", "edge node, calm: opened"),
-        curves.stream().map(Curve::title).toList());
+        curves.stream().map(GrowthCurve::title).toList());
     assertEquals(Map.of(200.0, 11.0, 800.0, 11.0, 3_200.0, 12.0), curves.get(0).slopes());
     assertEquals(List.of(15.0, 15.0, 3.75), curves.get(0).budget());
     assertEquals(List.of(0.2, 0.2, 0.2), curves.get(1).budget());
@@ -187,16 +190,16 @@
   /** A play with a trouble says nothing of a calm one. */
   @Test
   void aPlayWithATroubleCountsOnlyWhereALineWantsIt() throws Exception {
-    Point calm = point(1, 100, 200, 1, 0.1);
-    Point stopped =
-        new Point(
-            Point.Side.MODEL,
+    MeasuredPoint calm = point(1, 100, 200, 1, 0.1);
+    MeasuredPoint stopped =
+        new MeasuredPoint(
+            MeasuredPoint.Side.MODEL,
             1,
             new TreeMap<>(Map.of("nodes", 100.0, "servers", 200.0, "counter-stops", 1.0)),
             new TreeMap<>(Map.of("calls-per-node-s", 9.0)));
     Line line = CapacityFile.parse(FILE).lines().get(0);
     Map<String, Double> size = Map.of("nodes", 100.0, "servers", 200.0);
-    assertEquals(100, new Slope(line, List.of(calm, stopped)).figure(size));
+    assertEquals(100, new GrowthSlope(line, List.of(calm, stopped)).figure(size));
     Line wants =
         CapacityFile.parse(
                 FILE.replace(
@@ -204,7 +207,7 @@
                     "figure: calls-per-node-s, by: servers, where: {counter-stops: 1},"))
             .lines()
             .get(0);
-    assertEquals(900, new Slope(wants, List.of(calm, stopped)).figure(size));
+    assertEquals(900, new GrowthSlope(wants, List.of(calm, stopped)).figure(size));
   }
 
   @Test
@@ -223,7 +226,9 @@
     for (Map.Entry<String, String> one : broken.entrySet()) {
       String said =
           assertThrows(
-                  Scenario.Invalid.class, () -> CapacityFile.parse(one.getKey()), one.getValue())
+                  Scenario.InvalidScenarioException.class,
+                  () -> CapacityFile.parse(one.getKey()),
+                  one.getValue())
               .getMessage();
       assertTrue(said.contains(one.getValue()) && said.lines().count() == 1, said);
     }
@@ -235,17 +240,17 @@
   @Test
   void theProgramsOwnLinesAddUpAsPrinted() throws Exception {
     CapacityFile own = CapacityFile.own();
-    List<Point> points = new ArrayList<>();
+    List<MeasuredPoint> points = new ArrayList<>();
     for (Line line : own.lines()) {
       if (line.figure() != null) {
         TreeMap<String, Double> size = new TreeMap<>(own.target());
         size.putAll(line.where());
         TreeMap<String, Double> figures = new TreeMap<>();
         List.of(line.figure().split(" \\+ ")).forEach(figure -> figures.put(figure, 0.0417));
-        points.add(new Point(line.side(), 1, size, figures));
+        points.add(new MeasuredPoint(line.side(), 1, size, figures));
       }
     }
-    String table = CapacityTables.of(own, List.of(result(points.toArray(new Point[0]))));
+    String table = CapacityTables.of(own, List.of(result(points.toArray(new MeasuredPoint[0]))));
     Matcher products = Pattern.compile("\\| ([0-9., x a-z-]+) = ([0-9,.]+) .*").matcher(table);
     int seen = 0;
     while (products.find()) {
--- a/testbed/src/test/java/edgegateway/testbed/scale/ScaleFileTest.java
+++ b/testbed/src/test/java/edgegateway/testbed/scale/ScaleFileTest.java
@@ -4,10 +4,10 @@
 import static org.junit.jupiter.api.Assertions.assertThrows;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import edgegateway.testbed.load.RequestClass;
 import edgegateway.testbed.scale.ScaleFile.ModelSize;
 import edgegateway.testbed.scenario.Scenario;
 import edgegateway.testbed.scenario.YamlFile;
+import edgegateway.testbed.workload.WorkloadClass;
 import java.nio.file.Files;
 import java.nio.file.Path;
 import java.util.List;
@@ -39,7 +39,7 @@
           scenario.plans().size());
       double work =
           scenario.classes().stream().mapToDouble(kind -> kind.share() * kind.work()).sum()
-              / scenario.classes().stream().mapToDouble(RequestClass::share).sum();
+              / scenario.classes().stream().mapToDouble(WorkloadClass::share).sum();
       assertEquals(
           file.busy(), asked * work / 1e9 / (size.servers() * file.servers().cores()), 1e-6);
       assertEquals("south", scenario.topology().topology().servers().get(3).region());
@@ -74,7 +74,7 @@
     for (Map.Entry<String, String> one : broken.entrySet()) {
       String said =
           assertThrows(
-                  Scenario.Invalid.class,
+                  Scenario.InvalidScenarioException.class,
                   () -> YamlFile.parse(one.getKey(), ScaleFile.class),
                   one.getValue())
               .getMessage();
@@ -94,7 +94,7 @@
             size ->
                 assertEquals(
                     size.event() == null,
-                    Point.AMOUNTS.containsAll(size.key().keySet()),
+                    MeasuredPoint.AMOUNTS.containsAll(size.key().keySet()),
                     size.toString()));
     file.sockets()
         .sizes()
@@ -102,16 +102,16 @@
             size ->
                 assertEquals(
                     size.trouble() == null,
-                    Point.AMOUNTS.containsAll(size.key().keySet()),
+                    MeasuredPoint.AMOUNTS.containsAll(size.key().keySet()),
                     size.toString()));
   }
 
   @Test
   void aResultIsReadAsItWasWritten(@TempDir Path folder) throws Exception {
     ScaleFile file = ScaleFile.read(FILE);
-    Point point =
-        new Point(
-            Point.Side.MODEL,
+    MeasuredPoint point =
+        new MeasuredPoint(
+            MeasuredPoint.Side.MODEL,
             3,
             file.model().sizes().get(0).key(),
             new TreeMap<>(Map.of("x-per-s", 0.1)));
--- a/testbed/src/test/java/edgegateway/testbed/scale/ModelScaleTest.java
+++ b/testbed/src/test/java/edgegateway/testbed/scale/SimulationScaleRunTest.java
@@ -3,7 +3,7 @@
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import edgegateway.testbed.judge.Event;
+import edgegateway.testbed.checker.HistoryEvent;
 import edgegateway.testbed.scenario.YamlFile;
 import java.nio.file.Files;
 import java.nio.file.Path;
@@ -15,7 +15,7 @@
 import org.junit.jupiter.api.Test;
 
 /** A small play on virtual time: the same verdict every time. */
-class ModelScaleTest {
+class SimulationScaleRunTest {
   private static final String SMALL =
       "model:\n  from-s: 3\n  span-s: 6\n  sizes:\n    - {nodes: 20, servers: 100, services: 2, tenants: 1480, requests-per-s: 1400}\n";
   private static final long MS = 1_000_000L;
@@ -32,7 +32,8 @@
   private static SortedMap<String, Double> play(String idle, long seed) throws Exception {
     ScaleFile file = file(idle);
     List<String> progress = new ArrayList<>();
-    Point point = ModelScale.play(file, file.model().sizes().get(0), seed, progress::add);
+    MeasuredPoint point =
+        SimulationScaleRun.play(file, file.model().sizes().get(0), seed, progress::add);
     assertTrue(
         progress.stream().anyMatch(line -> line.startsWith("6 of 6 s")),
         "seed " + seed + ": " + progress);
@@ -100,22 +101,23 @@
   @Test
   void aTallyTellsWhatWasBeyondTheQuotaAndWhatWasRefusedWithRoom() throws Exception {
     ScaleFile file = file("10");
-    Tally tally = new Tally(file.scenario(file.model().sizes().get(0), 1), 0, 10 * SECOND);
+    RequestStatistics tally =
+        new RequestStatistics(file.scenario(file.model().sizes().get(0), 1), 0, 10 * SECOND);
     // The first plan has a burst of 7.5 units, and fills at 1.5 a second.
     for (int i = 0; i < 8; i++) {
       tally.accept(asked("r" + i, i));
-      tally.accept(new Event.Sent(i, "r" + i, "s0"));
-      tally.accept(new Event.Sent(i, "r" + i, "s1"));
-      tally.accept(new Event.Answered(9 * MS, "r" + i, 200));
+      tally.accept(new HistoryEvent.Sent(i, "r" + i, "s0"));
+      tally.accept(new HistoryEvent.Sent(i, "r" + i, "s1"));
+      tally.accept(new HistoryEvent.Answered(9 * MS, "r" + i, 200));
     }
     tally.accept(asked("without room", 10 * MS));
-    tally.accept(new Event.Answered(20 * MS, "without room", 503));
+    tally.accept(new HistoryEvent.Answered(20 * MS, "without room", 503));
     tally.accept(asked("with room", SECOND));
-    tally.accept(new Event.Answered(SECOND + MS, "with room", 503));
+    tally.accept(new HistoryEvent.Answered(SECOND + MS, "with room", 503));
     tally.accept(asked("left", 2 * SECOND));
-    tally.accept(new Event.Left(3 * SECOND, "left"));
+    tally.accept(new HistoryEvent.Left(3 * SECOND, "left"));
     tally.accept(asked("too late to count", 11 * SECOND));
-    tally.accept(new Event.Answered(11 * SECOND, "too late to count", 503));
+    tally.accept(new HistoryEvent.Answered(11 * SECOND, "too late to count", 503));
     SortedMap<String, Double> figures = new TreeMap<>();
     tally.figures(figures);
     assertEquals(1 / 8.0, figures.get("beyond-quota-share"));
@@ -126,7 +128,7 @@
     assertEquals(8 * 100 / 16.0, figures.get("attempts-most-over-mean"), 1e-9);
   }
 
-  private static Event.Asked asked(String id, long at) {
-    return new Event.Asked(at, id, "n0", 7, 0, 0, at + 6 * SECOND);
+  private static HistoryEvent.Asked asked(String id, long at) {
+    return new HistoryEvent.Asked(at, id, "n0", 7, 0, 0, at + 6 * SECOND);
   }
 }
--- a/testbed/src/test/java/edgegateway/testbed/scale/sockets/SocketsScaleTest.java
+++ b/testbed/src/test/java/edgegateway/testbed/scale/sockets/SocketScaleRunTest.java
@@ -4,7 +4,7 @@
 import static org.junit.jupiter.api.Assertions.assertThrows;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import edgegateway.testbed.process.DeployFile;
+import edgegateway.testbed.processes.DeployFile;
 import edgegateway.testbed.scale.ScaleFile;
 import edgegateway.testbed.scale.ScaleFile.ControlTrouble;
 import edgegateway.testbed.scale.ScaleFile.SocketsSize;
@@ -23,7 +23,7 @@
 
 /** Small plays over loopback. */
 @Timeout(value = 240, threadMode = Timeout.ThreadMode.SEPARATE_THREAD)
-class SocketsScaleTest {
+class SocketScaleRunTest {
   private static final long SEED = 1;
   @TempDir Path folder;
 
@@ -42,7 +42,7 @@
             target.idleS(),
             null,
             new SocketsSizes(fromS, spanS, List.of(size)));
-    return SocketsScale.play(
+    return SocketScaleRun.play(
             file, size, SEED, line -> {}, DeployFile.read(Path.of("..").toRealPath()), folder)
         .figures();
   }
@@ -82,7 +82,7 @@
 
   @Test
   void descriptorsAreCountedForEachProcess() {
-    Fit fit = new Fit(1L << 40, 1_000);
+    MachineCapacity fit = new MachineCapacity(1L << 40, 1_000);
     fit.check(new SocketsSize(3, 50, 0, 200, 0, 0, null));
     String more =
         assertThrows(
--- a/testbed/src/test/java/edgegateway/testbed/scenario/PlayTest.java
+++ b/testbed/src/test/java/edgegateway/testbed/scenario/ScenarioRunTest.java
@@ -3,7 +3,7 @@
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import edgegateway.testbed.process.DeployFile;
+import edgegateway.testbed.processes.DeployFile;
 import java.nio.file.Files;
 import java.nio.file.Path;
 import java.util.List;
@@ -13,13 +13,13 @@
 
 /** Short scenarios on three processes of the program: every rule holds. */
 @Timeout(value = 120, threadMode = Timeout.ThreadMode.SEPARATE_THREAD)
-class PlayTest {
+class ScenarioRunTest {
   @TempDir Path folder;
 
-  private Result play(String name) throws Exception {
+  private RunResult play(String name) throws Exception {
     Scenario scenario = Scenario.read(Path.of(getClass().getResource(name + ".yaml").toURI()));
-    Result result =
-        Play.of(scenario, DeployFile.read(Path.of("..").toRealPath()), folder, line -> {});
+    RunResult result =
+        ScenarioRun.of(scenario, DeployFile.read(Path.of("..").toRealPath()), folder, line -> {});
     assertEquals(List.of(), result.findings());
     assertTrue(result.goodput() > scenario.least(), "goodput " + result.goodput());
     return result;
@@ -27,7 +27,7 @@
 
   @Test
   void aNodeDiesAndAZoneIsCutOff() throws Exception {
-    Result result = play("killed");
+    RunResult result = play("killed");
     assertTrue(result.failed() > 0, "nobody asked the dead node");
     List<String> log = Files.readAllLines(folder.resolve("n0").resolve("log"));
     assertEquals(
@@ -42,7 +42,7 @@
    */
   @Test
   void aZoneIsLeftByHandAndComesBack() throws Exception {
-    List<Second> seconds = play("by-hand").seconds();
+    List<SecondMetrics> seconds = play("by-hand").seconds();
     assertTrue(seconds.get(1).attempts().getOrDefault("b", 0) > 5, "before: " + seconds.get(1));
     assertEquals(0, seconds.get(4).attempts().getOrDefault("b", 0), "out: " + seconds.get(4));
     int back =
@@ -60,7 +60,7 @@
    */
   @Test
   void aSilentZoneIsLeftByTheFleetAndComesBack() throws Exception {
-    List<Second> seconds = play("verdict").seconds();
+    List<SecondMetrics> seconds = play("verdict").seconds();
     int fleets = 0;
     for (String node : List.of("n0", "n1", "n2")) {
       List<String> log = Files.readAllLines(folder.resolve(node).resolve("log"));
@@ -95,7 +95,7 @@
 
   @Test
   void serversDrainANodeEndsAnotherStandsStillAndTheCounterIsLost() throws Exception {
-    Result result = play("drained");
+    RunResult result = play("drained");
     assertTrue(result.pressure() > 0, "nothing was sent to the servers that came back");
     List<String> history = Files.readAllLines(folder.resolve(HistoryFile.NAME));
     for (String event : List.of("Told", "Started", "Learned", "Lost")) {
--- a/testbed/src/test/java/edgegateway/testbed/scenario/ScenarioTest.java
+++ b/testbed/src/test/java/edgegateway/testbed/scenario/ScenarioTest.java
@@ -5,8 +5,8 @@
 import static org.junit.jupiter.api.Assertions.assertThrows;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import edgegateway.testbed.judge.Event;
-import edgegateway.testbed.load.Arrival;
+import edgegateway.testbed.checker.HistoryEvent;
+import edgegateway.testbed.workload.RequestArrival;
 import java.nio.file.Files;
 import java.nio.file.Path;
 import java.util.List;
@@ -61,13 +61,15 @@
     broken.put("a: [", "line 1: ");
     for (Map.Entry<String, String> one : broken.entrySet()) {
       String said =
-          assertThrows(Scenario.Invalid.class, () -> Scenario.parse(one.getKey())).getMessage();
+          assertThrows(Scenario.InvalidScenarioException.class, () -> Scenario.parse(one.getKey()))
+              .getMessage();
       assertTrue(
           said.contains(one.getValue()) && said.startsWith("line "),
           said + " for " + one.getValue());
     }
     assertTrue(
-        assertThrows(Scenario.Invalid.class, () -> Scenario.read(Path.of("none.yaml")))
+        assertThrows(
+                Scenario.InvalidScenarioException.class, () -> Scenario.read(Path.of("none.yaml")))
             .getMessage()
             .startsWith("none.yaml cannot be read"));
   }
@@ -76,23 +78,23 @@
   void aResultAddsUpWorthTimesAndAnswers() throws Exception {
     Scenario scenario = Scenario.read(FOLDER.resolve("zone-lost.yaml"));
     // Worth 0.72 for search on basico, 3 x 1.8 for license on editorial.
-    List<Arrival> arrivals =
+    List<RequestArrival> arrivals =
         List.of(
             arrival("in", 0, 0),
             arrival("late", 2, 1),
             arrival("refused", 0, 0),
             arrival("lost", 0, 0));
-    List<Event> history =
+    List<HistoryEvent> history =
         List.of(
             asked("in", 0),
-            new Event.Sent(MS, "in", "s0"),
-            new Event.Answered(10 * MS, "in", 200),
+            new HistoryEvent.Sent(MS, "in", "s0"),
+            new HistoryEvent.Answered(10 * MS, "in", 200),
             asked("late", 0),
-            new Event.Sent(MS, "late", "s1"),
-            new Event.Answered(1_501 * MS, "late", 200),
+            new HistoryEvent.Sent(MS, "late", "s1"),
+            new HistoryEvent.Answered(1_501 * MS, "late", 200),
             asked("refused", 0),
-            new Event.Answered(MS, "refused", 429));
-    Result result = Result.of(scenario, arrivals, history, 0, 2_000 * MS);
+            new HistoryEvent.Answered(MS, "refused", 429));
+    RunResult result = RunResult.of(scenario, arrivals, history, 0, 2_000 * MS);
     assertEquals(0.72 / (3 * 0.72 + 5.4), result.goodput(), 1e-9);
     assertEquals(
         List.of(4, 2, 1, 1),
@@ -103,11 +105,11 @@
     assertEquals(1_501, result.p99Ms(), 2);
   }
 
-  private static Arrival arrival(String id, int plan, int kind) {
-    return new Arrival(0, id, 1, plan, kind, 0, 0, 6_000 * MS, MS);
+  private static RequestArrival arrival(String id, int plan, int kind) {
+    return new RequestArrival(0, id, 1, plan, kind, 0, 0, 6_000 * MS, MS);
   }
 
-  private static Event.Asked asked(String id, long at) {
-    return new Event.Asked(at, id, "n0", 1, 0, 0, 6_000 * MS);
+  private static HistoryEvent.Asked asked(String id, long at) {
+    return new HistoryEvent.Asked(at, id, "n0", 1, 0, 0, 6_000 * MS);
   }
 }
--- a/testbed/src/test/java/edgegateway/testbed/model/ModelTest.java
+++ b/testbed/src/test/java/edgegateway/testbed/simulation/FleetSimulationTest.java
@@ -1,9 +1,9 @@
-package edgegateway.testbed.model;
+package edgegateway.testbed.simulation;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import edgegateway.testbed.scenario.Result;
+import edgegateway.testbed.scenario.RunResult;
 import edgegateway.testbed.scenario.Scenario;
 import java.nio.file.Path;
 import java.util.ArrayList;
@@ -12,19 +12,20 @@
 import org.junit.jupiter.api.Test;
 
 /** The program's module in fleets of twelve, over many seeds. */
-class ModelTest {
+class FleetSimulationTest {
   private static final int SEEDS = 12;
 
-  private static Result play(String name, long seed) throws Exception {
-    Result result =
-        Model.of(Scenario.read(Path.of("scenarios", name + ".yaml")).withSeed(seed), line -> {});
+  private static RunResult play(String name, long seed) throws Exception {
+    RunResult result =
+        FleetSimulation.of(
+            Scenario.read(Path.of("scenarios", name + ".yaml")).withSeed(seed), line -> {});
     assertEquals(List.of(), result.findings(), "seed " + seed);
     return result;
   }
 
   @Test
   void theSameSeedGivesTheSamePlay() throws Exception {
-    Result first = play("zone-lost", 3);
+    RunResult first = play("zone-lost", 3);
     assertEquals(first, play("zone-lost", 3));
     assertTrue(first.goodput() < 1 && !first.equals(play("zone-lost", 4)));
   }
@@ -33,7 +34,7 @@
   void aCalmDayIsServedAndALostZoneCostsLittle() throws Exception {
     for (long seed = 1; seed <= 3; seed++) {
       assertTrue(play("calm", seed).goodput() > 0.97, "seed " + seed);
-      Result lost = play("zone-lost", seed);
+      RunResult lost = play("zone-lost", seed);
       assertTrue(lost.goodput() > 0.92, "seed " + seed + ": " + lost.goodput());
       assertTrue(
           lost.seconds().get(7).attempts().getOrDefault("b", 0) == 0,
@@ -48,7 +49,7 @@
   @Test
   void afterAPowerLossOfEverythingTheFleetComesBack() throws Exception {
     for (long seed = 1; seed <= SEEDS; seed++) {
-      Result result = play("power-loss", seed);
+      RunResult result = play("power-loss", seed);
       assertEquals(0, result.fell(), "seed " + seed);
       assertTrue(
           result.recovery().toNineTenths() >= 0 && result.recovery().toNineTenths() <= 8,
@@ -63,7 +64,7 @@
   @Test
   void whenAllServersStartAnewTheirNodesGoSlowly() throws Exception {
     for (long seed = 1; seed <= SEEDS; seed++) {
-      Result result = play("servers-lost", seed);
+      RunResult result = play("servers-lost", seed);
       assertTrue(
           result.recovery().toNineTenths() >= 0 && result.recovery().toNineTenths() <= 9,
           "seed " + seed + ": " + result.recovery());
@@ -78,8 +79,8 @@
   void aSilentZoneIsLeftAsAFleet() throws Exception {
     for (long seed = 1; seed <= SEEDS; seed++) {
       List<String> log = new ArrayList<>();
-      Result result =
-          Model.of(
+      RunResult result =
+          FleetSimulation.of(
               Scenario.read(Path.of("scenarios", "zone-verdict.yaml")).withSeed(seed), log::add);
       assertEquals(List.of(), result.findings(), "seed " + seed);
       assertTrue(result.goodput() > 0.95, "seed " + seed + ": " + result.goodput());
@@ -141,12 +142,12 @@
   @Test
   void clientsThatComeAgainAtOnceDoNotKeepTheFleetDown() throws Exception {
     for (long seed = 1; seed <= 3; seed++) {
-      Result storm = play("retry-storm", seed);
+      RunResult storm = play("retry-storm", seed);
       assertTrue(storm.tries() > 1.05 * storm.asked(), "nobody came again: " + storm.tries());
       assertTrue(
           storm.recovery().toNineTenths() >= 0 && storm.recovery().toNineTenths() <= 6,
           "seed " + seed + ": " + storm.recovery());
-      Result dark = play("retry-power-loss", seed);
+      RunResult dark = play("retry-power-loss", seed);
       assertEquals(0, dark.fell(), "seed " + seed);
       assertTrue(
           dark.recovery().toNineTenths() >= 0 && dark.recovery().toNineTenths() <= 20,
@@ -157,7 +158,7 @@
   @Test
   void powerThatFailsThreeTimesIsBorneAsOne() throws Exception {
     for (long seed = 1; seed <= 3; seed++) {
-      Result result = play("power-flicker", seed);
+      RunResult result = play("power-flicker", seed);
       assertEquals(0, result.fell(), "seed " + seed);
       assertTrue(
           result.recovery().toNineTenths() >= 0 && result.recovery().toNineTenths() <= 8,
--- a/testbed/src/test/java/edgegateway/testbed/load/ArrivalsTest.java
+++ b/testbed/src/test/java/edgegateway/testbed/workload/ArrivalGeneratorTest.java
@@ -1,4 +1,4 @@
-package edgegateway.testbed.load;
+package edgegateway.testbed.workload;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertNotEquals;
@@ -12,43 +12,43 @@
 import java.util.stream.Collectors;
 import org.junit.jupiter.api.Test;
 
-class ArrivalsTest {
+class ArrivalGeneratorTest {
   private static final long SECOND = 1_000_000_000L;
   private static final String DIGEST =
       "6bffbf9519fb25b1ec9f513b4f0482fcb7c8a4d71f84ab95f2cf133c15403519";
-  private static final RequestClass SEARCH =
-      new RequestClass("search", 0.63, false, 2 * SECOND, 6 * SECOND, 2e8, 1);
-  private static final RequestClass LICENSE =
-      new RequestClass("license", 0.37, true, 2 * SECOND, 6 * SECOND, 3e8, 1);
+  private static final WorkloadClass SEARCH =
+      new WorkloadClass("search", 0.63, false, 2 * SECOND, 6 * SECOND, 2e8, 1);
+  private static final WorkloadClass LICENSE =
+      new WorkloadClass("license", 0.37, true, 2 * SECOND, 6 * SECOND, 3e8, 1);
 
-  private static Arrivals.Terms terms(double skew, Plan... plans) {
-    return new Arrivals.Terms(
+  private static ArrivalGenerator.Settings terms(double skew, CustomerPlan... plans) {
+    return new ArrivalGenerator.Settings(
         30 * SECOND, 12, List.of(SEARCH, LICENSE), List.of(plans), 10 * SECOND, skew);
   }
 
   @Test
   void aSeedDrawsTheSameAndAnotherSeedOthers() {
-    Arrivals.Terms terms =
+    ArrivalGenerator.Settings terms =
         terms(
             1,
-            new Plan("basico", 40, 1, 20, 1, 0, 0.5, 3),
-            new Plan("editorial", 10, 8, 20, 1, 0, 0.9, 4));
-    List<Arrival> first = Arrivals.draw(terms, 7);
-    assertEquals(first, Arrivals.draw(terms, 7));
+            new CustomerPlan("basico", 40, 1, 20, 1, 0, 0.5, 3),
+            new CustomerPlan("editorial", 10, 8, 20, 1, 0, 0.9, 4));
+    List<RequestArrival> first = ArrivalGenerator.draw(terms, 7);
+    assertEquals(first, ArrivalGenerator.draw(terms, 7));
     // Known: a run on another machine, JVM, locale or day draws these.
-    assertEquals(DIGEST, Arrivals.digest(first));
-    assertNotEquals(DIGEST, Arrivals.digest(Arrivals.draw(terms, 8)));
+    assertEquals(DIGEST, ArrivalGenerator.digest(first));
+    assertNotEquals(DIGEST, ArrivalGenerator.digest(ArrivalGenerator.draw(terms, 8)));
   }
 
   @Test
   void whatIsDrawnKeepsToItsTerms() {
     for (int seed = 0; seed < 20; seed++) {
-      Plan basico = new Plan("basico", 50, 1, 20, 1, 0, 0.5, 3);
-      Plan editorial = new Plan("editorial", 20, 8, 20, 1, 0, 0.9, 4);
-      List<Arrival> all = Arrivals.draw(terms(0, basico, editorial), seed);
+      CustomerPlan basico = new CustomerPlan("basico", 50, 1, 20, 1, 0, 0.5, 3);
+      CustomerPlan editorial = new CustomerPlan("editorial", 20, 8, 20, 1, 0, 0.9, 4);
+      List<RequestArrival> all = ArrivalGenerator.draw(terms(0, basico, editorial), seed);
       Set<String> ids = new HashSet<>();
       long before = 0;
-      for (Arrival one : all) {
+      for (RequestArrival one : all) {
         assertTrue(
             ids.add(one.id()) && one.at() >= before && one.at() < 30 * SECOND, "seed " + seed);
         before = one.at();
@@ -65,37 +65,42 @@
           0.63,
           all.stream().filter(one -> one.requestClass() == 0).count() / (double) all.size(),
           0.03);
-      assertEquals(70, all.stream().collect(Collectors.groupingBy(Arrival::customer)).size(), 2);
+      assertEquals(
+          70, all.stream().collect(Collectors.groupingBy(RequestArrival::customer)).size(), 2);
     }
   }
 
   @Test
   void skewPutsMostOnOneNodeAndShiftsMoveIt() {
-    List<Arrival> one = Arrivals.draw(terms(4, new Plan("big", 1, 200, 20, 1, 0, 1, 4)), 3);
+    List<RequestArrival> one =
+        ArrivalGenerator.draw(terms(4, new CustomerPlan("big", 1, 200, 20, 1, 0, 1, 4)), 3);
     Set<Integer> busiest = new HashSet<>();
     for (long from = 0; from < 30; from++) {
       long at = from * SECOND;
       var byNode =
           one.stream()
               .filter(a -> a.at() >= at && a.at() < at + SECOND)
-              .collect(Collectors.groupingBy(Arrival::node, Collectors.counting()));
+              .collect(Collectors.groupingBy(RequestArrival::node, Collectors.counting()));
       busiest.add(
           byNode.entrySet().stream().max(Map.Entry.comparingByValue()).orElseThrow().getKey());
     }
     assertTrue(busiest.size() > 1, "the weights never change");
-    assertEquals(0, Arrivals.draw(terms(1, new Plan("idle", 9, 5, 20, 1, 0, 0, 2)), 1).size());
+    assertEquals(
+        0,
+        ArrivalGenerator.draw(terms(1, new CustomerPlan("idle", 9, 5, 20, 1, 0, 0, 2)), 1).size());
   }
 
   @Test
   void termsOutOfRangeAreRefusedByName() {
     assertTrue(
-        assertThrows(IllegalArgumentException.class, () -> new Plan("p", 1, 0, 20, 1, 0, 1, 1))
+        assertThrows(
+                IllegalArgumentException.class, () -> new CustomerPlan("p", 1, 0, 20, 1, 0, 1, 1))
             .getMessage()
             .contains("rate"));
     assertTrue(
         assertThrows(
                 IllegalArgumentException.class,
-                () -> new RequestClass("c", 1, false, 2 * SECOND, 0, 1, 1))
+                () -> new WorkloadClass("c", 1, false, 2 * SECOND, 0, 1, 1))
             .getMessage()
             .contains("deadline"));
   }
--- a/testbed/src/test/java/edgegateway/testbed/load/FrontTest.java
+++ b/testbed/src/test/java/edgegateway/testbed/workload/FrontLoadBalancerTest.java
@@ -1,4 +1,4 @@
-package edgegateway.testbed.load;
+package edgegateway.testbed.workload;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
@@ -6,14 +6,14 @@
 
 import org.junit.jupiter.api.Test;
 
-class FrontTest {
-  private static Arrival to(int first, int node) {
-    return new Arrival(0, "r", 1, 0, 0, first, node, 1, 1);
+class FrontLoadBalancerTest {
+  private static RequestArrival to(int first, int node) {
+    return new RequestArrival(0, "r", 1, 0, 0, first, node, 1, 1);
   }
 
   @Test
   void aDeadNodeIsNoticedLateAndTakenInByItsHealth() {
-    Front front = new Front(5, 100);
+    FrontLoadBalancer front = new FrontLoadBalancer(5, 100);
     assertFalse(front.doubted(4));
     front.refused(10, 4);
     front.refused(90, 4);
