--- a/edge/src/main/java/edgegateway/node/logging/EventLog.java
+++ b/edge/src/main/java/edgegateway/node/logging/EventLog.java
@@ -24,6 +24,13 @@
 
   private static final EventLog CONSOLE = new EventLog(System.out, System.err);
 
+  static {
+    // What is logged may be that no descriptor is left, and then no class file can be opened: all
+    // that a line needs is loaded with this class.
+    CONSOLE.streamOf(Level.INFO);
+    format("loaded", field("by", new IllegalStateException("start")));
+  }
+
   private final PrintStream information;
   private final PrintStream problems;
 
@@ -60,23 +67,40 @@
 
   /** Logs an event at a level; a value with white space is quoted. */
   public void write(Level level, String event, Field... fields) {
+    streamOf(level).println(format(event, fields));
+  }
+
+  private PrintStream streamOf(Level level) {
+    return level == Level.INFO ? information : problems;
+  }
+
+  private static String format(String event, Field... fields) {
     StringBuilder line = new StringBuilder(event);
     for (Field field : fields) {
       line.append(' ').append(field.key()).append('=');
       appendValue(line, field.value());
     }
-    (level == Level.INFO ? information : problems).println(line);
+    return line.toString();
   }
 
   private static void appendValue(StringBuilder line, Object value) {
     String text = value instanceof Throwable error ? describe(error) : String.valueOf(value);
-    if (text.isEmpty() || text.chars().anyMatch(c -> Character.isWhitespace(c) || c == '"')) {
-      line.append('"').append(text.replace("\"", "'").replaceAll("\\R", " ")).append('"');
+    if (needsQuotes(text)) {
+      line.append('"').append(text.replace('"', '\'').replace('\n', ' ')).append('"');
     } else {
       line.append(text);
     }
   }
 
+  private static boolean needsQuotes(String text) {
+    for (int i = 0; i < text.length(); i++) {
+      if (Character.isWhitespace(text.charAt(i)) || text.charAt(i) == '"') {
+        return true;
+      }
+    }
+    return text.isEmpty();
+  }
+
   /** The error and the first place of its stack: enough to find it, on one line. */
   private static String describe(Throwable error) {
     StackTraceElement[] stack = error.getStackTrace();
