--- a/edge/src/main/java/edgegateway/policy/GatewayPolicy.java
+++ b/edge/src/main/java/edgegateway/policy/GatewayPolicy.java
@@ -18,8 +18,11 @@
 import edgegateway.policy.api.TrafficRamp;
 import edgegateway.policy.api.ZoneHealth;
 import edgegateway.policy.api.ZoneStatus;
+import edgegateway.policy.control.ClassIntervalStatistics;
+import edgegateway.policy.control.ConcurrencyController;
+import edgegateway.policy.control.ShareController;
+import edgegateway.policy.control.Shares;
 import java.util.ArrayDeque;
-import java.util.ArrayList;
 import java.util.Arrays;
 import java.util.Comparator;
 import java.util.HashMap;
@@ -34,7 +37,6 @@
 import java.util.TreeSet;
 import java.util.stream.Collectors;
 import java.util.stream.Stream;
-import org.ejml.simple.SimpleMatrix;
 
 /**
  * All decisions of one gateway: quotas, fair queue, controllers, choice of server, attempts, final
@@ -79,33 +81,6 @@
 
   private static final double SAVED_S = 0.25;
 
-  /**
-   * The operator's limit on concurrency: requests in flight for each listed server, over all
-   * gateways.
-   */
-  private static final double OPEN_PER_SERVER = 6;
-
-  /** The estimator's memory of some 50 intervals, and the bound on its trace in a quiet spell. */
-  private static final double FORGET = 0.98;
-
-  private static final double TRACE = 100;
-
-  /**
-   * Inverse latency is told in aims over latency, this many being 1, to be of one size with the
-   * shares.
-   */
-  private static final double INVERSE_UNIT = 10;
-
-  /**
-   * Actuation penalties (the level's loop is the slower), and the least part of each: no class
-   * starves.
-   */
-  private static final double Q_SHARE = 0.3;
-
-  private static final double Q_LEVEL = 0.7;
-  private static final double MIN_SHARE = 0.02;
-  private static final double MIN_LEVEL = 0.25;
-
   /**
    * Weight of an answer in a server's averages; memory, in seconds, of these and of the others'
    * use.
@@ -192,7 +167,9 @@
   private final Map<Integer, Double> zoneErrors = new HashMap<>();
   private final Backend[] lastHeard = new Backend[RECENT];
   private final Lane[] lanes;
-  private final Control control;
+  private final ShareController shares;
+  private final ConcurrencyController concurrency;
+  private double warm;
   private int inFlight;
   private int heardCount;
   private double retryTokens = RETRY_MOST;
@@ -221,9 +198,12 @@
     this.now = now;
     lanes = new Lane[cfg.requestClasses().size()];
     for (int i = 0; i < lanes.length; i++) {
-      lanes[i] = new Lane(cfg.requestClasses().get(i));
+      lanes[i] = new Lane(i, cfg.requestClasses().get(i));
     }
-    control = new Control();
+    List<ClassIntervalStatistics> statistics =
+        Arrays.stream(lanes).map(lane -> lane.statistics).toList();
+    shares = new ShareController(statistics);
+    concurrency = new ConcurrencyController(statistics, cfg.nodeCount());
     tokensAt = now;
     leastWait = cfg.counter().timeoutNanos();
     callTokens = random.nextDouble(CALLS_START);
@@ -270,7 +250,7 @@
     // A zone out by verdict leaves the operator's limit as it is: the level's loop sees the rest.
     allowed = servers.values().stream().filter(b -> b.ready).toList();
     listed = allowed.stream().filter(b -> zoneShare(b.entry.zone()) > 0).toList();
-    control.boundLevel();
+    updateCapacity();
     dispatch();
   }
 
@@ -534,7 +514,7 @@
         customers.computeIfAbsent(
             request.customer(), key -> new Customer(key, request.plan(), request.gatewayCount()));
     Lane lane = lanes[request.requestClass()];
-    lane.arrivals++;
+    lane.statistics.requestArrived();
     Job job = new Job(request, customer, lane);
     jobs.put(request.id(), job);
     if (job.hopeless()) {
@@ -572,7 +552,7 @@
     inFlight -= backend.outstanding.contains(job) ? 1 : 0;
     // A level under one is kept over time: hundreds with one out each may be too many for a small
     // fleet.
-    restUntil = now + (long) (result.durationNanos() * Math.max(0, 1 / control.level - 1));
+    restUntil = now + (long) (result.durationNanos() * Math.max(0, 1 / concurrency.limit() - 1));
     backend.ended(job, result);
     job.lane.observe(job, result);
     boolean told = cfg.counter().reportsTrueUnits() && result.trueUnits() > 0;
@@ -772,8 +752,8 @@
     tell();
     if (now >= nextControl) {
       nextControl += SECOND;
-      control.boundLevel();
-      control.interval();
+      updateCapacity();
+      endControlInterval();
     }
     dispatch();
   }
@@ -1125,26 +1105,27 @@
     }
   }
 
-  /** A performance class: its queue, its share, its tags, and what the last interval saw of it. */
+  /** A request class: its queue, its finish tag and what a request of it usually takes. */
   private final class Lane {
+    private final int index;
     private final RequestClass spec;
+    private final ClassIntervalStatistics statistics;
     private final ArrayDeque<Job> queue = new ArrayDeque<>();
-    private double share;
     private double finishTag;
     private double service;
     private double units = 1;
-    private double price = 1;
-    private double latencySum;
-    private double waitSum;
-    private int arrivals;
-    private int good;
-    private final List<Double> services = new ArrayList<>();
-
-    Lane(RequestClass spec) {
+
+    Lane(int index, RequestClass spec) {
+      this.index = index;
       this.spec = spec;
+      statistics = new ClassIntervalStatistics(spec);
       service = spec.latencyObjectiveNanos() * NANO / 8;
     }
 
+    double share() {
+      return shares.share(index);
+    }
+
     /**
      * Start tag of the head. Computed at release, so that a changed share acts on what is queued
      * too.
@@ -1160,18 +1141,16 @@
     void observe(Job job, AttemptResult result) {
       double took = result.durationNanos() * NANO;
       if (result.outcome() == Outcome.OK) {
-        good++;
         service += 0.02 * (took - service);
         units += 0.02 * (job.request.units() - units);
-        price += 0.02 * (job.customer.plan.priceFactor() * job.request.units() - price);
-        latencySum += (now - job.arrived) * NANO;
-        waitSum += (job.sentAt - job.arrived) * NANO;
-        services.add(took);
+        statistics.attemptSucceeded(
+            job.customer.plan.priceFactor() * job.request.units(),
+            (now - job.arrived) * NANO,
+            (job.sentAt - job.arrived) * NANO,
+            took);
       } else if (result.outcome() != Outcome.CANCELLED && result.outcome() != Outcome.NOT_SENT) {
-        // A failure counts as slow, never as fast: errors must not open the concurrency loop. What
-        // was cut short to try another server was out for long already and counts as just that.
-        boolean cut = result.outcome() == Outcome.TIMEOUT && now < job.aimAt();
-        services.add(cut ? took : Math.max(took, 2 * spec.latencyObjectiveNanos() * NANO));
+        boolean cutShort = result.outcome() == Outcome.TIMEOUT && now < job.aimAt();
+        statistics.attemptFailed(took, cutShort);
       }
     }
   }
@@ -1192,13 +1171,14 @@
    */
   private void relieve(Lane lane) {
     double backlogged =
-        Arrays.stream(lanes).mapToDouble(l -> l.queue.isEmpty() ? 0 : l.share).sum();
-    double rate = control.level / lane.service * lane.share / Math.max(MIN_SHARE, backlogged);
+        Arrays.stream(lanes).mapToDouble(l -> l.queue.isEmpty() ? 0 : l.share()).sum();
+    double rate =
+        concurrency.limit() / lane.service * lane.share() / Math.max(Shares.MIN_SHARE, backlogged);
     double budget =
         Math.max(
             lane.spec.latencyObjectiveNanos() * NANO - 2 * lane.service,
             lane.spec.latencyObjectiveNanos() * NANO / 4);
-    while (inFlight >= control.level
+    while (inFlight >= concurrency.limit()
         && lane.queue.size() > 1
         && lane.queue.size() / rate > budget) {
       Job least = lane.queue.peek();
@@ -1212,7 +1192,7 @@
 
   /** Releases requests by start tag while fewer than the concurrency level are out. */
   private void dispatch() {
-    while (inFlight < control.level && now >= restUntil) {
+    while (inFlight < concurrency.limit() && now >= restUntil) {
       Lane next =
           Arrays.stream(lanes)
               .filter(lane -> lane.first() != null)
@@ -1234,270 +1214,32 @@
       double start = next.startTag();
       next.queue.remove(job);
       virtualTime = start;
-      next.finishTag = start + 1 / next.share;
+      next.finishTag = start + 1 / next.share();
       send(job, backend);
     }
   }
 
-  /** Recursive least squares with forgetting: y = theta phi, all outputs sharing one covariance. */
-  static final class Rls {
-    private final SimpleMatrix theta;
-    private SimpleMatrix covariance;
-    private int updates;
-
-    Rls(int outputs, int inputs) {
-      theta = new SimpleMatrix(outputs, inputs);
-      covariance = SimpleMatrix.identity(inputs).scale(TRACE / 10);
-    }
-
-    /** Folds one observation in; outputs that are no number keep their parameters. */
-    void update(SimpleMatrix phi, double... y) {
-      SimpleMatrix pPhi = covariance.mult(phi);
-      SimpleMatrix gain = pPhi.divide(FORGET + phi.dot(pPhi));
-      for (int i = 0; i < y.length; i++) {
-        if (!Double.isNaN(y[i])) {
-          double error = y[i] - predict(phi).get(i);
-          for (int j = 0; j < theta.getNumCols(); j++) {
-            theta.set(i, j, theta.get(i, j) + gain.get(j) * error);
-          }
-        }
-      }
-      covariance = covariance.minus(gain.mult(pPhi.transpose())).divide(FORGET);
-      double bound = TRACE * theta.getNumCols();
-      if (covariance.trace() > bound) {
-        covariance = covariance.scale(bound / covariance.trace());
-      }
-      updates++;
-    }
-
-    SimpleMatrix predict(SimpleMatrix phi) {
-      return theta.mult(phi);
-    }
-  }
-
-  /** u(k) = (B0'W'WB0 + Q'Q)^-1 (B0'W'W(yref - r) + Q'Q u(k-1)), with W and Q diagonal. */
-  static SimpleMatrix controlLaw(
-      SimpleMatrix b0,
-      SimpleMatrix w,
-      double q,
-      SimpleMatrix yref,
-      SimpleMatrix r,
-      SimpleMatrix last) {
-    SimpleMatrix bw = b0.transpose().mult(w.transpose()).mult(w);
-    SimpleMatrix left = bw.mult(b0).plus(SimpleMatrix.identity(last.getNumRows()).scale(q * q));
-    return left.solve(bw.mult(yref.minus(r)).plus(last.scale(q * q)));
+  /** Tells the concurrency controller what the allowed endpoints can carry now. */
+  private void updateCapacity() {
+    concurrency.capacityChanged(allowed.stream().mapToDouble(b -> b.cold() ? b.warmth() : 1).sum());
+    warm = allowed.stream().filter(b -> !b.cold()).count();
   }
 
-  /** Clips shares to their least and rescales them to sum 1. */
-  static double[] rescale(double[] shares) {
-    double[] kept =
-        Arrays.stream(shares)
-            .map(u -> Double.isFinite(u) ? Math.max(MIN_SHARE, Math.min(1, u)) : MIN_SHARE)
-            .toArray();
-    double sum = Arrays.stream(kept).sum();
-    return Arrays.stream(kept).map(u -> u / sum).toArray();
-  }
-
-  private static SimpleMatrix column(double... values) {
-    return new SimpleMatrix(values.length, 1, true, values);
+  /**
+   * What a warm server would be sent from here, in seconds of work a second. Where few are warm,
+   * the cold ones tell it: more than they take, from one core on, till the limit on concurrency
+   * binds.
+   */
+  private double warmWork() {
+    double able = concurrency.effectiveEndpoints();
+    return Math.max(1.0 / cfg.nodeCount(), sentToOne * able / Math.max(warm, able / GROWTH));
   }
 
-  /** The share loop, the slower concurrency loop and the optimizer that feeds both. */
-  private final class Control {
-    private final int n = lanes.length;
-    private final Rls shareModel = new Rls(2 * n, 3 * n);
-    private final Rls levelModel = new Rls(1, 2);
-    private double[] lastY;
-    private double lastInverse;
-    private double lastLevel;
-    private double lastChange;
-    private double scale = 1;
-    private double level = 1;
-    private double limit = 1;
-    private double able = 1;
-    private double warm;
-    private boolean bound;
-
-    /** Until fitted, shares follow worth. */
-    Control() {
-      double sum =
-          Math.max(
-              1e-9, Arrays.stream(lanes).mapToDouble(lane -> lane.spec.priorityWeight()).sum());
-      setShares(
-          Arrays.stream(lanes).mapToDouble(lane -> lane.spec.priorityWeight() / sum).toArray());
-    }
-
-    private void setShares(double[] shares) {
-      double[] kept = rescale(shares);
-      for (int i = 0; i < n; i++) {
-        lanes[i].share = kept[i];
-      }
-    }
-
-    private double[] shares() {
-      return Arrays.stream(lanes).mapToDouble(lane -> lane.share).toArray();
-    }
-
-    void boundLevel() {
-      double before = limit;
-      // What a cold server cannot do yet waits here, where worth decides, not in its line.
-      able =
-          Math.max(MIN_LEVEL, allowed.stream().mapToDouble(b -> b.cold() ? b.warmth() : 1).sum());
-      warm = allowed.stream().filter(b -> !b.cold()).count();
-      double part = Math.max(MIN_LEVEL, OPEN_PER_SERVER * able / cfg.nodeCount());
-      limit = part > 1 ? Math.rint(part) : part;
-      level = levelModel.updates == 0 || level >= before ? limit : Math.min(level, limit);
-    }
-
-    /**
-     * What a warm server would be sent from here, in seconds of work a second. Where few are warm,
-     * the cold ones tell it: more than they take, from one core on, till the limit on concurrency
-     * binds.
-     */
-    double warmWork() {
-      return Math.max(1.0 / cfg.nodeCount(), sentToOne * able / Math.max(warm, able / GROWTH));
-    }
-
-    void interval() {
-      double total = Arrays.stream(lanes).mapToInt(lane -> lane.good).sum();
-      scale += 0.2 * (Math.max(1, total) - scale);
-      double[] y = new double[2 * n];
-      double[] seen = new double[2 * n];
-      for (int i = 0; i < n; i++) {
-        Lane lane = lanes[i];
-        boolean live = lane.good > 0;
-        y[i] = lane.good / scale;
-        double inverse =
-            lane.spec.latencyObjectiveNanos() * NANO * lane.good / Math.max(1e-6, lane.latencySum);
-        y[n + i] = live ? Math.min(1, inverse / INVERSE_UNIT) : lastY == null ? 0 : lastY[n + i];
-        seen[i] = live ? y[i] : Double.NaN;
-        seen[n + i] = live ? y[n + i] : Double.NaN;
-      }
-      if (lastY != null && total > 0) {
-        shareModel.update(regressor(lastY, shares()), seen);
-      }
-      lastY = y;
-      if (shareModel.updates >= 3 * n) {
-        steerShares(y, seen);
-      }
-      steerLevel();
-      for (Lane lane : lanes) {
-        lane.arrivals = lane.good = 0;
-        lane.latencySum = lane.waitSum = 0;
-        lane.services.clear();
-      }
-    }
-
-    private SimpleMatrix regressor(double[] y, double[] shares) {
-      double[] phi = Arrays.copyOf(y, 3 * n);
-      System.arraycopy(shares, 0, phi, 2 * n, n);
-      return column(phi);
-    }
-
-    /**
-     * Worth a second of class i at what the model y = r + B0 s foresees, late answers at their
-     * part.
-     */
-    private double utility(SimpleMatrix r, SimpleMatrix b0, double[] s, int i, double grant) {
-      double[] tried = s.clone();
-      tried[i] += grant;
-      SimpleMatrix x = r.plus(b0.mult(column(tried)));
-      Lane lane = lanes[i];
-      double served = Math.min(Math.max(0, x.get(i)) * scale, lane.arrivals);
-      double late = lane.spec.lateValueFraction();
-      double timely = late + (1 - late) * (1 - Math.exp(-INVERSE_UNIT * Math.max(0, x.get(n + i))));
-      return lane.spec.priorityWeight() * lane.price * served * timely;
-    }
-
-    /** The greedy optimizer of the paper's figure 4, for one gateway: the references. */
-    private SimpleMatrix optimize(SimpleMatrix r, SimpleMatrix b0) {
-      double[] s = new double[n];
-      double[] current = new double[n];
-      Arrays.fill(current, Double.NEGATIVE_INFINITY);
-      double step = Math.max(MIN_SHARE, 1 / Math.max(1, scale));
-      for (double given = 0; given < 1 - 1e-9; ) {
-        int best = 0;
-        double bestGain = Double.NEGATIVE_INFINITY;
-        double bestGrant = step;
-        for (int i = 0; i < n; i++) {
-          double grant = step;
-          while (utility(r, b0, s, i, grant) <= current[i] && given + grant <= 1) {
-            grant += step;
-          }
-          grant = given + grant > 1 ? step : grant;
-          double gain = (utility(r, b0, s, i, grant) - Math.max(0, current[i])) / grant;
-          if (gain > bestGain) {
-            best = i;
-            bestGain = gain;
-            bestGrant = grant;
-          }
-        }
-        s[best] += bestGrant;
-        given += bestGrant;
-        current[best] = utility(r, b0, s, best, 0);
-      }
-      return r.plus(b0.mult(column(rescale(s))));
-    }
-
-    private void steerShares(double[] y, double[] seen) {
-      double[] u = shares();
-      SimpleMatrix b0 = shareModel.theta.cols(2 * n, 3 * n).copy();
-      SimpleMatrix r = shareModel.predict(regressor(y, new double[n]));
-      SimpleMatrix w = new SimpleMatrix(2 * n, 2 * n);
-      double most =
-          Arrays.stream(lanes).mapToDouble(l -> l.spec.priorityWeight() * l.price).max().orElse(1);
-      for (int i = 0; i < 2 * n; i++) {
-        if (b0.get(i, i % n) <= 0) {
-          // Noise, or never varied: until the fit has the known sign, in proportion to the share.
-          for (int j = 0; j < n; j++) {
-            b0.set(i, j, j == i % n ? y[i] / u[j] : 0);
-          }
-          r.set(i, 0, 0);
-        }
-        Lane lane = lanes[i % n];
-        double weight = Math.sqrt(lane.spec.priorityWeight() * lane.price / Math.max(1e-9, most));
-        w.set(i, i, Double.isNaN(seen[i]) ? 0 : weight);
-      }
-      setShares(controlLaw(b0, w, Q_SHARE, optimize(r, b0), r, column(u)).getDDRM().getData());
-    }
-
-    /**
-     * Sets concurrency so that slow answers of the tightest class come within its aim less its
-     * wait.
-     */
-    private void steerLevel() {
-      Lane tight =
-          Arrays.stream(lanes)
-              .filter(lane -> !lane.services.isEmpty())
-              .min(Comparator.comparingLong(lane -> lane.spec.latencyObjectiveNanos()))
-              .orElse(null);
-      if (tight == null) {
-        return;
-      }
-      double[] sorted = tight.services.stream().mapToDouble(x -> x).sorted().toArray();
-      double aim = tight.spec.latencyObjectiveNanos() * NANO;
-      double inverse = aim / sorted[(int) (0.9 * (sorted.length - 1))];
-      double u = level / limit;
-      if (lastInverse > 0 && bound && u != lastLevel) {
-        levelModel.update(column(lastChange, u - lastLevel), inverse - lastInverse);
-      }
-      lastChange = lastInverse > 0 ? inverse - lastInverse : 0;
-      lastLevel = u;
-      double wait = tight.waitSum / Math.max(1, tight.good);
-      // Fitted on changes: an unvaried level tells nothing. Until the fit has the known sign,
-      // Little's
-      // law gives the slope: latency in proportion to what is out.
-      double fit = levelModel.theta.cols(1, 2).get(0);
-      SimpleMatrix b0 = column(levelModel.updates >= 3 && fit < 0 ? fit : -inverse / u);
-      SimpleMatrix yref = column(aim / Math.max(aim / 4, aim - wait));
-      SimpleMatrix r = column(inverse - b0.get(0) * u);
-      SimpleMatrix last = column(u);
-      // A level that did not bind tells nothing; it drifts back to the operator's limit.
-      u = bound ? controlLaw(b0, column(1), Q_LEVEL, yref, r, last).get(0) : (u + 1) / 2;
-      lastInverse = inverse;
-      bound = false;
-      u = Double.isFinite(u) ? Math.max(MIN_LEVEL, Math.min(1, u)) : 1;
-      level = u * limit > 1 ? Math.rint(u * limit) : u * limit;
+  private void endControlInterval() {
+    shares.intervalEnded();
+    concurrency.intervalEnded();
+    for (Lane lane : lanes) {
+      lane.statistics.reset();
     }
   }
 
@@ -1678,7 +1420,7 @@
    * By chance: a cold server's part of a warm one's work, from however many gateways, and no burst.
    */
   private boolean coldRoom(Backend b, Job job) {
-    double work = control.warmWork() * b.warmth() * (now - b.coldAt) * NANO;
+    double work = warmWork() * b.warmth() * (now - b.coldAt) * NANO;
     b.coldAt = now;
     return random.nextDouble() * job.cost() < work;
   }
@@ -1686,7 +1428,7 @@
   private void send(Job job, Backend backend) {
     double kept = Math.exp(-(now - sentWorkAt) * NANO / 4);
     sentWork = sentWork * kept + job.cost() / 4;
-    sentToOne = sentToOne * kept + job.cost() / 4 / control.able;
+    sentToOne = sentToOne * kept + job.cost() / 4 / concurrency.effectiveEndpoints();
     sentWorkAt = now;
     if (job.attempts == 0) {
       retryTokens = Math.min(RETRY_MOST, retryTokens + RETRY_RATIO);
@@ -1698,8 +1440,8 @@
     job.sentAt = now;
     backend.outstanding.add(job);
     inFlight++;
-    if (inFlight >= control.level) {
-      control.bound = true;
+    if (inFlight >= concurrency.limit()) {
+      concurrency.markLimitReached();
     }
     out.sendAttempt(job.request.id(), backend.id, patience(job));
   }
@@ -1714,7 +1456,7 @@
     boolean another =
         job.attempts == 1
             && job.lane.spec.idempotency() != Idempotency.NOT_IDEMPOTENT
-            && inFlight < control.level
+            && inFlight < concurrency.limit()
             && retryTokens >= RETRY_MOST / 2
             && enough + (long) (2 * MARGIN * job.cost() * SECOND) < until - now;
     return another ? enough : Math.max(MS, until - now);
@@ -1755,7 +1497,7 @@
             && spec.deduplicationScope() == DeduplicationScope.ALL) {
       // Who comes back before what waits now is through only makes the wait longer.
       out.reject(
-          job.request.id(), advice(job.lane.queue.size() * job.lane.service / control.level));
+          job.request.id(), advice(job.lane.queue.size() * job.lane.service / concurrency.limit()));
     } else {
       out.fail(job.request.id());
     }
--- a/edge/src/test/java/edgegateway/policy/MechanismTest.java
+++ b/edge/src/test/java/edgegateway/policy/MechanismTest.java
@@ -17,60 +17,10 @@
 import java.util.List;
 import java.util.Map;
 import java.util.Set;
-import java.util.SplittableRandom;
-import org.ejml.simple.SimpleMatrix;
 import org.junit.jupiter.api.Test;
 
 /** The laws and the counter rule on their own terms. */
 class MechanismTest {
-  @Test
-  void leastSquaresRecoverAKnownPlant() {
-    double[][] plant = {{0.5, 0.2, 1.5}, {-0.1, 0.4, 0.7}};
-    GatewayPolicy.Rls rls = new GatewayPolicy.Rls(2, 3);
-    SplittableRandom random = new SplittableRandom(3);
-    for (int k = 0; k < 300; k++) {
-      SimpleMatrix phi =
-          new SimpleMatrix(
-              3, 1, true, random.nextDouble(), random.nextDouble(), random.nextDouble());
-      SimpleMatrix y = new SimpleMatrix(plant).mult(phi);
-      rls.update(phi, y.get(0), y.get(1));
-    }
-    SimpleMatrix probe = new SimpleMatrix(3, 1, true, 1, 2, 3);
-    SimpleMatrix truth = new SimpleMatrix(plant).mult(probe);
-    assertEquals(truth.get(0), rls.predict(probe).get(0), 1e-3);
-    assertEquals(truth.get(1), rls.predict(probe).get(1), 1e-3);
-  }
-
-  @Test
-  void anIdleOutputKeepsItsFit() {
-    GatewayPolicy.Rls rls = new GatewayPolicy.Rls(2, 1);
-    SimpleMatrix one = new SimpleMatrix(1, 1, true, 1);
-    for (int k = 0; k < 50; k++) {
-      rls.update(one, 2, 5);
-    }
-    double before = rls.predict(one).get(1);
-    for (int k = 0; k < 50; k++) {
-      rls.update(one, 2, Double.NaN);
-    }
-    assertEquals(before, rls.predict(one).get(1));
-  }
-
-  @Test
-  void shareLawMovesTowardsTheReferenceAndSumsToOne() {
-    SimpleMatrix b0 = SimpleMatrix.identity(2);
-    SimpleMatrix last = new SimpleMatrix(2, 1, true, 0.5, 0.5);
-    SimpleMatrix yref = new SimpleMatrix(2, 1, true, 0.8, 0.2);
-    SimpleMatrix u =
-        GatewayPolicy.controlLaw(
-            b0, SimpleMatrix.identity(2), 0.5, yref, new SimpleMatrix(2, 1), last);
-    double[] shares = GatewayPolicy.rescale(new double[] {u.get(0), u.get(1)});
-    assertTrue(shares[0] > 0.5 && shares[0] < 0.8);
-    assertEquals(1, Arrays.stream(shares).sum(), 1e-9);
-    double[] odd = GatewayPolicy.rescale(new double[] {Double.NaN, -3, 7});
-    assertEquals(1, Arrays.stream(odd).sum(), 1e-9);
-    assertTrue(Arrays.stream(odd).allMatch(s -> s > 0));
-  }
-
   @Test
   void fairQueueServesByShare() {
     Host host = new Host(Host.FREE, 1, 0).servers(1);
