--- a/edge/src/main/java/edgegateway/policy/control/UtilityOptimizer.java
+++ b/edge/src/main/java/edgegateway/policy/control/UtilityOptimizer.java
@@ -5,13 +5,13 @@
 import org.ejml.simple.SimpleMatrix;
 
 /**
- * The greedy optimizer of the Proteus paper (figure 4) for one node: it hands out the shares step
- * by step to the class whose utility grows most, and yields the outputs that the model predicts
- * there as references of the share controller.
+ * The greedy optimizer of the Proteus paper (figure 4) for one node: hands out the shares step by
+ * step to the class whose utility gains most by it. The outputs that the model predicts for these
+ * shares are the references of the share controller.
  */
 final class UtilityOptimizer {
-  /** Below this rest, rounding aside, all is handed out. */
-  private static final double ROUNDING = 1e-9;
+  /** Tolerance of the sum of the steps, which are no exact fractions. */
+  private static final double SHARE_SUM_TOLERANCE = 1e-9;
 
   private final List<ClassIntervalStatistics> classes;
 
@@ -20,78 +20,96 @@
     this.classes = classes;
   }
 
-  private record Grant(int classIndex, double share, double gain) {}
-
   /**
-   * Outputs that the model predicts at the shares of the highest utility.
+   * Outputs that the model predicts for the shares of the highest utility.
    *
-   * @param model from shares to the normalized throughput of each class, followed by the normalized
-   *     inverse latency of each
+   * @param model from the shares to the normalized throughput of each class, followed by the
+   *     normalized inverse latency of each
    * @param throughputScale requests per interval at a normalized throughput of 1
    * @return a column of references, one row per output of the model
    */
   SimpleMatrix references(LinearModel model, double throughputScale) {
-    return model.predict(Shares.normalize(bestShares(model, throughputScale)));
+    Allocation allocation = new Allocation(model, throughputScale);
+    while (!allocation.isComplete()) {
+      allocation.add(allocation.bestGrant());
+    }
+    return model.predict(Shares.normalize(allocation.shares));
+  }
+
+  /**
+   * Value that a class earns per interval: {@code value · served · (late + (1 - late) · (1 -
+   * exp(-objective / latency)))}, where late answers earn the fraction {@code late} of the value
+   * and no more can be served than arrived.
+   */
+  private double utility(int classIndex, SimpleMatrix outputs, double throughputScale) {
+    ClassIntervalStatistics statistics = classes.get(classIndex);
+    double throughput = Math.max(0, outputs.get(classIndex));
+    double inverseLatency = Math.max(0, outputs.get(classes.size() + classIndex));
+    double served = Math.min(throughput * throughputScale, statistics.arrivals());
+    double late = statistics.requestClass().lateValueFraction();
+    double onTime = 1 - Math.exp(-ClassIntervalStatistics.INVERSE_LATENCY_SCALE * inverseLatency);
+    double earnedFraction = late + (1 - late) * onTime;
+    return statistics.valuePerRequest() * served * earnedFraction;
   }
 
-  private double[] bestShares(LinearModel model, double throughputScale) {
-    double[] shares = new double[classes.size()];
-    double[] utilities = new double[classes.size()];
-    Arrays.fill(utilities, Double.NEGATIVE_INFINITY);
-    double step = Math.max(Shares.MIN_SHARE, 1 / Math.max(1, throughputScale));
-    double granted = 0;
-    while (granted < 1 - ROUNDING) {
+  /** A share that a class would be given more, and the utility that this gains per share. */
+  private record Grant(int classIndex, double share, double gain) {}
+
+  /** The shares handed out so far. */
+  private final class Allocation {
+    private final LinearModel model;
+    private final double throughputScale;
+    private final double step;
+    private final double[] shares = new double[classes.size()];
+
+    /** Utility of each class at its share; negative infinity before its first grant. */
+    private final double[] utilities = new double[classes.size()];
+
+    private double granted;
+
+    Allocation(LinearModel model, double throughputScale) {
+      this.model = model;
+      this.throughputScale = throughputScale;
+      step = Math.max(Shares.MIN_SHARE, 1 / Math.max(1, throughputScale));
+      Arrays.fill(utilities, Double.NEGATIVE_INFINITY);
+    }
+
+    boolean isComplete() {
+      return granted >= 1 - SHARE_SUM_TOLERANCE;
+    }
+
+    /** The grant of the highest gain; of equal ones that of the first class. */
+    Grant bestGrant() {
       Grant best = new Grant(0, step, Double.NEGATIVE_INFINITY);
-      for (int index = 0; index < shares.length; index++) {
-        Utility utility = utilityOf(index, shares, model, throughputScale);
-        Grant grant = smallestUsefulGrant(index, utility, utilities[index], step, granted);
+      for (int classIndex = 0; classIndex < shares.length; classIndex++) {
+        Grant grant = smallestUsefulGrant(classIndex);
         best = grant.gain > best.gain ? grant : best;
       }
-      shares[best.classIndex] += best.share;
-      granted += best.share;
-      Utility utility = utilityOf(best.classIndex, shares, model, throughputScale);
-      utilities[best.classIndex] = utility.withExtraShare(0);
+      return best;
     }
-    return shares;
-  }
 
-  /** The fewest steps that raise the utility of a class, or one step if none within the rest do. */
-  private static Grant smallestUsefulGrant(
-      int index, Utility utility, double present, double step, double granted) {
-    double share = step;
-    while (utility.withExtraShare(share) <= present && granted + share <= 1) {
-      share += step;
+    /** The fewest steps that raise the utility of a class; one step if none within the rest do. */
+    private Grant smallestUsefulGrant(int classIndex) {
+      double present = utilities[classIndex];
+      double share = step;
+      while (utilityAfter(classIndex, share) <= present && granted + share <= 1) {
+        share += step;
+      }
+      share = granted + share > 1 ? step : share;
+      double gain = (utilityAfter(classIndex, share) - Math.max(0, present)) / share;
+      return new Grant(classIndex, share, gain);
     }
-    share = granted + share > 1 ? step : share;
-    double gain = (utility.withExtraShare(share) - Math.max(0, present)) / share;
-    return new Grant(index, share, gain);
-  }
 
-  /** Value earned per interval by one class when it is given some share more. */
-  private interface Utility {
-    double withExtraShare(double share);
-  }
+    void add(Grant grant) {
+      shares[grant.classIndex] += grant.share;
+      granted += grant.share;
+      utilities[grant.classIndex] = utilityAfter(grant.classIndex, 0);
+    }
 
-  private Utility utilityOf(int index, double[] shares, LinearModel model, double throughputScale) {
-    return extra -> {
+    private double utilityAfter(int classIndex, double addedShare) {
       double[] tried = shares.clone();
-      tried[index] += extra;
-      return utility(index, model.predict(tried), throughputScale);
-    };
-  }
-
-  /**
-   * {@code value · served · (late + (1 - late) (1 - exp(-objective / latency)))}: late answers earn
-   * their fraction of the value, and at most what arrived can be served.
-   */
-  private double utility(int index, SimpleMatrix outputs, double throughputScale) {
-    ClassIntervalStatistics statistics = classes.get(index);
-    double throughput = Math.max(0, outputs.get(index));
-    double inverseLatency = Math.max(0, outputs.get(classes.size() + index));
-    double served = Math.min(throughput * throughputScale, statistics.arrivals());
-    double late = statistics.requestClass().lateValueFraction();
-    double onTime = 1 - Math.exp(-ClassIntervalStatistics.INVERSE_LATENCY_SCALE * inverseLatency);
-    double earnedFraction = late + (1 - late) * onTime;
-    return statistics.valuePerRequest() * served * earnedFraction;
+      tried[classIndex] += addedShare;
+      return utility(classIndex, model.predict(tried), throughputScale);
+    }
   }
 }
--- a/edge/src/test/java/edgegateway/policy/control/ControlLawTest.java
+++ b/edge/src/test/java/edgegateway/policy/control/ControlLawTest.java
@@ -25,4 +25,33 @@
     assertEquals(1, Arrays.stream(odd).sum(), 1e-9);
     assertTrue(Arrays.stream(odd).allMatch(share -> share > 0));
   }
+
+  private static double next(double penalty, double weight) {
+    LinearModel model = new LinearModel(LinearModel.column(0.1), LinearModel.column(2));
+    SimpleMatrix next =
+        ControlLaw.nextInput(
+            model,
+            LinearModel.column(weight),
+            penalty,
+            LinearModel.column(1.1),
+            LinearModel.column(0.2));
+    return next.get(0);
+  }
+
+  @Test
+  void withoutAPenaltyTheModelReachesItsReference() {
+    assertEquals(0.5, next(0, 1), 1e-12);
+  }
+
+  @Test
+  void aLargerPenaltyMakesForASmallerStep() {
+    assertTrue(next(0.5, 1) < 0.5);
+    assertTrue(next(2, 1) < next(0.5, 1));
+    assertTrue(next(2, 1) > 0.2);
+  }
+
+  @Test
+  void anOutputOfWeightZeroMovesNothing() {
+    assertEquals(0.2, next(0.5, 0), 1e-12);
+  }
 }
--- a/edge/src/test/java/edgegateway/policy/control/RecursiveLeastSquaresTest.java
+++ b/edge/src/test/java/edgegateway/policy/control/RecursiveLeastSquaresTest.java
@@ -37,4 +37,40 @@
     }
     assertEquals(before, estimator.predict(one).get(1));
   }
+
+  @Test
+  void followsAPlantThatChanges() {
+    RecursiveLeastSquares estimator = new RecursiveLeastSquares(1, 1);
+    SplittableRandom random = new SplittableRandom(4);
+    for (int update = 0; update < 600; update++) {
+      double input = random.nextDouble(0.5, 1.5);
+      double parameter = update < 300 ? 1 : -2;
+      estimator.update(LinearModel.column(input), parameter * input);
+    }
+    assertEquals(-2, estimator.predict(LinearModel.column(1)).get(0), 0.01);
+    assertEquals(600, estimator.updateCount());
+  }
+
+  @Test
+  void parametersStayFiniteInALongQuietSpell() {
+    RecursiveLeastSquares estimator = new RecursiveLeastSquares(1, 2);
+    for (int update = 0; update < 100_000; update++) {
+      estimator.update(LinearModel.column(1e-6, 0), 1e-6);
+    }
+    estimator.update(LinearModel.column(1, 1), 1);
+    double predicted = estimator.predict(LinearModel.column(1, 1)).get(0);
+    assertEquals(1, predicted, 0.1);
+  }
+
+  @Test
+  void parametersAreTakenByInput() {
+    RecursiveLeastSquares estimator = new RecursiveLeastSquares(1, 2);
+    SplittableRandom random = new SplittableRandom(6);
+    for (int update = 0; update < 200; update++) {
+      double first = random.nextDouble();
+      double second = random.nextDouble();
+      estimator.update(LinearModel.column(first, second), 3 * first - second);
+    }
+    assertEquals(-1, estimator.parameters(1, 2).get(0), 1e-3);
+  }
 }
