--- a/edge/src/main/java/edgegateway/policy/api/AttemptResult.java
+++ b/edge/src/main/java/edgegateway/policy/api/AttemptResult.java
@@ -3,12 +3,19 @@
 import java.util.List;
 
 /**
- * The end of an attempt.
+ * How an attempt ended.
  *
- * @param durationNanos the span since it was sent
- * @param requestComplete nothing more is owed for the request
- * @param trueUnits the units that take the place of the guess; 0 if not told
- * @param loadReport the server's load report; empty if none
+ * @param requestId id of the request
+ * @param outcome how it ended; never null
+ * @param durationNanos from the start of the attempt to its end, nanoseconds, at least 0
+ * @param endpointId id of the endpoint that it was sent to
+ * @param requestComplete true if the client has its final answer, by this outcome or before, and
+ *     the policy must not answer any more
+ * @param attemptIndex number of the attempt within its request, from 0
+ * @param trueUnits quota units that the request took in fact, in place of {@link Request#units}; 0
+ *     if unknown
+ * @param loadReport values of the endpoint's load report, in the order of {@link
+ *     PolicySettings#loadReportNames}; empty if there was none
  */
 public record AttemptResult(
     String requestId,
--- a/edge/src/main/java/edgegateway/policy/api/CounterSettings.java
+++ b/edge/src/main/java/edgegateway/policy/api/CounterSettings.java
@@ -1,12 +1,14 @@
 package edgegateway.policy.api;
 
 /**
- * The shared quota counter.
+ * Settings of the shared quota counter.
  *
- * @param present whether there is one
- * @param timeoutNanos a call without an answer by then ends as {@link Outcome#TIMEOUT}
- * @param reportsTrueUnits whether answers tell the true units
- * @param maxRequestUnits the largest request, in units
+ * @param present whether there is one; if not, quotas are divided over the nodes
+ * @param timeoutNanos after this time, in nanoseconds, a call without an answer ends as {@link
+ *     Outcome#TIMEOUT}
+ * @param reportsTrueUnits whether {@link AttemptResult#trueUnits} is given, so that {@link
+ *     Request#units} is only an estimate
+ * @param maxRequestUnits quota units of the largest request
  */
 public record CounterSettings(
     boolean present, long timeoutNanos, boolean reportsTrueUnits, double maxRequestUnits) {}
--- a/edge/src/main/java/edgegateway/policy/api/DeduplicationScope.java
+++ b/edge/src/main/java/edgegateway/policy/api/DeduplicationScope.java
@@ -1,11 +1,11 @@
 package edgegateway.policy.api;
 
-/** The servers that drop repeats of a {@link Idempotency#KEYED} request. */
+/** Which endpoints recognize a repeated idempotency key and drop the repeat. */
 public enum DeduplicationScope {
-  /** Every server. */
+  /** All endpoints. */
   ALL,
-  /** The servers of the zone first sent to. */
+  /** Those in the zone of the first attempt that may have been executed. */
   ZONE,
-  /** The servers of the cell first sent to. */
+  /** Those in the cell of the first attempt that may have been executed. */
   CELL
 }
--- a/edge/src/main/java/edgegateway/policy/api/EndpointListKind.java
+++ b/edge/src/main/java/edgegateway/policy/api/EndpointListKind.java
@@ -1,13 +1,13 @@
 package edgegateway.policy.api;
 
-/** What a list message holds. */
+/** What an update of the endpoint list holds. */
 public enum EndpointListKind {
-  /** The whole list. */
+  /** The complete list; what it lacks is removed. */
   FULL,
-  /** The whole list as saved before this start; may be old. */
+  /** The complete list as it was saved before this start; it may be stale. */
   CACHED,
   /** Changed entries only. */
   DELTA,
-  /** A request to the list failed; the old list stands. */
+  /** No entries: the request or the watch failed, and the list stays as it was. */
   FAILED
 }
--- a/edge/src/main/java/edgegateway/policy/api/EndpointState.java
+++ b/edge/src/main/java/edgegateway/policy/api/EndpointState.java
@@ -1,8 +1,11 @@
 package edgegateway.policy.api;
 
-/** What the list says of a server. */
+/** State of an endpoint in the endpoint list. */
 public enum EndpointState {
+  /** No longer there; appears only among changes. */
   REMOVED,
+  /** Takes new requests. */
   READY,
+  /** Completes what it has; must get no new requests. */
   DRAINING
 }
--- a/edge/src/main/java/edgegateway/policy/api/Idempotency.java
+++ b/edge/src/main/java/edgegateway/policy/api/Idempotency.java
@@ -1,11 +1,14 @@
 package edgegateway.policy.api;
 
-/** How often a request of a class may take effect. */
+/** Whether a request of a class may be executed more than once. */
 public enum Idempotency {
-  /** May be repeated freely. */
+  /** Idempotent: may be retried freely. */
   IDEMPOTENT,
-  /** Carries a key; a group of servers drops its repeats for a while. */
+  /**
+   * Carries an idempotency key: the endpoints of its {@link DeduplicationScope} drop repeats for
+   * {@link RequestClass#idempotencyKeyWindowNanos}.
+   */
   KEYED,
-  /** Must never run twice. */
+  /** Must not be sent again once an attempt may have been executed. */
   NOT_IDEMPOTENT
 }
--- a/edge/src/main/java/edgegateway/policy/api/Outcome.java
+++ b/edge/src/main/java/edgegateway/policy/api/Outcome.java
@@ -1,31 +1,31 @@
 package edgegateway.policy.api;
 
-/** How an attempt, a probe or a call to the counter ended. */
+/** How an attempt, a health check or a call to the counter ended. */
 public enum Outcome {
-  /** Served, or counted. */
+  /** Answered, or counted. */
   OK(false),
-  /** The server answered with an error; the request may have run. */
+  /** The endpoint answered with an error; the request may have been executed. */
   ERROR(false),
-  /** Turned away unseen. */
+  /** Rejected before execution: the queue is full, or the endpoint is draining. */
   REJECTED(true),
-  /** No answer in time; it may have run, or may have been counted. */
+  /** No answer in time; it may have been executed, or counted. */
   TIMEOUT(false),
   /** No connection in time. */
   CONNECT_FAILED(true),
-  /** The connection broke; it may have run. */
+  /** The connection broke; it may have been executed, or counted. */
   RESET(false),
-  /** Withdrawn; it may have run. */
+  /** Cancelled by the host; it may have been executed. */
   CANCELLED(false),
   /** Never sent by the host. */
   NOT_SENT(true);
 
   private final boolean notExecuted;
 
-  Outcome(boolean neverRan) {
-    this.notExecuted = neverRan;
+  Outcome(boolean notExecuted) {
+    this.notExecuted = notExecuted;
   }
 
-  /** Whether this outcome proves that the attempt had no effect. */
+  /** Whether this outcome proves that the attempt or call had no effect. */
   public boolean provesNotExecuted() {
     return notExecuted;
   }
--- a/edge/src/main/java/edgegateway/policy/api/PolicyEvents.java
+++ b/edge/src/main/java/edgegateway/policy/api/PolicyEvents.java
@@ -3,77 +3,137 @@
 import java.util.List;
 import java.util.Set;
 
-/** What the host calls, in the order in which things happen. */
+/**
+ * What the host reports to the policy, in the order in which it happens.
+ *
+ * <p>Each method gets the present time as {@code nowNanos}: nanoseconds of a clock that never runs
+ * backwards. All are called on one thread and never from within a {@link PolicyActions} call. An
+ * event of a request that the policy no longer holds is ignored. No argument is null unless its
+ * description says so.
+ */
 public interface PolicyEvents {
-  /** The server list, or changes to it. */
-  void endpointsUpdated(long now, EndpointListKind kind, List<Endpoint> entries);
+  /**
+   * The endpoint list, or changes to it.
+   *
+   * @param entries the complete list or the changes, see {@link EndpointListKind}
+   */
+  void endpointsUpdated(long nowNanos, EndpointListKind kind, List<Endpoint> entries);
 
-  /** A request came in; exactly one final answer is owed. */
-  void requestReceived(long now, Request request);
+  /**
+   * A request was received. From now on the policy owes it exactly one final answer: {@link
+   * PolicyActions#reject}, {@link PolicyActions#fail} or an attempt that ends with {@link
+   * AttemptResult#requestComplete}. A request of an unknown class or plan is rejected at once; one
+   * whose id is held already is ignored.
+   */
+  void requestReceived(long nowNanos, Request request);
 
-  /** A request came in that the host has no room to carry: it is refused. */
-  void requestOverHostCapacity(long now, Request request);
+  /** A request was received for which the host has no capacity left: it is rejected at once. */
+  void requestOverHostCapacity(long nowNanos, Request request);
 
-  /** An attempt is over; each attempt ends exactly once. */
-  void attemptEnded(long now, AttemptResult result);
+  /** An attempt ended. The host reports exactly one end for each attempt. */
+  void attemptEnded(long nowNanos, AttemptResult result);
 
-  /** The stream of a request began; no deadline binds it any more. */
-  void streamStarted(long now, String id);
+  /** The answer of a request began to be streamed; its deadline no longer applies. */
+  void streamStarted(long nowNanos, String requestId);
 
   /**
-   * A part of the request's long body went to the server and is no longer held: no further attempt
-   * can be made. The server begins only when the client has sent the rest.
+   * A part of a long request body was forwarded to the endpoint and is no longer buffered: the
+   * request cannot be sent again. Until {@link #uploadCompleted} it is no load on the endpoint,
+   * which starts only when the body is complete.
    */
-  void bodyForwarded(long now, String id);
+  void bodyForwarded(long nowNanos, String requestId);
 
-  /** The rest of a long body was sent to the server; the attempt's span counts from now. */
-  void uploadCompleted(long now, String id);
+  /** The rest of a long request body was sent; the duration of the attempt counts from now. */
+  void uploadCompleted(long nowNanos, String requestId);
 
-  /** The client left; nothing is owed any more. */
-  void clientDisconnected(long now, String id);
+  /** The client disconnected; no answer is owed any more. Attempts in flight still end. */
+  void clientDisconnected(long nowNanos, String requestId);
 
-  /** A call to the counter ended; calls of one name end in their order. */
-  void counterReplied(long now, long name, Outcome outcome, double total);
+  /**
+   * A call to the shared quota counter ended. Calls with the same key end in the order in which
+   * they were made.
+   *
+   * @param key the number's name, as in {@link PolicyActions#addToCounter}
+   * @param total the number after this call, in quota units; valid only with {@link Outcome#OK}
+   */
+  void counterReplied(long nowNanos, long key, Outcome outcome, double total);
 
-  /** A probe ended. */
-  void healthChecked(long now, String server, Outcome outcome, long took, List<Double> report);
+  /**
+   * A health check ended.
+   *
+   * @param durationNanos from its start to its end, nanoseconds
+   * @param loadReport as in {@link AttemptResult#loadReport}
+   */
+  void healthChecked(
+      long nowNanos,
+      String endpointId,
+      Outcome outcome,
+      long durationNanos,
+      List<Double> loadReport);
 
-  /** A timer came due. */
-  void timerFired(long now, long token);
+  /**
+   * A timer fired.
+   *
+   * @param token the one given to {@link PolicyActions#scheduleTimer}
+   */
+  void timerFired(long nowNanos, long token);
 
   /**
-   * An operator leaves a server out, whatever the list says of it, or lets it serve again; false,
-   * and nothing done, if the list never named it.
+   * An operator ejects an endpoint, whatever its state in the list, or readmits it; it then begins
+   * with a slow start.
+   *
+   * @return false if the endpoint is unknown and nothing was done
    */
-  boolean setEndpointEjected(long now, String server, boolean out);
+  boolean setEndpointEjected(long nowNanos, String endpointId, boolean ejected);
 
   /**
-   * The servers that were out by hand before this start, listed or not: exactly these are out now.
+   * Restores the endpoints that operators had ejected before this start. Exactly these are ejected
+   * afterwards, be they in the list or not.
    */
-  void restoreEjectedEndpoints(long now, Set<String> servers);
+  void restoreEjectedEndpoints(long nowNanos, Set<String> endpointIds);
 
   /**
-   * An operator leaves a zone out, or has it back: its servers begin as cold ones, and its part of
-   * the work grows evenly over {@code ramp}. False, and nothing done, if no server of another zone
-   * could be sent to.
+   * An operator ejects a zone or readmits it. A zone that returns has its endpoints in slow start,
+   * and its traffic grows linearly.
+   *
+   * @param zone index of the zone
+   * @param rampNanos for how long the traffic grows, in nanoseconds; used only for readmission
+   * @return false if ejecting it would leave no usable endpoint; nothing was done then
    */
-  boolean setZoneEjected(long now, int zone, boolean out, long ramp);
+  boolean setZoneEjected(long nowNanos, int zone, boolean ejected, long rampNanos);
 
-  /** The zones that were out by hand before this start: exactly these are out now. */
-  void restoreEjectedZones(long now, Set<Integer> zones);
+  /**
+   * Restores the zones that operators had ejected before this start. Exactly these are ejected
+   * afterwards; another that was ejected returns over {@link PlatformRules#slowStartNanos}.
+   */
+  void restoreEjectedZones(long nowNanos, Set<Integer> zones);
 
-  /** From now on a zone's part of the work is so, unless operators say otherwise; null: as ever. */
-  void setZoneRamp(long now, int zone, TrafficRamp course);
+  /**
+   * The fleet decided on the traffic of a zone. An operator's decision on the same zone takes
+   * precedence.
+   *
+   * @param zone index of the zone
+   * @param ramp the zone's fraction of its usual traffic over time; null for all of it
+   */
+  void setZoneRamp(long nowNanos, int zone, TrafficRamp ramp);
 
-  /** The next request that may be repeated freely is sent to a zone that is out by its course. */
-  void probeZone(long now, int zone);
+  /**
+   * Sends the first attempt of the next idempotent request to an endpoint of a zone that the fleet
+   * ejected: a half-open attempt.
+   */
+  void probeZone(long nowNanos, int zone);
 
   /**
-   * Another gateway goes on in this one's place; this one still answers what it has and little
-   * more.
+   * Exports the state that another process needs to take over. This policy goes on answering what
+   * it holds, but its quota ceilings no longer refill.
+   *
+   * @return never null
    */
-  StateTransfer exportState(long now);
+  StateTransfer exportState(long nowNanos);
 
-  /** This gateway goes on in the place of the one that made this. */
-  void importState(long now, StateTransfer from);
+  /**
+   * Takes over from the process that exported {@code state}. Requests may have been received
+   * before.
+   */
+  void importState(long nowNanos, StateTransfer state);
 }
--- a/edge/src/main/java/edgegateway/policy/api/PolicySettings.java
+++ b/edge/src/main/java/edgegateway/policy/api/PolicySettings.java
@@ -3,14 +3,21 @@
 import java.util.List;
 
 /**
- * What an instance is told at its start.
+ * Settings of a policy; they hold from its start to its end.
  *
- * @param nodeIndex its number, from 0
- * @param nodeCount how many gateways there are
- * @param localZone its zone
- * @param tickNanos events come at most this often
- * @param endpointWeightsUsed whether the sizes in the list mean anything
- * @param loadReportNames the names of the load report's values
+ * @param nodeIndex index of this node, 0 to {@code nodeCount} - 1
+ * @param nodeCount number of nodes in the fleet, at least 1
+ * @param localZone index of the zone of this node
+ * @param tickNanos minimum time between two batches of events, in nanoseconds; 0 if events come at
+ *     any time
+ * @param endpointWeightsUsed whether {@link Endpoint#weight} has a meaning
+ * @param loadReportNames names of the values of a load report, in their order; empty if there are
+ *     no load reports
+ * @param requestClasses {@link Request#requestClass} is an index into them
+ * @param quotaPlans {@link Request#plan} is an index into them
+ * @param limits what the site allows
+ * @param counter the shared quota counter
+ * @param rules guarantees and limits of the platform
  */
 public record PolicySettings(
     int nodeIndex,
--- a/edge/src/main/java/edgegateway/policy/api/QuotaPlan.java
+++ b/edge/src/main/java/edgegateway/policy/api/QuotaPlan.java
@@ -1,17 +1,22 @@
 package edgegateway.policy.api;
 
 /**
- * A plan; its figures hold for each customer over all gateways.
+ * A quota plan. Its limits hold for each customer over all nodes together.
  *
- * @param unitsPerSecond units a second of the quota; 0 for none
- * @param burstUnits units the quota's store holds
- * @param maxConcurrentAttempts attempts out at once; 0 for no limit
- * @param priceFactor factor on the worth
- * @param overQuotaValueFraction the part of the worth earned beyond the quota
- * @param overQuotaCostFraction the part of the worth that sending beyond the quota costs
- * @param ceilingUnitsPerSecond units a second of the hard ceiling; 0 for none
- * @param ceilingBurstUnits units the ceiling's store holds
- * @param ceilingSlackUnits how far below nothing that store may fall
+ * <p>Each customer has a token bucket for the quota, which only sets what a request is worth, and
+ * one for the ceiling, which must never be passed. Both start full.
+ *
+ * @param unitsPerSecond refill rate of the quota; 0 for no quota
+ * @param burstUnits capacity of the quota's token bucket, in units
+ * @param maxConcurrentAttempts attempts in flight; 0 for no limit
+ * @param priceFactor factor on the priority weight of the plan's requests
+ * @param overQuotaValueFraction fraction of its value that a request over quota earns when it is
+ *     forwarded
+ * @param overQuotaCostFraction fraction of its value that forwarding a request over quota costs,
+ *     answered or not
+ * @param ceilingUnitsPerSecond refill rate of the ceiling; 0 for no ceiling
+ * @param ceilingBurstUnits capacity of the ceiling's token bucket, in units
+ * @param ceilingSlackUnits how far below 0 that token bucket may fall, in units
  */
 public record QuotaPlan(
     double unitsPerSecond,
--- a/edge/src/main/java/edgegateway/policy/api/Request.java
+++ b/edge/src/main/java/edgegateway/policy/api/Request.java
@@ -1,13 +1,19 @@
 package edgegateway.policy.api;
 
 /**
- * A request as it comes in.
+ * A request as the host received it.
  *
- * @param deadlineNanos the moment at which the client stops waiting for this try
- * @param units what it takes from the quota, perhaps a guess
- * @param gatewayCount how many gateways this customer comes through
- * @param firstGateway the first of them
- * @param clientRetry whether the client marked it as a repeat
+ * @param id unique and opaque; never null
+ * @param requestClass index into {@link PolicySettings#requestClasses}
+ * @param plan index into {@link PolicySettings#quotaPlans}
+ * @param customer key of the customer, 0 or more
+ * @param deadlineNanos when the client stops waiting, on the policy's clock
+ * @param units what it takes from the quota; an estimate where {@link
+ *     CounterSettings#reportsTrueUnits}
+ * @param gatewayCount number of nodes that this customer's requests come through, at least 1
+ * @param firstGateway index of the first of these nodes; the others follow in sequence, and index 0
+ *     follows the last
+ * @param clientRetry whether the client marked it as a retry
  */
 public record Request(
     String id,
--- a/edge/src/main/java/edgegateway/policy/api/RequestClass.java
+++ b/edge/src/main/java/edgegateway/policy/api/RequestClass.java
@@ -1,15 +1,17 @@
 package edgegateway.policy.api;
 
 /**
- * A class of requests.
+ * A request class.
  *
- * @param latencyObjectiveNanos an answer within this span is worth all
- * @param deadlineNanos how long a client waits over all its tries
- * @param idempotency how it may be repeated
- * @param deduplicationScope which servers drop repeats, if keyed
- * @param idempotencyKeyWindowNanos for how long they do, from the first attempt that may have run
- * @param lateValueFraction the part of the worth that an answer after the aim earns
- * @param priorityWeight the worth of one request
+ * @param latencyObjectiveNanos an answer within this time earns the full value, nanoseconds
+ * @param deadlineNanos how long a client waits over all its tries, nanoseconds
+ * @param idempotency whether requests may be executed more than once
+ * @param deduplicationScope which endpoints drop repeats, for {@link Idempotency#KEYED}
+ * @param idempotencyKeyWindowNanos for how long they do, in nanoseconds from the start of the first
+ *     attempt that may have been executed
+ * @param lateValueFraction fraction of its value, 0 to 1, that an answer after the objective and
+ *     before the deadline earns
+ * @param priorityWeight value of one request of price 1
  */
 public record RequestClass(
     long latencyObjectiveNanos,
--- a/edge/src/main/java/edgegateway/policy/api/RequestLimits.java
+++ b/edge/src/main/java/edgegateway/policy/api/RequestLimits.java
@@ -1,14 +1,14 @@
 package edgegateway.policy.api;
 
 /**
- * What the site allows.
+ * What the site allows a node.
  *
- * @param maxAttempts most attempts of one request
- * @param maxInFlight most requests an instance may hold
- * @param healthChecksAllowed whether servers may be probed
- * @param retryAfterAllowed whether clients are told how long to stay away
- * @param maxRetryAfterNanos the longest that a client heeds
- * @param subscribesToEndpoints whether changes of the list must be subscribed to
+ * @param maxAttempts attempts of one request, the first included
+ * @param maxInFlight requests that a node may hold at once
+ * @param healthChecksAllowed whether {@link PolicyActions#healthCheck} may be asked for
+ * @param retryAfterAllowed whether clients are told when to try again
+ * @param maxRetryAfterNanos the longest such advice that clients follow, nanoseconds
+ * @param subscribesToEndpoints whether changes of the endpoint list must be subscribed to
  */
 public record RequestLimits(
     int maxAttempts,
--- a/edge/src/main/java/edgegateway/policy/api/TrafficRamp.java
+++ b/edge/src/main/java/edgegateway/policy/api/TrafficRamp.java
@@ -1,17 +1,23 @@
 package edgegateway.policy.api;
 
 /**
- * How a zone's part of the work changes, evenly.
+ * A linear change of a zone's traffic, as a fraction of what it would get otherwise.
  *
- * @param startFraction the part at {@code since}, 0 to 1
- * @param endFraction the part from the end of {@code span} on, 0 to 1
+ * @param startFraction fraction at the start, 0 to 1
+ * @param endFraction fraction from the end on, 0 to 1
+ * @param startNanos when the change starts
+ * @param durationNanos how long it takes, in nanoseconds, at least 1
  */
 public record TrafficRamp(
     double startFraction, double endFraction, long startNanos, long durationNanos) {
-  /** The part at a moment that is not before its begin. */
-  public double fractionAt(long now) {
+  /**
+   * The fraction at a time.
+   *
+   * @param nowNanos not before {@link #startNanos}
+   */
+  public double fractionAt(long nowNanos) {
     return startFraction
         + (endFraction - startFraction)
-            * Math.min(1, (now - startNanos + 1) / (double) durationNanos);
+            * Math.min(1, (nowNanos - startNanos + 1) / (double) durationNanos);
   }
 }
--- a/edge/src/main/java/edgegateway/policy/api/ZoneHealth.java
+++ b/edge/src/main/java/edgegateway/policy/api/ZoneHealth.java
@@ -1,24 +1,27 @@
 package edgegateway.policy.api;
 
 /**
- * What a gateway's attempts met in a zone. Turned away for want of room is not missed: a load too
- * high is no zone's fault.
+ * How this node's attempts fared in a zone. A failure is an error, a timeout or a connection that
+ * failed or broke; {@link Outcome#REJECTED} is none, since overload is no fault of a zone.
  *
- * @param recentAttempts attempts that ended, fading over a second
- * @param recentFailures those of them that met an error, no answer in time, no connection or a
- *     broken one
- * @param failureExcess by how much misses outweigh answers since they last did not, an error by
- *     half, fading over 5 s (Page's cumulative sum, 1954); what is out for far too long, with no
- *     answer of the zone since, counts as missed
- * @param endpoints its servers on the list
- * @param observedEndpoints those at which an attempt ended in the last seconds, or that are new
- * @param failingEndpoints those of them whose last attempt missed
- * @param unresponsiveEndpoints those of them that did not answer it at all
- * @param warmingEndpoints those of its servers that are cold as far as is told
- * @param endpointFraction its part of all servers on the list
- * @param totalAttempts all that ever ended
- * @param totalFailures all that ever missed
- * @param lastAnswerNanos when anything was last answered, if only by an error
+ * @param zone index of the zone
+ * @param recentAttempts attempts that ended, decaying exponentially over a second; an attempt in
+ *     flight for too long, sent since the zone's last answer, is included as a failure
+ * @param recentFailures failures among them
+ * @param failureExcess cumulative sum (Page, 1954) of failures against answers: a failure adds 1,
+ *     an error half, an answer takes 1 off, never below 0; it decays over 5 s, and attempts in
+ *     flight for too long count as above
+ * @param endpoints endpoints of the zone in the list
+ * @param observedEndpoints endpoints at which an attempt ended in the last seconds, that are new,
+ *     or that have an attempt in flight for too long
+ * @param failingEndpoints observed endpoints whose last attempt failed
+ * @param unresponsiveEndpoints observed endpoints that did not answer it at all
+ * @param warmingEndpoints endpoints of the zone in slow start, as far as is known
+ * @param endpointFraction the zone's fraction of all endpoints in the list, 0 to 1
+ * @param totalAttempts attempts that ever ended
+ * @param totalFailures attempts that ever failed
+ * @param lastAnswerNanos when an endpoint last answered, if only with an error; the start of the
+ *     node if none did
  */
 public record ZoneHealth(
     int zone,
--- a/edge/src/main/java/edgegateway/policy/api/ZoneStatus.java
+++ b/edge/src/main/java/edgegateway/policy/api/ZoneStatus.java
@@ -1,14 +1,14 @@
 package edgegateway.policy.api;
 
 /**
- * How a zone stands.
+ * How a zone is used now.
  *
- * @param trafficFraction the part of the work that it would get that it gets now: 0 out, 1 in,
- *     between them on its way back
- * @param sinceNanos when that began; 0 for always
- * @param listedEndpoints its servers on the list
+ * @param trafficFraction fraction of its usual traffic that it gets: 0 if ejected, 1 if in full
+ *     use, between them on a ramp
+ * @param sinceNanos when the ramp to this state started; 0 if there never was one
+ * @param listedEndpoints endpoints of the zone in the list
  * @param usableEndpoints those that may be sent to
- * @param byOperator whether operators decided that
+ * @param byOperator whether an operator's decision set this, not the fleet's
  */
 public record ZoneStatus(
     double trafficFraction,
