--- a/edge/src/main/java/edgegateway/policy/GatewayPolicy.java
+++ b/edge/src/main/java/edgegateway/policy/GatewayPolicy.java
@@ -1,5 +1,7 @@
 package edgegateway.policy;
 
+import edgegateway.policy.admission.ConcurrencyCap;
+import edgegateway.policy.admission.ConcurrencyCaps;
 import edgegateway.policy.api.AttemptResult;
 import edgegateway.policy.api.DeduplicationScope;
 import edgegateway.policy.api.Endpoint;
@@ -22,6 +24,10 @@
 import edgegateway.policy.control.ConcurrencyController;
 import edgegateway.policy.control.ShareController;
 import edgegateway.policy.control.Shares;
+import edgegateway.policy.quota.QuotaDecision;
+import edgegateway.policy.quota.QuotaManager;
+import edgegateway.policy.quota.QuotaReservation;
+import edgegateway.policy.time.EventClock;
 import java.util.ArrayDeque;
 import java.util.Arrays;
 import java.util.Comparator;
@@ -51,36 +57,6 @@
   /** Housekeeping: fine against the aims, coarse against the CPU bill. */
   private static final long TICK = 10 * MS;
 
-  /**
-   * How often fresh use is pushed, and for how long no call is answered by a counter that is
-   * silent.
-   */
-  private static final long PUSH = SECOND / 4;
-
-  private static final long SILENT_AFTER = SECOND / 2;
-
-  /**
-   * Customers come unevenly: a gateway's part of a quota while the counter answers, in even parts.
-   */
-  private static final double UNEVEN = 1.5;
-
-  /**
-   * Calls to the counter a second, at first and at the least; most steps up and down with an
-   * answer.
-   */
-  private static final double CALLS_START = 2;
-
-  private static final double CALLS_LEAST = 1;
-  private static final double CALLS_UP = 0.2;
-  private static final double CALLS_DOWN = 0.3;
-
-  /**
-   * The wait at which the budget of calls stays as it is, in time-outs; the seconds it may save up.
-   */
-  private static final double LINE = 0.22;
-
-  private static final double SAVED_S = 0.25;
-
   /**
    * Weight of an answer in a server's averages; memory, in seconds, of these and of the others'
    * use.
@@ -89,7 +65,6 @@
 
   private static final double ALPHA_ERR = 0.2;
   private static final double FORGIVE_S = 4;
-  private static final double OTHERS_S = 3;
   private static final double TALLY_S = 5;
 
   /**
@@ -131,22 +106,15 @@
   private final PolicyActions out;
   private final SplittableRandom random;
   private final long born;
+  private final EventClock clock;
+  private final QuotaManager quotas;
+  private final ConcurrencyCaps concurrencyCaps = new ConcurrencyCaps();
   private long now;
   private long nextControl;
-  private long tokensAt;
   private long sentWorkAt;
   private long restUntil;
 
-  /**
-   * The least wait for the counter, which creeps up; since when none of its calls has been
-   * answered.
-   */
-  private long leastWait;
-
-  private long unansweredSince = Long.MAX_VALUE;
-
   private final Map<String, Job> jobs = new HashMap<>();
-  private final Map<Long, Customer> customers = new LinkedHashMap<>();
   private final Map<String, Backend> servers = new LinkedHashMap<>();
   private List<Backend> listed = List.of();
   private List<Backend> allowed = List.of();
@@ -176,18 +144,7 @@
   private double virtualTime;
   private double sentWork;
   private double sentToOne;
-  private double usualStake;
   private double usualLoad;
-  private boolean silent;
-  private boolean denied;
-  private boolean succeeded;
-  private double callRate = CALLS_START;
-  private double callTokens;
-
-  /** Customers with something to push. */
-  private final Set<Customer> active = new LinkedHashSet<>();
-
-  private final Map<Long, ArrayDeque<Call>> calls = new LinkedHashMap<>();
 
   /** A gateway that starts now; {@code seed} is its only source of chance. */
   public GatewayPolicy(PolicySettings settings, long seed, long now, PolicyActions actions) {
@@ -200,13 +157,12 @@
     for (int i = 0; i < lanes.length; i++) {
       lanes[i] = new Lane(i, cfg.requestClasses().get(i));
     }
+    clock = new EventClock(now);
+    quotas = new QuotaManager(cfg, clock, random, out, this::counterAnswered);
     List<ClassIntervalStatistics> statistics =
         Arrays.stream(lanes).map(lane -> lane.statistics).toList();
     shares = new ShareController(statistics);
     concurrency = new ConcurrencyController(statistics, cfg.nodeCount());
-    tokensAt = now;
-    leastWait = cfg.counter().timeoutNanos();
-    callTokens = random.nextDouble(CALLS_START);
     nextControl = now + SECOND;
     out.scheduleTimer(0, TICK);
     if (cfg.limits().subscribesToEndpoints()) {
@@ -214,9 +170,14 @@
     }
   }
 
+  private void setNow(long at) {
+    now = at;
+    clock.set(at);
+  }
+
   @Override
   public void endpointsUpdated(long at, EndpointListKind kind, List<Endpoint> entries) {
-    now = at;
+    setNow(at);
     if (kind == EndpointListKind.FAILED) {
       out.subscribeToEndpoints();
     } else if (kind != EndpointListKind.DELTA) {
@@ -256,7 +217,7 @@
 
   @Override
   public boolean setEndpointEjected(long at, String id, boolean out) {
-    now = at;
+    setNow(at);
     Backend known = servers.get(id);
     if (known == null && !operatorEjectedEndpoints.contains(id)) {
       return false;
@@ -272,7 +233,7 @@
 
   @Override
   public void restoreEjectedEndpoints(long at, Set<String> ids) {
-    now = at;
+    setNow(at);
     List.copyOf(operatorEjectedEndpoints).stream()
         .filter(id -> !ids.contains(id))
         .forEach(this::readmit);
@@ -300,7 +261,7 @@
 
   @Override
   public boolean setZoneEjected(long at, int zone, boolean out, long ramp) {
-    now = at;
+    setNow(at);
     boolean was = zones.containsKey(zone) && zones.get(zone).endFraction() == 0;
     if (out && listed.stream().allMatch(b -> in(zone, b))) {
       return false;
@@ -318,7 +279,7 @@
 
   @Override
   public void restoreEjectedZones(long at, Set<Integer> out) {
-    now = at;
+    setNow(at);
     zones.keySet().stream()
         .filter(zone -> !out.contains(zone))
         .toList()
@@ -331,7 +292,7 @@
 
   @Override
   public void setZoneRamp(long at, int zone, TrafficRamp course) {
-    now = at;
+    setNow(at);
     if (course == null) {
       verdicts.remove(zone);
     } else {
@@ -343,7 +304,7 @@
 
   @Override
   public void probeZone(long at, int zone) {
-    now = at;
+    setNow(at);
     trials.add(zone);
   }
 
@@ -394,7 +355,7 @@
 
   /** What attempts met in each zone that has servers on the list. */
   public List<ZoneHealth> zoneHealth(long at) {
-    now = at;
+    setNow(at);
     List<Backend> all =
         servers.values().stream().filter(b -> b.named && b.entry.zone() >= 0).toList();
     return all.stream()
@@ -457,28 +418,21 @@
 
   @Override
   public StateTransfer exportState(long at) {
-    now = at;
-    List<QuotaUsage> uses = customers.values().stream().map(Customer::handOver).toList();
-    succeeded = true;
+    setNow(at);
+    List<QuotaUsage> usages = quotas.exportUsages();
     return new StateTransfer(
-        callRate, Arrays.stream(lanes).map(lane -> lane.service).toList(), uses);
+        quotas.counterCallsPerSecond(),
+        Arrays.stream(lanes).map(lane -> lane.service).toList(),
+        usages);
   }
 
   @Override
   public void importState(long at, StateTransfer from) {
-    now = at;
-    callRate = Math.max(callRate, from.counterCallsPerSecond());
+    setNow(at);
     for (int i = 0; i < Math.min(lanes.length, from.serviceTimesSeconds().size()); i++) {
       lanes[i].service = from.serviceTimesSeconds().get(i);
     }
-    for (QuotaUsage use : from.quotaUsages()) {
-      if (use.plan() >= 0 && use.plan() < cfg.quotaPlans().size()) {
-        customers
-            .computeIfAbsent(
-                use.customer(), key -> new Customer(key, use.plan(), use.gatewayCount()))
-            .takeOver(use);
-      }
-    }
+    quotas.importUsages(from.counterCallsPerSecond(), from.quotaUsages());
   }
 
   /** The servers that operators keep out, listed or not. */
@@ -498,7 +452,7 @@
 
   @Override
   public void requestReceived(long at, Request request) {
-    now = at;
+    setNow(at);
     boolean known =
         request.requestClass() >= 0
             && request.requestClass() < lanes.length
@@ -510,25 +464,23 @@
     if (!known || jobs.containsKey(request.id())) {
       return;
     }
-    Customer customer =
-        customers.computeIfAbsent(
-            request.customer(), key -> new Customer(key, request.plan(), request.gatewayCount()));
+    QuotaReservation reservation = quotas.newReservation(request);
     Lane lane = lanes[request.requestClass()];
     lane.statistics.requestArrived();
-    Job job = new Job(request, customer, lane);
+    Job job = new Job(request, reservation, lane);
     jobs.put(request.id(), job);
     if (job.hopeless()) {
       // Some come with hardly any time left: the next look at the queue would be too late.
       giveUp(job);
     } else {
-      customer.admit(job);
+      applyQuotaDecision(job, quotas.admit(reservation, lane.spec.priorityWeight(), job.aimAt()));
     }
     dispatch();
   }
 
   @Override
   public void requestOverHostCapacity(long at, Request request) {
-    now = at;
+    setNow(at);
     // All that are turned away in a surge must not come back together.
     double most = Math.min(2, cfg.limits().maxRetryAfterNanos() * NANO);
     out.reject(request.id(), advice(most * (0.5 + random.nextDouble() / 2)));
@@ -542,7 +494,7 @@
 
   @Override
   public void attemptEnded(long at, AttemptResult result) {
-    now = at;
+    setNow(at);
     Job job = jobs.get(result.requestId());
     if (job == null || job.backend == null) {
       return;
@@ -555,9 +507,8 @@
     restUntil = now + (long) (result.durationNanos() * Math.max(0, 1 / concurrency.limit() - 1));
     backend.ended(job, result);
     job.lane.observe(job, result);
-    boolean told = cfg.counter().reportsTrueUnits() && result.trueUnits() > 0;
-    if (told && result.outcome() == Outcome.OK && job.inQuota) {
-      job.customer.take(result.trueUnits() - job.request.units());
+    if (result.outcome() == Outcome.OK) {
+      quotas.requestServed(job.reservation, result.trueUnits());
     }
     if (!result.outcome().provesNotExecuted() && job.mayHaveRunSince == 0) {
       job.mayHaveRunSince = job.sentAt;
@@ -573,12 +524,12 @@
 
   @Override
   public void streamStarted(long at, String id) {
-    now = at;
+    setNow(at);
   }
 
   @Override
   public void bodyForwarded(long at, String id) {
-    now = at;
+    setNow(at);
     Job job = jobs.get(id);
     if (job == null || job.backend == null || job.passedOn) {
       return;
@@ -593,7 +544,7 @@
 
   @Override
   public void uploadCompleted(long at, String id) {
-    now = at;
+    setNow(at);
     Job job = jobs.get(id);
     if (job == null || job.backend == null) {
       return;
@@ -606,13 +557,13 @@
 
   @Override
   public void clientDisconnected(long at, String id) {
-    now = at;
+    setNow(at);
     Job job = jobs.get(id);
     if (job == null) {
       return;
     }
     job.over = true;
-    if (job.backend == null && !job.asking) {
+    if (job.backend == null && !job.reservation.awaitingCounter()) {
       job.lane.queue.remove(job);
       forget(job);
     }
@@ -620,94 +571,33 @@
 
   @Override
   public void counterReplied(long at, long name, Outcome outcome, double total) {
-    now = at;
-    ArrayDeque<Call> pending = calls.get(name);
-    Call call = pending == null ? null : pending.poll();
-    if (call == null) {
-      return;
-    }
-    if (pending.isEmpty()) {
-      calls.remove(name);
-    }
-    boolean answered = outcome == Outcome.OK;
-    long wait = answered ? now - call.at : cfg.counter().timeoutNanos();
-    // The way there and back is no queue, and creeps up to a longer one.
-    leastWait = Math.min(wait, leastWait + (wait - leastWait) / 100);
-    pace(answered ? (wait - leastWait) / (double) cfg.counter().timeoutNanos() : 1);
-    unansweredSince = answered ? Long.MAX_VALUE : unansweredSince;
-    noticeSilence();
-    call.customer.counted(call, outcome, total);
+    setNow(at);
+    quotas.counterReplied(name, outcome, total);
     dispatch();
   }
 
-  /**
-   * Fits the budget to the counter with each answer, by the wait in line there, a full line being a
-   * time-out: in steps that all gateways take at once it swung between idle and crowded. What is
-   * not used must not grow.
-   */
-  private void pace(double line) {
-    double step = Math.max(-CALLS_DOWN, CALLS_UP * (1 - line / LINE));
-    if (step < 0 || denied) {
-      callRate = Math.max(CALLS_LEAST, callRate * (1 + step));
-    }
-    denied = false;
-  }
-
-  /**
-   * Counts from the first call of a silence: where calls are rare the last answer may be long ago.
-   */
-  private void noticeSilence() {
-    if (silent != now - SILENT_AFTER > unansweredSince) {
-      silent = !silent;
-      out.log(silent ? "counter silent: quotas divided over gateways" : "counter answers again");
-    }
-  }
-
-  /**
-   * Takes a call from the budget: the emptier that is, the more must be at stake, in usual stakes.
-   */
-  private boolean mayCall(double stake) {
-    double rate = silent ? CALLS_LEAST : callRate;
-    double most = Math.max(2 * CALLS_START, rate * SAVED_S);
-    callTokens = Math.min(most, callTokens + rate * (now - tokensAt) * NANO);
-    tokensAt = now;
-    boolean may = callTokens >= 1 && stake >= 2 * (1 - callTokens / most);
-    // One in the mean, by chance: else gateways that were cut together would all call together.
-    callTokens -= may ? 0.5 + random.nextDouble() : 0;
-    // With more than that saved up it was the stake that was too small, and no lack of calls.
-    denied |= !may && callTokens < 1.5;
-    return may;
-  }
-
-  /**
-   * Tells of the most urgent first: if the budget has no call for one, it has none for the rest.
-   */
-  private void tell() {
-    active.removeIf(Customer::quiet);
-    Customer first = mostUrgent();
-    while (first != null && mayCall(first.urgency())) {
-      first.call(null);
-      first = mostUrgent();
+  /** The wait of a request for the shared counter is over. */
+  private void counterAnswered(String requestId, boolean answered) {
+    Job job = jobs.get(requestId);
+    if (job.over) {
+      forget(job);
+    } else {
+      applyQuotaDecision(job, quotas.decide(job.reservation, answered));
     }
   }
 
-  /** Of those whose next call is due; null if none is. */
-  private Customer mostUrgent() {
-    Customer most = null;
-    double urgency = 0;
-    for (Customer one : active) {
-      double its = now >= one.pushAt ? one.urgency() : 0;
-      if (its > urgency) {
-        most = one;
-        urgency = its;
-      }
+  private void applyQuotaDecision(Job job, QuotaDecision decision) {
+    if (decision == QuotaDecision.ADMITTED) {
+      enqueue(job);
+    } else if (decision == QuotaDecision.REJECTED) {
+      out.reject(job.request.id(), advice(job.reservation.retryAfterSeconds()));
+      forget(job);
     }
-    return most;
   }
 
   @Override
   public void healthChecked(long at, String id, Outcome how, long took, List<Double> report) {
-    now = at;
+    setNow(at);
     Backend backend = servers.get(id);
     if (backend == null) {
       return;
@@ -736,20 +626,12 @@
 
   @Override
   public void timerFired(long at, long token) {
-    now = at;
+    setNow(at);
     out.scheduleTimer(0, TICK);
     for (Lane lane : lanes) {
       expire(lane.queue);
     }
-    noticeSilence();
-    // A host that never ends a call must not cost a request its answer.
-    long due = now - 2 * cfg.counter().timeoutNanos();
-    for (ArrayDeque<Call> line : calls.values()) {
-      line.stream()
-          .filter(call -> call.at < due)
-          .forEach(call -> call.customer.conclude(call, false));
-    }
-    tell();
+    quotas.timerFired();
     if (now >= nextControl) {
       nextControl += SECOND;
       updateCapacity();
@@ -758,306 +640,15 @@
     dispatch();
   }
 
-  private record Call(Customer customer, long window, double amount, Job job, long at) {}
-
-  /** Spreads numbers that lie close together over all long values. */
-  private static long mix(long z) {
-    return new SplittableRandom(z).nextLong();
-  }
-
-  /** What this gateway knows of a customer's use. */
-  private final class Customer {
-    private final long key;
-    private final long span;
-    private final long phase;
-    private final QuotaPlan plan;
-    private final int gateways;
-    private final int place;
-    private final boolean shared;
-
-    /** The count of the present window: its number, this gateway's part and the others'. */
-    private long window = Long.MIN_VALUE;
-
-    private long refilled;
-    private long heard;
-    private long pushAt;
-    private long usedAt;
-
-    private double mine;
-    private double others;
-
-    /**
-     * The quota's store as estimated here; the others' use: its rate, and what was foreseen of it.
-     */
-    private double store;
-
-    private double othersRate;
-    private double foreseen;
-    private double unpushed;
-    private double ceiling;
-
-    /** What this gateway may let in without news of the others: its part, one request at least. */
-    private double part;
-
-    private int open;
-
-    Customer(long key, int place, int setSize) {
-      this.key = key;
-      this.place = place;
-      plan = cfg.quotaPlans().get(place);
-      gateways = Math.max(1, Math.min(setSize, cfg.nodeCount()));
-      shared = gateways > 1 && cfg.counter().present();
-      store = plan.burstUnits();
-      part = mostPart(1);
-      // In one burst's span a steady customer is given just one burst: the running total alone
-      // tells a
-      // gateway that never heard of it. Spans of different customers begin at different moments.
-      double full = plan.unitsPerSecond() > 0 ? plan.burstUnits() / plan.unitsPerSecond() : 1;
-      span = (long) (Math.min(30, Math.max(1, full)) * SECOND);
-      phase = Math.floorMod(mix(key), span);
-      // A restarted gateway cannot know what it spent under the ceiling: that starts with nothing.
-      refilled = born;
-      heard = now - 2 * span;
-      // Pushes are spread in time: all at once they would find the counter's line full.
-      pushAt = now + random.nextLong(PUSH);
-    }
-
-    void refill() {
-      double s = (now - refilled) * NANO;
-      refilled = now;
-      // Totals feed an estimate: between them the others go on as they did.
-      double others = s * Math.min(plan.unitsPerSecond(), othersRate);
-      foreseen += others;
-      store = Math.min(plan.burstUnits(), store + s * plan.unitsPerSecond() - others);
-      double uneven = silent ? 1 : UNEVEN;
-      part = Math.min(mostPart(uneven), part + s * uneven * plan.unitsPerSecond() / gateways);
-      double more = succeeded ? 0 : s * plan.ceilingUnitsPerSecond() / gateways;
-      ceiling = Math.min(plan.ceilingBurstUnits() / gateways, ceiling + more);
-    }
-
-    private double mostPart(double uneven) {
-      double share = uneven * plan.burstUnits() / gateways;
-      return Math.min(plan.burstUnits(), Math.max(share, cfg.counter().maxRequestUnits()));
-    }
-
-    /**
-     * The successor has all of it, and of what the ceiling allows now a half; nothing is told
-     * twice.
-     */
-    QuotaUsage handOver() {
-      refill();
-      ceiling /= 2;
-      QuotaUsage use =
-          new QuotaUsage(
-              key,
-              place,
-              gateways,
-              window,
-              mine,
-              others,
-              store,
-              othersRate,
-              foreseen,
-              unpushed,
-              ceiling,
-              heard);
-      unpushed = 0;
-      return use;
-    }
-
-    /** Some requests may have come already: they were taken from a store that was thought full. */
-    void takeOver(QuotaUsage use) {
-      refill();
-      store = use.tokens() - unpushed - mine;
-      if (use.window() >= window) {
-        mine = use.window() > window ? use.localUsage() : mine + use.localUsage();
-        others = use.remoteUsage();
-        window = use.window();
-      }
-      othersRate = use.remoteUnitsPerSecond();
-      foreseen = use.predictedRemoteUsage();
-      unpushed += use.unreportedUnits();
-      ceiling = Math.min(plan.ceilingBurstUnits() / gateways, ceiling + use.ceilingTokens());
-      heard = Math.max(heard, use.lastUpdateNanos());
-      usedAt = now;
-      active.add(this);
-    }
-
-    /**
-     * Decides at once on fresh news; else the units go to the counter first and the total decides.
-     */
-    void admit(Job job) {
-      refill();
-      double units = job.request.units();
-      // The ceiling holds whatever the others do: each gateway keeps to its part of rate and burst.
-      if (plan.ceilingUnitsPerSecond() > 0 && ceiling < units) {
-        refuse(job, (units - ceiling) * gateways / plan.ceilingUnitsPerSecond());
-        return;
-      }
-      ceiling -= units;
-      take(units);
-      job.taken = true;
-      job.inQuota = true;
-      boolean dear =
-          plan.unitsPerSecond() > 0
-              && plan.overQuotaValueFraction() <= plan.overQuotaCostFraction();
-      boolean old = dear && now - heard > span / 4 && shared && !silent;
-      // Scarce calls go where most can be lost and own traffic tells least; repeats follow
-      // refusals.
-      double stake =
-          job.lane.spec.priorityWeight()
-              * plan.priceFactor()
-              * plan.overQuotaCostFraction()
-              * units
-              * gateways
-              / cfg.nodeCount()
-              * (job.request.clientRetry() ? 0.3 : 1);
-      usualStake += 0.02 * (stake - usualStake);
-      stake /= Math.max(1e-9, usualStake);
-      // What fits into this gateway's part is seldom beyond, and should not wait for a call.
-      stake *= part >= units ? 0.1 : 1;
-      if (old && now + 2 * cfg.counter().timeoutNanos() < job.aimAt() && mayCall(stake)) {
-        job.asking = true;
-        call(job);
-      } else {
-        decide(job, false);
-      }
-    }
-
-    /**
-     * By the total just told, by the estimate, or, without news, by this gateway's part of the
-     * quota.
-     */
-    private void decide(Job job, boolean told) {
-      double units = job.request.units();
-      boolean deaf = gateways > 1 && now - heard > span;
-      job.inQuota =
-          plan.unitsPerSecond() <= 0
-              || (deaf ? part >= units : store >= (told ? 0 : othersRate * PUSH * NANO));
-      if (job.inQuota) {
-        part = Math.max(0, part - units);
-      } else {
-        take(-units);
-      }
-      if (job.inQuota || plan.overQuotaValueFraction() > plan.overQuotaCostFraction()) {
-        enqueue(job);
-      } else {
-        refuse(job, (units - store) / plan.unitsPerSecond());
-      }
-    }
-
-    private void refuse(Job job, double retryAfter) {
-      out.reject(job.request.id(), advice(retryAfter));
-      forget(job);
-    }
-
-    void take(double units) {
-      if (plan.unitsPerSecond() > 0) {
-        unpushed += units;
-        store -= units;
-        usedAt = now;
-        active.add(this);
-      }
-    }
-
-    /**
-     * What the others don't know of, against what is left of the quota: who is near it is told
-     * first.
-     */
-    double urgency() {
-      return Math.abs(unpushed) * gateways / 2 / Math.max(store, plan.burstUnits() / 8);
-    }
-
-    /** Whether nothing of it is left to tell, or what is left is too old to matter. */
-    boolean quiet() {
-      boolean fresh = Math.abs(unpushed) > 1e-6 && now - usedAt < span && shared;
-      unpushed = fresh ? unpushed : 0;
-      return !fresh;
-    }
-
-    private void call(Job job) {
-      long index = Math.floorDiv(now + phase, span);
-      if (window != index) {
-        mine = others = 0;
-      }
-      window = index;
-      double amount = Math.rint(unpushed * 1e6) * 1e-6;
-      unansweredSince = Math.min(unansweredSince, now);
-      pushAt = now + (store < plan.burstUnits() / 2 ? PUSH : SECOND);
-      unpushed = 0;
-      long name = mix(mix(key) + index) >>> 1;
-      Call call = new Call(this, window, amount, job, now);
-      calls.computeIfAbsent(name, n -> new ArrayDeque<>()).add(call);
-      out.addToCounter(name, amount, 2 * span);
-    }
-
-    void counted(Call call, Outcome outcome, double total) {
-      if (outcome.provesNotExecuted()) {
-        unpushed += call.amount;
-        active.add(this);
-      } else if (call.window == window) {
-        // Without an answer it may have been added; if not, the next total looks like lost counts.
-        mine += call.amount;
-      }
-      refill();
-      if (outcome == Outcome.OK && call.window == window) {
-        learn(call, total);
-      }
-      conclude(call, outcome == Outcome.OK);
-    }
-
-    private void conclude(Call call, boolean answered) {
-      Job job = call.job;
-      if (job == null || !job.asking) {
-        return;
-      }
-      job.asking = false;
-      if (job.over) {
-        forget(job);
-      } else {
-        decide(job, answered);
-      }
-    }
-
-    private void learn(Call call, double total) {
-      double theirs = total - mine;
-      // Lost counts: what is there now is new since the loss, and tells of the others what it can.
-      if (theirs < -1e-3 || theirs < others - plan.burstUnits() / 2) {
-        mine = call.amount;
-        others = 0;
-        theirs = Math.max(0, total - call.amount);
-      }
-      if (now - heard > span) {
-        // The estimate is too old: in one span a full store and this window's total tell more.
-        store = plan.burstUnits() - mine - unpushed;
-        foreseen = 0;
-      }
-      double news = theirs - others;
-      others = theirs;
-      long since = Math.max(heard, window * span - phase);
-      double s = Math.max(0.05, (now - since) * NANO);
-      heard = now;
-      double rate = Math.max(0, Math.min(news / s, 2 * plan.unitsPerSecond()));
-      othersRate += (1 - Math.exp(-s / OTHERS_S)) * (rate - othersRate);
-      // What was sent beyond the quota took nothing from the store: it cannot be far below nothing.
-      store =
-          Math.max(
-              Math.min(plan.burstUnits(), store - news + foreseen),
-              -cfg.counter().maxRequestUnits());
-      foreseen = 0;
-    }
-  }
-
   /** A request taken and not yet finished. */
   private final class Job {
     private final Request request;
-    private final Customer customer;
+    private final QuotaReservation reservation;
+    private final QuotaPlan plan;
+    private final ConcurrencyCap concurrencyCap;
     private final Lane lane;
     private long arrived = now;
     private final double vAtArrival = virtualTime;
-    private boolean taken;
-    private boolean asking;
-    private boolean inQuota;
     private boolean open;
     private boolean over;
     private boolean passedOn;
@@ -1067,30 +658,28 @@
     private long mayHaveRunSince;
     private Backend anchor;
 
-    Job(Request request, Customer customer, Lane lane) {
+    Job(Request request, QuotaReservation reservation, Lane lane) {
       this.request = request;
-      this.customer = customer;
+      this.reservation = reservation;
+      plan = reservation.quota().plan();
+      concurrencyCap = concurrencyCaps.of(request.customer(), plan, reservation.quota().nodes());
       this.lane = lane;
     }
 
     double worth() {
       double part =
-          inQuota
+          reservation.withinQuota()
               ? 1
-              : customer.plan.overQuotaValueFraction() - customer.plan.overQuotaCostFraction();
-      return lane.spec.priorityWeight() * customer.plan.priceFactor() * part;
+              : plan.overQuotaValueFraction() - plan.overQuotaCostFraction();
+      return lane.spec.priorityWeight() * plan.priceFactor() * part;
     }
 
     long aimAt() {
       return Math.min(arrived + lane.spec.latencyObjectiveNanos(), request.deadlineNanos());
     }
 
-    /**
-     * Nobody tells how many the others have out: a cap on these is divided, and each may have one.
-     */
     boolean mayGo() {
-      int most = customer.plan.maxConcurrentAttempts();
-      return most <= 0 || customer.open < Math.max(1, most / customer.gateways);
+      return concurrencyCap.hasRoom();
     }
 
     /** Too late to be sent for the first time and answered within its aim. */
@@ -1144,7 +733,7 @@
         service += 0.02 * (took - service);
         units += 0.02 * (job.request.units() - units);
         statistics.attemptSucceeded(
-            job.customer.plan.priceFactor() * job.request.units(),
+            job.plan.priceFactor() * job.request.units(),
             (now - job.arrived) * NANO,
             (job.sentAt - job.arrived) * NANO,
             took);
@@ -1433,8 +1022,10 @@
     if (job.attempts == 0) {
       retryTokens = Math.min(RETRY_MOST, retryTokens + RETRY_RATIO);
     }
-    job.customer.open += job.open ? 0 : 1;
-    job.open = true;
+    if (!job.open) {
+      job.concurrencyCap.acquire();
+      job.open = true;
+    }
     job.attempts++;
     job.backend = backend;
     job.sentAt = now;
@@ -1507,12 +1098,11 @@
   /** The end of a request here; what it took is given back if it was never sent. */
   private void forget(Job job) {
     jobs.remove(job.request.id());
-    if (job.attempts == 0 && job.taken) {
-      job.customer.ceiling += job.request.units();
-      if (job.inQuota) {
-        job.customer.take(-job.request.units());
-      }
+    if (job.attempts == 0) {
+      quotas.release(job.reservation);
+    }
+    if (job.open) {
+      job.concurrencyCap.release();
     }
-    job.customer.open -= job.open ? 1 : 0;
   }
 }
--- a/edge/src/test/java/edgegateway/policy/MechanismTest.java
+++ b/edge/src/test/java/edgegateway/policy/MechanismTest.java
@@ -295,7 +295,7 @@
     assertEquals(List.of(), host.logs);
     host.pass(1000 * MS);
     assertTrue(
-        host.logs.stream().anyMatch(line -> line.startsWith("counter silent")),
+        host.logs.stream().anyMatch(line -> line.startsWith("counter_unreachable ")),
         "noticed: " + host.logs);
   }
 
