--- a/edge/src/main/java/edgegateway/node/EdgeNode.java
+++ b/edge/src/main/java/edgegateway/node/EdgeNode.java
@@ -175,7 +175,7 @@
   public void start() throws Exception {
     startPolicy();
     loop.submit(() -> discovery.start(config.known().revision())).get();
-    discovery.first().get();
+    discovery.firstMessage().get();
     clients.bind().get();
   }
 
@@ -187,7 +187,7 @@
     handoverFile.discard();
     startPolicy();
     loop.submit(() -> discovery.start(config.known().revision())).get();
-    discovery.first().get();
+    discovery.firstMessage().get();
     admitted = true;
     clients.bind().get();
     admit();
@@ -249,10 +249,10 @@
     loop.execute(
         () -> {
           if (next.counter() != null && !next.counter().equals(config.counter())) {
-            counter.move(next.counter());
+            counter.changeAddress(next.counter());
           }
           if (!next.discovery().equals(config.discovery())) {
-            discovery.move(next.discovery());
+            discovery.changeAddress(next.discovery());
           }
           config = next;
         });
@@ -560,7 +560,7 @@
    */
   @Override
   public boolean ready() {
-    return taking && discovery.heard() && !clients.draining();
+    return taking && discovery.hasStarted() && !clients.draining();
   }
 
   /**
@@ -569,7 +569,7 @@
    */
   @Override
   public boolean healthy() {
-    return admitted && discovery.heard() && (!clients.draining() || clients.succeeded());
+    return admitted && discovery.hasStarted() && (!clients.draining() || clients.succeeded());
   }
 
   /** The deadline that the module is told, for a client that waits {@code span} from now. */
@@ -822,7 +822,7 @@
 
   @Override
   public void addToCounter(long name, double amount, long lifetime) {
-    counter.count(name, amount, lifetime);
+    counter.add(name, amount, lifetime);
   }
 
   @Override
--- a/edge/src/main/java/edgegateway/node/connections/DescriptorBudget.java
+++ b/edge/src/main/java/edgegateway/node/connections/DescriptorBudget.java
@@ -40,7 +40,7 @@
    */
   static final int COUNTER = 8;
 
-  static final int DISCOVERY = WatchScheduler.MOST;
+  static final int DISCOVERY = WatchScheduler.MAX_OPEN_WATCHES;
 
   private static final int LEAST_CLIENTS = 8;
   private static final int LEAST_LANE = 2;
--- /dev/null
+++ b/edge/src/main/java/edgegateway/node/counter/CounterProtocol.java
@@ -0,0 +1,54 @@
+package edgegateway.node.counter;
+
+import io.netty.handler.codec.http.HttpResponse;
+import java.math.BigDecimal;
+import java.util.regex.Pattern;
+
+/** Names and formats of the shared counter's protocol: HTTP/1.1, pipelined. */
+final class CounterProtocol {
+  static final String HOST = "counter";
+
+  /** Large enough for any total with its headers. */
+  static final int MAX_RESPONSE_BYTES = 1024;
+
+  private static final String PATH = "/tally/";
+  private static final String AMOUNT_PARAMETER = "?n=";
+  private static final String LIFETIME_PARAMETER = "&keep_ms=";
+  private static final Pattern TOTAL = Pattern.compile("-?\\d+(\\.\\d+)?([eE][-+]?\\d{1,2})?");
+  private static final long NANOS_PER_MILLI = 1_000_000L;
+
+  private static final int OK = 200;
+  private static final int BAD_REQUEST = 400;
+  private static final int NOT_FOUND = 404;
+  private static final int SERVICE_UNAVAILABLE = 503;
+
+  private CounterProtocol() {}
+
+  /** The URI that adds an amount to a named counter; the lifetime is rounded up to 1 ms. */
+  static String uri(long name, double amount, long lifetimeNanos) {
+    long lifetimeMillis = Math.max(1, (lifetimeNanos + NANOS_PER_MILLI - 1) / NANOS_PER_MILLI);
+    return PATH
+        + Long.toUnsignedString(name)
+        + AMOUNT_PARAMETER
+        + BigDecimal.valueOf(amount).toPlainString()
+        + LIFETIME_PARAMETER
+        + lifetimeMillis;
+  }
+
+  /** Whether a final response follows this one. */
+  static boolean isInformational(HttpResponse response) {
+    int status = response.status().code();
+    return status >= 100 && status < 200;
+  }
+
+  /** Whether the counter refused the call, so that nothing was added. */
+  static boolean isRejection(HttpResponse response) {
+    int status = response.status().code();
+    return status == SERVICE_UNAVAILABLE || status == BAD_REQUEST || status == NOT_FOUND;
+  }
+
+  /** Whether the response carries a total that {@link Double#parseDouble} reads. */
+  static boolean hasTotal(HttpResponse response, String body) {
+    return response.status().code() == OK && TOTAL.matcher(body).matches();
+  }
+}
--- a/edge/src/main/java/edgegateway/node/discovery/DiscoveryClient.java
+++ b/edge/src/main/java/edgegateway/node/discovery/DiscoveryClient.java
@@ -8,23 +8,11 @@
 import edgegateway.node.metrics.NodeMetrics;
 import edgegateway.policy.api.EndpointListKind;
 import io.netty.bootstrap.Bootstrap;
-import io.netty.buffer.ByteBufUtil;
 import io.netty.channel.Channel;
-import io.netty.channel.ChannelHandlerContext;
 import io.netty.channel.ChannelInitializer;
 import io.netty.channel.ChannelOption;
 import io.netty.channel.EventLoop;
-import io.netty.channel.SimpleChannelInboundHandler;
-import io.netty.handler.codec.http.DefaultFullHttpRequest;
 import io.netty.handler.codec.http.HttpClientCodec;
-import io.netty.handler.codec.http.HttpContent;
-import io.netty.handler.codec.http.HttpHeaderNames;
-import io.netty.handler.codec.http.HttpMethod;
-import io.netty.handler.codec.http.HttpObject;
-import io.netty.handler.codec.http.HttpResponse;
-import io.netty.handler.codec.http.HttpVersion;
-import io.netty.handler.codec.http.LastHttpContent;
-import io.netty.util.concurrent.ScheduledFuture;
 import java.io.IOException;
 import java.net.InetSocketAddress;
 import java.util.HashMap;
@@ -33,38 +21,30 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * Follows the list of app servers on the sockets; when it is asked for, and whose word counts, is
- * for {@link WatchScheduler}.
+ * Follows the endpoint list of discovery over HTTP. When discovery is polled, and which watch is
+ * followed, is decided by {@link WatchScheduler}; this class owns the connections.
+ *
+ * <p>Methods are for the event loop's thread unless they say otherwise.
  */
-public final class DiscoveryClient implements WatchScheduler.Host {
+public final class DiscoveryClient
+    implements WatchTransport, WatchEventListener, DiscoverySilenceLog.WatchStatus {
   private static final EventLog LOG = EventLog.console();
 
-  /**
-   * A whole list of some 14,000 entries; the heap bears that beside what it has
-   * (docs/design/discovery.md).
-   */
-  private static final int MOST_OBJECT = 2 << 20;
-
-  /**
-   * From this silence on the list may be older than what counts as told to this edge node
-   * (protocol, Figures).
-   */
-  private static final long TOLD_MS = 6_000;
-
-  private static final long PATIENCE_MS = 1_000;
+  /** Discovery that is down must not keep the node from serving by the list it has. */
+  private static final long FIRST_MESSAGE_TIMEOUT_MILLIS = 1_000;
 
   private final EndpointListListener listener;
   private final NodeMetrics metrics;
   private final EventLoop loop;
   private final NodeConfig.SettingNames names;
   private final Bootstrap bootstrap;
-  private final WatchScheduler watches;
+  private final WatchScheduler scheduler;
+  private final DiscoverySilenceLog silenceLog;
   private final Map<WatchScheduler.Watch, Channel> channels = new HashMap<>();
-  private final CompletableFuture<Void> first = new CompletableFuture<>();
+  private final CompletableFuture<Void> firstMessage = new CompletableFuture<>();
   private InetSocketAddress address;
-  private boolean deaf;
-  private ScheduledFuture<?> overdue;
 
+  /** Connects from {@link #start} on. */
   public DiscoveryClient(
       EndpointListListener listener, NodeMetrics metrics, EventLoop loop, NodeConfig config) {
     this.listener = listener;
@@ -72,93 +52,68 @@
     this.loop = loop;
     names = config.names();
     address = config.discovery();
-    watches = new WatchScheduler(this, config.seed());
+    scheduler = new WatchScheduler(this, config.seed());
+    silenceLog = new DiscoverySilenceLog(loop, metrics, this);
     bootstrap =
         new Bootstrap()
             .group(loop)
             .option(
                 ChannelOption.CONNECT_TIMEOUT_MILLIS,
-                (int) TimeUnit.NANOSECONDS.toMillis(WatchScheduler.ANSWER));
+                (int) TimeUnit.NANOSECONDS.toMillis(WatchScheduler.WATCH_RESPONSE_TIMEOUT_NANOS));
   }
 
-  public void start(long known) {
+  /** Opens the first watch, for what comes after the revision that is held. */
+  public void start(long heldRevision) {
     metrics.discoveryHeard();
-    // A discovery that is down must not keep the edge node from serving by the list it has.
-    loop.schedule(() -> first.complete(null), PATIENCE_MS, TimeUnit.MILLISECONDS);
-    watches.start(System.nanoTime(), known);
+    loop.schedule(
+        () -> firstMessage.complete(null), FIRST_MESSAGE_TIMEOUT_MILLIS, TimeUnit.MILLISECONDS);
+    scheduler.start(System.nanoTime(), heldRevision);
     loop.scheduleAtFixedRate(
-        this::look, WatchScheduler.LOOK, WatchScheduler.LOOK, TimeUnit.NANOSECONDS);
+        this::poll,
+        WatchScheduler.POLL_INTERVAL_NANOS,
+        WatchScheduler.POLL_INTERVAL_NANOS,
+        TimeUnit.NANOSECONDS);
   }
 
-  /** Ends when a first message has come, or has been waited for long enough; any thread. */
-  public CompletableFuture<Void> first() {
-    return first;
+  /** Completes when a first list has come, or has been waited for long enough; any thread. */
+  public CompletableFuture<Void> firstMessage() {
+    return firstMessage;
   }
 
-  /** Whether a first message has come, or has been waited for long enough; any thread. */
-  public boolean heard() {
-    return first.isDone();
+  /** Whether a first list has come, or has been waited for long enough; any thread. */
+  public boolean hasStarted() {
+    return firstMessage.isDone();
   }
 
-  /** The version of the list that is held; on the loop only. */
+  /** The revision of the list that is held. */
+  @Override
   public long revision() {
-    return watches.revision();
+    return scheduler.revision();
+  }
+
+  /** Where discovery is watched. */
+  @Override
+  public InetSocketAddress address() {
+    return address;
   }
 
   /**
-   * Goes on at another address at once; what the old one says until the new one speaks is still
-   * heard.
+   * Watches another address at once; events of the old one are accepted until the new one responds.
    */
-  public void move(InetSocketAddress to) {
-    System.out.println("discovery is followed from " + address + " to " + to);
-    address = to;
-    watches.move(System.nanoTime());
+  public void changeAddress(InetSocketAddress newAddress) {
+    LOG.info("discovery_address_changed", field("from", address), field("to", newAddress));
+    address = newAddress;
+    scheduler.addressChanged(System.nanoTime());
   }
 
-  private void look() {
+  private void poll() {
     long now = System.nanoTime();
-    if (!watches.sound(now)
-        && metrics.discoverySilence() >= TimeUnit.NANOSECONDS.toMillis(WatchScheduler.SILENCE)) {
-      missed();
+    long silenceNanos = TimeUnit.MILLISECONDS.toNanos(metrics.discoverySilence());
+    if (!scheduler.isResponsive(now)
+        && silenceNanos >= WatchScheduler.WATCH_SILENCE_TIMEOUT_NANOS) {
+      silenceLog.watchLost();
     }
-    watches.look(now);
-  }
-
-  /** Told once: a discovery that is down is asked over and over. */
-  private void missed() {
-    if (!deaf) {
-      deaf = true;
-      System.out.println(
-          "discovery's watch at " + address + " ended at revision " + watches.revision());
-      tellSilence(TOLD_MS);
-    }
-  }
-
-  /** Says that no word came for {@code span} ms, when that is so, and again at twice as long. */
-  private void tellSilence(long span) {
-    overdue =
-        loop.schedule(
-            () -> {
-              System.out.println(
-                  "discovery has not been heard for "
-                      + metrics.discoverySilence()
-                      + " ms, last asked at "
-                      + address
-                      + ": the list stays at revision "
-                      + watches.revision());
-              tellSilence(2 * span);
-            },
-            span - metrics.discoverySilence(),
-            TimeUnit.MILLISECONDS);
-  }
-
-  private void heardAgain() {
-    if (deaf) {
-      deaf = false;
-      overdue.cancel(false);
-      System.out.println("discovery is heard again after " + metrics.discoverySilence() + " ms");
-    }
-    metrics.discoveryHeard();
+    scheduler.poll(now);
   }
 
   @Override
@@ -166,26 +121,25 @@
     Channel channel;
     try {
       channel =
-          OutboundConnector.connect(
-                  bootstrap
-                      .clone()
-                      .handler(
-                          new ChannelInitializer<Channel>() {
-                            @Override
-                            protected void initChannel(Channel made) {
-                              made.pipeline().addLast(new HttpClientCodec(), new Reader(watch));
-                            }
-                          }),
-                  address)
-              .channel();
+          OutboundConnector.connect(bootstrap.clone().handler(pipeline(watch)), address).channel();
     } catch (IOException e) {
-      LOG.warn("discovery_connection_not_opened", field("error", e));
+      LOG.warn("discovery_connection_not_opened", field("address", address), field("error", e));
       listener.descriptorsExhausted();
-      loop.execute(() -> ended(watch));
+      loop.execute(() -> watchClosed(watch));
       return;
     }
     channels.put(watch, channel);
-    channel.closeFuture().addListener(closed -> ended(watch));
+    channel.closeFuture().addListener(closed -> watchClosed(watch));
+  }
+
+  private ChannelInitializer<Channel> pipeline(WatchScheduler.Watch watch) {
+    WatchHandler handler = new WatchHandler(watch, address, names, this);
+    return new ChannelInitializer<Channel>() {
+      @Override
+      protected void initChannel(Channel created) {
+        created.pipeline().addLast(new HttpClientCodec(), handler);
+      }
+    };
   }
 
   @Override
@@ -196,81 +150,38 @@
     }
   }
 
-  private void ended(WatchScheduler.Watch watch) {
+  private void watchClosed(WatchScheduler.Watch watch) {
     channels.remove(watch);
     if (watch.isOpen()) {
-      watches.ended(System.nanoTime(), watch);
-      if (!watches.sound(System.nanoTime())) {
-        missed();
+      scheduler.watchClosed(System.nanoTime(), watch);
+      if (!scheduler.isResponsive(System.nanoTime())) {
+        silenceLog.watchLost();
       }
     }
   }
 
-  /** One watch: a chunked answer of JSON objects, with an empty line each 2 s. */
-  private final class Reader extends SimpleChannelInboundHandler<HttpObject> {
-    private final WatchScheduler.Watch watch;
-    private final JsonObjectSplitter objects =
-        new JsonObjectSplitter(MOST_OBJECT, this::read, this::emptyLine);
-    private boolean ended;
-
-    Reader(WatchScheduler.Watch watch) {
-      this.watch = watch;
-    }
-
-    @Override
-    public void channelActive(ChannelHandlerContext context) {
-      DefaultFullHttpRequest request =
-          new DefaultFullHttpRequest(
-              HttpVersion.HTTP_1_1,
-              HttpMethod.GET,
-              "/catalog/members?watch=1&after=" + watches.revision());
-      request.headers().set(HttpHeaderNames.HOST, "discovery");
-      context.writeAndFlush(request);
-    }
-
-    @Override
-    protected void channelRead0(ChannelHandlerContext context, HttpObject part) {
-      // The rest of what was read goes on arriving after a close: the body of an error is no list.
-      ended |=
-          !watch.isOpen()
-              || part.decoderResult().isFailure()
-              || part instanceof HttpResponse response && response.status().code() != 200;
-      if (!ended && part instanceof HttpContent content) {
-        objects.next(ByteBufUtil.getBytes(content.content()));
-      }
-      if (ended || part instanceof LastHttpContent) {
-        context.close();
-      }
-    }
-
-    private void emptyLine() {
-      if (watches.heard(System.nanoTime(), watch)) {
-        heardAgain();
-      }
+  @Override
+  public void keepAliveReceived(WatchScheduler.Watch watch) {
+    if (scheduler.eventReceived(System.nanoTime(), watch)) {
+      eventAccepted();
     }
+  }
 
-    private void read(String text) {
-      NodeConfig.EndpointList roll;
-      try {
-        roll = NodeConfig.roll(text, names);
-      } catch (NodeConfig.InvalidConfigException e) {
-        throw new IllegalArgumentException(e.getMessage(), e);
-      }
-      if (watches.takes(System.nanoTime(), watch, roll.revision(), roll.complete())) {
-        heardAgain();
-        listener.endpointListReceived(
-            roll, roll.complete() ? EndpointListKind.FULL : EndpointListKind.DELTA);
-        first.complete(null);
-      } else if (!watch.isOpen()) {
-        System.out.println(
-            "discovery's list of revision " + roll.revision() + " is older than the one held");
-      }
+  @Override
+  public void listReceived(WatchScheduler.Watch watch, NodeConfig.EndpointList list) {
+    long now = System.nanoTime();
+    if (scheduler.listReceived(now, watch, list.revision(), list.complete())) {
+      eventAccepted();
+      listener.endpointListReceived(
+          list, list.complete() ? EndpointListKind.FULL : EndpointListKind.DELTA);
+      firstMessage.complete(null);
+    } else if (!watch.isOpen()) {
+      LOG.info("discovery_list_stale", field("revision", list.revision()));
     }
+  }
 
-    @Override
-    public void exceptionCaught(ChannelHandlerContext context, Throwable cause) {
-      LOG.warn("discovery_stream_failed", field("error", cause));
-      context.close();
-    }
+  private void eventAccepted() {
+    silenceLog.eventReceived();
+    metrics.discoveryHeard();
   }
 }
--- a/edge/src/main/java/edgegateway/node/discovery/JsonObjectSplitter.java
+++ b/edge/src/main/java/edgegateway/node/discovery/JsonObjectSplitter.java
@@ -5,79 +5,84 @@
 import java.util.function.Consumer;
 
 /**
- * Cuts a stream of bytes into JSON objects, however they are laid out: one a line, over several
- * lines, or one behind the other. An empty line between two of them is told too. What an object
- * holds is not looked at: that is for a parser.
+ * Splits a stream of bytes into JSON objects, however they are laid out: one a line, over several
+ * lines, or one after the other. Empty lines between objects are reported too. The content of an
+ * object is not checked: that is for a parser.
  */
 public final class JsonObjectSplitter {
-  private final int most;
-  private final Consumer<String> object;
-  private final Runnable emptyLine;
-  private final ByteArrayOutputStream held = new ByteArrayOutputStream();
+  private final int maxObjectBytes;
+  private final Consumer<String> onObject;
+  private final Runnable onEmptyLine;
+
+  /** The begin of an object whose rest has not come yet. */
+  private final ByteArrayOutputStream partial = new ByteArrayOutputStream();
+
+  /** Braces that are open; 0 between objects. */
   private int depth;
-  private boolean text;
+
+  private boolean inString;
   private boolean escaped;
-  private boolean something;
 
-  /**
-   * {@code most} is how many bytes an object may have; an empty line is told as {@code emptyLine}.
-   */
-  public JsonObjectSplitter(int most, Consumer<String> object, Runnable emptyLine) {
-    this.most = most;
-    this.object = object;
-    this.emptyLine = emptyLine;
+  /** Whether an object began on the present line. */
+  private boolean lineHasObject;
+
+  /** Both callbacks are run from within {@link #append}. */
+  public JsonObjectSplitter(int maxObjectBytes, Consumer<String> onObject, Runnable onEmptyLine) {
+    this.maxObjectBytes = maxObjectBytes;
+    this.onObject = onObject;
+    this.onEmptyLine = onEmptyLine;
   }
 
   /**
-   * The next bytes, in a loop of its own: a list is long, and a node that just began runs it
-   * uncompiled.
+   * Takes the next bytes of the stream. This is one flat loop because a list is long, and a node
+   * that has just started runs the loop interpreted.
    *
-   * @throws IllegalArgumentException if no object can begin so, or if one is too long
+   * @throws IllegalArgumentException if a byte can't begin an object, or if an object is too long
    */
-  public void next(byte[] bytes) {
-    int from = 0;
+  public void append(byte[] bytes) {
+    int objectStart = 0;
     for (int i = 0; i < bytes.length; i++) {
       byte next = bytes[i];
-      if (text) {
-        text = escaped || next != '"';
+      if (inString) {
+        inString = escaped || next != '"';
         escaped = !escaped && next == '\\';
       } else if (depth == 0) {
-        from = i;
-        between(next);
+        objectStart = i;
+        readBetweenObjects(next);
       } else if (next == '"') {
-        text = true;
+        inString = true;
       } else if (next == '{') {
         depth++;
       } else if (next == '}' && --depth == 0) {
-        hold(bytes, from, i + 1);
-        String whole = held.toString(StandardCharsets.UTF_8);
-        held.reset();
-        object.accept(whole);
+        keep(bytes, objectStart, i + 1);
+        String object = partial.toString(StandardCharsets.UTF_8);
+        partial.reset();
+        onObject.accept(object);
       }
     }
     if (depth > 0) {
-      hold(bytes, from, bytes.length);
+      keep(bytes, objectStart, bytes.length);
     }
   }
 
-  private void between(byte next) {
+  private void readBetweenObjects(byte next) {
     if (next == '{') {
-      something = true;
+      lineHasObject = true;
       depth = 1;
     } else if (next == '\n') {
-      if (!something) {
-        emptyLine.run();
+      if (!lineHasObject) {
+        onEmptyLine.run();
       }
-      something = false;
+      lineHasObject = false;
     } else if (next != ' ' && next != '\t' && next != '\r') {
       throw new IllegalArgumentException("no JSON object begins with the byte " + next);
     }
   }
 
-  private void hold(byte[] bytes, int from, int to) {
-    if (held.size() + to - from > most) {
-      throw new IllegalArgumentException("an object of more than " + most + " bytes");
+  private void keep(byte[] bytes, int from, int to) {
+    if (partial.size() + to - from > maxObjectBytes) {
+      throw new IllegalArgumentException("an object of more than " + maxObjectBytes + " bytes");
     }
-    held.write(bytes, from, to - from);
+    partial.write(bytes, from, to - from);
   }
 }
--- /dev/null
+++ b/edge/src/main/java/edgegateway/node/discovery/WatchHandler.java
@@ -0,0 +1,93 @@
+package edgegateway.node.discovery;
+
+import static edgegateway.node.logging.EventLog.field;
+
+import edgegateway.node.config.NodeConfig;
+import edgegateway.node.logging.EventLog;
+import io.netty.buffer.ByteBufUtil;
+import io.netty.channel.ChannelHandlerContext;
+import io.netty.channel.SimpleChannelInboundHandler;
+import io.netty.handler.codec.http.DefaultFullHttpRequest;
+import io.netty.handler.codec.http.HttpContent;
+import io.netty.handler.codec.http.HttpHeaderNames;
+import io.netty.handler.codec.http.HttpMethod;
+import io.netty.handler.codec.http.HttpObject;
+import io.netty.handler.codec.http.HttpResponse;
+import io.netty.handler.codec.http.HttpVersion;
+import io.netty.handler.codec.http.LastHttpContent;
+import java.net.InetSocketAddress;
+
+/**
+ * Last handler of a watch's connection: sends the request and turns the response, JSON objects with
+ * an empty line each 2 s, into events. It closes the connection at the response's end and at what
+ * it can't read.
+ */
+final class WatchHandler extends SimpleChannelInboundHandler<HttpObject> {
+  private static final EventLog LOG = EventLog.console();
+
+  private final WatchScheduler.Watch watch;
+  private final InetSocketAddress address;
+  private final NodeConfig.SettingNames names;
+  private final WatchEventListener listener;
+  private final JsonObjectSplitter objects =
+      new JsonObjectSplitter(
+          DiscoveryProtocol.MAX_OBJECT_BYTES, this::objectReceived, this::emptyLineReceived);
+  private boolean ended;
+
+  WatchHandler(
+      WatchScheduler.Watch watch,
+      InetSocketAddress address,
+      NodeConfig.SettingNames names,
+      WatchEventListener listener) {
+    this.watch = watch;
+    this.address = address;
+    this.names = names;
+    this.listener = listener;
+  }
+
+  @Override
+  public void channelActive(ChannelHandlerContext context) {
+    DefaultFullHttpRequest request =
+        new DefaultFullHttpRequest(
+            HttpVersion.HTTP_1_1, HttpMethod.GET, DiscoveryProtocol.watchUri(listener.revision()));
+    request.headers().set(HttpHeaderNames.HOST, DiscoveryProtocol.HOST);
+    context.writeAndFlush(request);
+  }
+
+  @Override
+  protected void channelRead0(ChannelHandlerContext context, HttpObject part) {
+    // The rest of a read still arrives after a close: the body of an error response is no list.
+    ended |= !watch.isOpen() || part.decoderResult().isFailure() || isErrorResponse(part);
+    if (!ended && part instanceof HttpContent content) {
+      objects.append(ByteBufUtil.getBytes(content.content()));
+    }
+    if (ended || part instanceof LastHttpContent) {
+      context.close();
+    }
+  }
+
+  private static boolean isErrorResponse(HttpObject part) {
+    return part instanceof HttpResponse response
+        && response.status().code() != DiscoveryProtocol.OK;
+  }
+
+  private void emptyLineReceived() {
+    listener.keepAliveReceived(watch);
+  }
+
+  private void objectReceived(String text) {
+    NodeConfig.EndpointList list;
+    try {
+      list = NodeConfig.roll(text, names);
+    } catch (NodeConfig.InvalidConfigException e) {
+      throw new DiscoveryException(address, e.getMessage(), e);
+    }
+    listener.listReceived(watch, list);
+  }
+
+  @Override
+  public void exceptionCaught(ChannelHandlerContext context, Throwable cause) {
+    LOG.warn("discovery_watch_failed", field("address", address), field("error", cause));
+    context.close();
+  }
+}
--- a/edge/src/main/java/edgegateway/node/discovery/WatchScheduler.java
+++ b/edge/src/main/java/edgegateway/node/discovery/WatchScheduler.java
@@ -5,92 +5,102 @@
 import java.util.SplittableRandom;
 
 /**
- * When discovery is asked anew, and which answer is followed. It does no I/O; its clock is given to
- * it. Times are nanoseconds of one clock.
+ * Decides when discovery is polled with a new watch, and which watch is followed. It does no I/O;
+ * its clock is given to it, in nanoseconds. For one thread.
  *
- * <p>A change counts as told 6 s after discovery had it and could be reached, whatever failed
- * before (standing test). So no wait is longer than {@link #ANSWER} while nothing is heard: a watch
- * that hangs is not waited for, another is opened beside it, and the first that speaks is followed.
- * A watch that falls silent is replaced after {@link #SILENCE}. Both together, and a second for a
- * loop that stands still, stay below the 6 s.
+ * <p>A change must be known 6 s after discovery had it and could be reached, whatever failed
+ * before. So no wait is longer than {@link #WATCH_RESPONSE_TIMEOUT_NANOS} while discovery is
+ * silent: a watch without a response is not waited for, another is opened beside it, and the first
+ * that responds is followed. A watch that falls silent is replaced after {@link
+ * #WATCH_SILENCE_TIMEOUT_NANOS}. Both together, and a second for an event-loop stall, stay below
+ * the 6 s.
  */
 public final class WatchScheduler {
-  private static final long MS = 1_000_000L;
+  private static final long NANOS_PER_MILLI = 1_000_000L;
 
-  /** A sound watch says something each 2 s. */
-  public static final long SILENCE = 3_000 * MS;
+  /** A responsive watch has an event each 2 s. */
+  public static final long WATCH_SILENCE_TIMEOUT_NANOS = 3_000 * NANOS_PER_MILLI;
 
-  /** So long after a watch was opened that has not spoken another is opened beside it. */
-  public static final long ANSWER = 1_000 * MS;
+  /** After this time without a response another watch is opened beside the first. */
+  public static final long WATCH_RESPONSE_TIMEOUT_NANOS = 1_000 * NANOS_PER_MILLI;
 
-  /**
-   * Wait after a watch that ended, doubled by each further one; a part of it by chance, or a fleet
-   * asks at once.
-   */
-  static final long FIRST_BACKOFF = 100 * MS;
+  /** How often {@link #poll} is to be called. */
+  public static final long POLL_INTERVAL_NANOS = 50 * NANOS_PER_MILLI;
 
-  static final long MOST_BACKOFF = ANSWER;
+  /** Open at once at most; each takes a file descriptor. */
+  public static final int MAX_OPEN_WATCHES = 3;
 
-  /** How often {@link #look} is to be called. */
-  public static final long LOOK = 50 * MS;
+  /** Wait after a watch ended, doubled by each further one and half of it random. */
+  static final long INITIAL_BACKOFF_NANOS = 100 * NANOS_PER_MILLI;
 
-  /** Open at once at the most; it bounds the descriptors. */
-  public static final int MOST = 3;
+  static final long MAX_BACKOFF_NANOS = WATCH_RESPONSE_TIMEOUT_NANOS;
 
   /**
-   * Lists that are older than the one held are taken after so long with none but such: discovery
-   * has begun anew.
+   * After this time with nothing but lists older than the one held, an older list is accepted:
+   * discovery has lost its revisions and numbers them anew.
    */
-  static final long OUTDATED = 30_000 * MS;
+  static final long STALE_LIST_TIMEOUT_NANOS = 30_000 * NANOS_PER_MILLI;
 
-  /** What watches are made of. */
-  public interface Host {
-    /** Opens a watch; what becomes of it is told later, never from within this call. */
-    void open(Watch watch);
+  /** The part of the response timeout that is random, so that nodes don't poll together. */
+  private static final int RESPONSE_JITTER_DIVISOR = 4;
 
-    /** Closes it: nothing more of it is taken. */
-    void close(Watch watch);
-  }
-
-  /** One call for changes: open until it is closed by either side, which is its end. */
+  /** One request for changes: open until either side closes it, and never reopened. */
   public static final class Watch {
-    private final int place;
+    private final int addressGeneration;
     private boolean open = true;
-    private boolean spoke;
-    private long heardAt;
+    private boolean responded;
+    private long lastEventAtNanos;
 
-    private Watch(int place) {
-      this.place = place;
+    private Watch(int addressGeneration) {
+      this.addressGeneration = addressGeneration;
     }
 
-    /** Whether what it says is still followed. */
+    /** Whether its events are still accepted. */
     public boolean isOpen() {
       return open;
     }
+
+    private void eventReceived(long nowNanos) {
+      responded = true;
+      lastEventAtNanos = nowNanos;
+    }
+
+    private boolean isResponsive(long nowNanos) {
+      return responded && nowNanos - lastEventAtNanos < WATCH_SILENCE_TIMEOUT_NANOS;
+    }
+
+    private void markClosed() {
+      open = false;
+    }
   }
 
-  private final Host host;
+  private final WatchTransport transport;
   private final SplittableRandom random;
-  private final List<Watch> open = new ArrayList<>();
-  private int place;
+
+  /** Oldest first. */
+  private final List<Watch> openWatches = new ArrayList<>();
+
+  /** How often discovery's address has changed. */
+  private int addressGeneration;
+
   private long revision;
-  private long backoff = FIRST_BACKOFF;
-  private long askAt;
+  private long backoffNanos = INITIAL_BACKOFF_NANOS;
+  private long nextWatchAtNanos;
 
-  /** Since when nothing but older lists came. */
-  private long outdatedSince = Long.MAX_VALUE;
+  /** Since when nothing but older lists came; {@link Long#MAX_VALUE} if that is not so. */
+  private long staleSinceNanos = Long.MAX_VALUE;
 
-  /** None yet; {@code seed} is its only source of chance. */
-  public WatchScheduler(Host host, long seed) {
-    this.host = host;
+  /** No watch is open yet; {@code seed} is the only source of randomness. */
+  public WatchScheduler(WatchTransport transport, long seed) {
+    this.transport = transport;
     random = new SplittableRandom(seed);
   }
 
-  /** Begins to ask, from a list that is held already. */
-  public void start(long now, long known) {
-    revision = known;
-    askAt = now;
-    look(now);
+  /** Opens the first watch; a list of this revision is held already. */
+  public void start(long nowNanos, long heldRevision) {
+    revision = heldRevision;
+    nextWatchAtNanos = nowNanos;
+    poll(nowNanos);
   }
 
   /** The revision of the list that is held. */
@@ -98,94 +108,116 @@
     return revision;
   }
 
-  /** Whether a watch at the present address is heard. */
-  public boolean sound(long now) {
-    return open.stream()
-        .anyMatch(watch -> watch.place == place && watch.spoke && now - watch.heardAt < SILENCE);
+  /** Whether a watch at the present address had an event lately. */
+  public boolean isResponsive(long nowNanos) {
+    for (Watch watch : openWatches) {
+      if (watch.addressGeneration == addressGeneration && watch.isResponsive(nowNanos)) {
+        return true;
+      }
+    }
+    return false;
   }
 
   /** Opens a watch if one is due. */
-  public void look(long now) {
-    if (now < askAt || sound(now)) {
+  public void poll(long nowNanos) {
+    if (nowNanos < nextWatchAtNanos || isResponsive(nowNanos)) {
       return;
     }
-    if (open.size() >= MOST) {
-      close(open.get(0));
+    if (openWatches.size() >= MAX_OPEN_WATCHES) {
+      close(openWatches.get(0));
     }
-    Watch watch = new Watch(place);
-    open.add(watch);
-    // From three quarters of it on: gateways that lost discovery together do not ask together for
-    // ever.
-    askAt = now + ANSWER - random.nextLong(ANSWER / 4);
-    host.open(watch);
+    Watch watch = new Watch(addressGeneration);
+    openWatches.add(watch);
+    // Nodes that lost discovery together must not poll together for ever.
+    long jitterNanos = random.nextLong(WATCH_RESPONSE_TIMEOUT_NANOS / RESPONSE_JITTER_DIVISOR);
+    nextWatchAtNanos = nowNanos + WATCH_RESPONSE_TIMEOUT_NANOS - jitterNanos;
+    transport.open(watch);
   }
 
   /**
-   * Discovery is at another address now; watches at the old one are heard until the new one speaks.
+   * Discovery has another address now; watches at the old one are accepted until the new one
+   * responds.
    */
-  public void move(long now) {
-    place++;
-    backoff = FIRST_BACKOFF;
-    askAt = now;
-    look(now);
+  public void addressChanged(long nowNanos) {
+    addressGeneration++;
+    backoffNanos = INITIAL_BACKOFF_NANOS;
+    nextWatchAtNanos = nowNanos;
+    poll(nowNanos);
   }
 
-  /** A watch said something, if only that it is there; false if it is followed no longer. */
-  public boolean heard(long now, Watch watch) {
-    if (!watch.open) {
+  /**
+   * A watch had an event, if only a keep-alive. At the present address it is followed from now on,
+   * and all others are closed.
+   *
+   * @return false if the watch is closed and its event must be ignored
+   */
+  public boolean eventReceived(long nowNanos, Watch watch) {
+    if (!watch.isOpen()) {
       return false;
     }
-    watch.spoke = true;
-    watch.heardAt = now;
-    outdatedSince = Long.MAX_VALUE;
-    if (watch.place == place) {
-      backoff = FIRST_BACKOFF;
-      List.copyOf(open).stream().filter(other -> other != watch).forEach(this::close);
+    watch.eventReceived(nowNanos);
+    staleSinceNanos = Long.MAX_VALUE;
+    if (watch.addressGeneration == addressGeneration) {
+      backoffNanos = INITIAL_BACKOFF_NANOS;
+      closeAllBut(watch);
     }
     return true;
   }
 
   /**
-   * A watch told a list, or changes to it; whether that is to be taken. What is older than the list
-   * that is held would bring back servers that leave: a watch that begins so is left, for an agent
-   * that knows more.
+   * A watch delivered a list, or changes. What is older than the list that is held would bring back
+   * endpoints that leave: a watch that begins so is closed, for an agent that knows more.
+   *
+   * @param complete whether it is a complete list
+   * @return whether it is to be applied
    */
-  public boolean takes(long now, Watch watch, long told, boolean whole) {
-    if (!watch.open) {
+  public boolean listReceived(long nowNanos, Watch watch, long listRevision, boolean complete) {
+    if (!watch.isOpen()) {
       return false;
     }
-    boolean old = told < revision && !(whole && now - outdatedSince >= OUTDATED);
-    if (old && !watch.spoke) {
-      outdatedSince = Math.min(outdatedSince, now);
+    boolean revisionsRestarted = complete && nowNanos - staleSinceNanos >= STALE_LIST_TIMEOUT_NANOS;
+    boolean stale = listRevision < revision && !revisionsRestarted;
+    if (stale && !watch.responded) {
+      staleSinceNanos = Math.min(staleSinceNanos, nowNanos);
       close(watch);
-      askLater(now);
+      backOff(nowNanos);
       return false;
     }
-    heard(now, watch);
-    if (!old) {
-      revision = told;
+    eventReceived(nowNanos, watch);
+    if (!stale) {
+      revision = listRevision;
     }
-    return !old;
+    return !stale;
   }
 
-  /** A watch's connection ended, or could not be made. */
-  public void ended(long now, Watch watch) {
-    if (watch.open) {
-      watch.open = false;
-      open.remove(watch);
-      askLater(now);
+  /** A watch's connection ended, or could not be opened. */
+  public void watchClosed(long nowNanos, Watch watch) {
+    if (watch.isOpen()) {
+      watch.markClosed();
+      openWatches.remove(watch);
+      backOff(nowNanos);
     }
   }
 
-  private void askLater(long now) {
-    long later = now + backoff / 2 + random.nextLong(backoff / 2);
-    askAt = askAt > now ? Math.min(askAt, later) : later;
-    backoff = Math.min(MOST_BACKOFF, 2 * backoff);
+  private void backOff(long nowNanos) {
+    long half = backoffNanos / 2;
+    long retryAtNanos = nowNanos + half + random.nextLong(half);
+    boolean alreadyWaiting = nextWatchAtNanos > nowNanos;
+    nextWatchAtNanos = alreadyWaiting ? Math.min(nextWatchAtNanos, retryAtNanos) : retryAtNanos;
+    backoffNanos = Math.min(MAX_BACKOFF_NANOS, 2 * backoffNanos);
+  }
+
+  private void closeAllBut(Watch followed) {
+    for (Watch other : List.copyOf(openWatches)) {
+      if (other != followed) {
+        close(other);
+      }
+    }
   }
 
   private void close(Watch watch) {
-    watch.open = false;
-    open.remove(watch);
-    host.close(watch);
+    watch.markClosed();
+    openWatches.remove(watch);
+    transport.close(watch);
   }
 }
--- a/edge/src/main/java/edgegateway/node/upstream/UpstreamPool.java
+++ b/edge/src/main/java/edgegateway/node/upstream/UpstreamPool.java
@@ -7,6 +7,7 @@
 import edgegateway.node.connections.ConnectionMetrics;
 import edgegateway.node.connections.DescriptorBudget;
 import edgegateway.node.connections.OutboundConnector;
+import edgegateway.node.connections.StrictHttpResponseDecoder;
 import edgegateway.node.connections.TransportHandle;
 import edgegateway.node.connections.UpstreamConnectionTable;
 import edgegateway.node.connections.UpstreamConnectionTable.Failure;
@@ -37,14 +38,11 @@
 import io.netty.handler.codec.http.DefaultHttpContent;
 import io.netty.handler.codec.http.DefaultHttpRequest;
 import io.netty.handler.codec.http.HttpContent;
-import io.netty.handler.codec.http.HttpDecoderConfig;
 import io.netty.handler.codec.http.HttpHeaderNames;
-import io.netty.handler.codec.http.HttpMessage;
 import io.netty.handler.codec.http.HttpObject;
 import io.netty.handler.codec.http.HttpRequest;
 import io.netty.handler.codec.http.HttpRequestEncoder;
 import io.netty.handler.codec.http.HttpResponse;
-import io.netty.handler.codec.http.HttpResponseDecoder;
 import io.netty.handler.codec.http.HttpUtil;
 import io.netty.handler.codec.http.HttpVersion;
 import io.netty.handler.codec.http.LastHttpContent;
@@ -140,7 +138,7 @@
 
   /** What stands on a connection to an app server. */
   public ChannelHandler[] handlers() {
-    UpstreamResponseDecoder decoder = new UpstreamResponseDecoder();
+    StrictHttpResponseDecoder decoder = new StrictHttpResponseDecoder();
     return new ChannelHandler[] {new HttpRequestEncoder(), decoder, new Connection(decoder)};
   }
 
@@ -150,50 +148,6 @@
     made.begin(listed.get(server).target.lend(System.nanoTime()));
   }
 
-  /**
-   * Reads an answer's header lines as strictly as a request's: the codec on its own takes a line
-   * without a colon for an empty header. The status line may have no reason, and a body that tells
-   * no length goes on until its connection ends.
-   */
-  public static final class UpstreamResponseDecoder extends HttpResponseDecoder {
-    private boolean headers;
-
-    public UpstreamResponseDecoder() {
-      super(new HttpDecoderConfig().setMaxChunkSize(MOST_BODY));
-    }
-
-    @Override
-    protected boolean isDecodingRequest() {
-      return headers;
-    }
-
-    @Override
-    public HttpMessage createMessage(String[] statusLine) {
-      headers = true;
-      return super.createMessage(statusLine);
-    }
-
-    @Override
-    public boolean isContentAlwaysEmpty(HttpMessage answer) {
-      headers = false;
-      if (answer.headers().contains(HttpHeaderNames.TRANSFER_ENCODING)
-          && !HttpUtil.isTransferEncodingChunked(answer)) {
-        throw new IllegalArgumentException("an answer that does not tell its end");
-      }
-      return super.isContentAlwaysEmpty(answer);
-    }
-
-    @Override
-    protected void handleTransferEncodingChunkedWithContentLength(HttpMessage answer) {
-      throw new IllegalArgumentException("an answer with two lengths");
-    }
-
-    /** Whether bytes are left that belong to no whole answer. */
-    boolean holdsMore() {
-      return actualReadableBytes() > 0;
-    }
-  }
-
   /**
    * What the list says of an app server, and the connections to it: a restart or a move makes new
    * ones.
@@ -482,7 +436,7 @@
   /** A connection to an app server. */
   private final class Connection extends SimpleChannelInboundHandler<HttpObject>
       implements TransportHandle {
-    private final UpstreamResponseDecoder decoder;
+    private final StrictHttpResponseDecoder decoder;
     private Channel channel;
     private UpstreamConnectionTable.UpstreamConnection link;
     private Attempt attempt;
@@ -499,7 +453,7 @@
     /** Where a long answer goes on to, and when its first piece did. */
     private BodyRelay relay;
 
-    Connection(UpstreamResponseDecoder decoder) {
+    Connection(StrictHttpResponseDecoder decoder) {
       this.decoder = decoder;
     }
 
@@ -647,7 +601,7 @@
       }
       if (whole) {
         finish();
-      } else if (attempt == null && decoder.holdsMore()) {
+      } else if (attempt == null && decoder.hasUndecodedBytes()) {
         context.close();
       }
     }
@@ -671,7 +625,7 @@
       boolean again =
           HttpUtil.isKeepAlive(head)
               && !stray
-              && !decoder.holdsMore()
+              && !decoder.hasUndecodedBytes()
               && answered.written
               && channel.isActive();
       if (again) {
--- a/edge/src/test/java/edgegateway/node/EdgeNodeTest.java
+++ b/edge/src/test/java/edgegateway/node/EdgeNodeTest.java
@@ -540,9 +540,9 @@
                           loop,
                           config))
               .get();
-      loop.execute(() -> client.count(4, 1.5, 4_000_000_000L));
+      loop.execute(() -> client.add(4, 1.5, 4_000_000_000L));
       assertEquals("4 TIMEOUT 0.0", told.poll(60, TimeUnit.SECONDS));
-      loop.execute(() -> client.count(4, -2.25, 4_000_000_000L));
+      loop.execute(() -> client.add(4, -2.25, 4_000_000_000L));
       go.complete(null);
       assertEquals("4 OK 88.0", told.poll(60, TimeUnit.SECONDS));
     }
@@ -579,7 +579,7 @@
                         new CounterClient(
                             (name, outcome, total) -> told.add(name + " " + outcome), loop, config))
                 .get();
-        loop.execute(() -> client.count(4, 1, 4_000_000_000L));
+        loop.execute(() -> client.add(4, 1, 4_000_000_000L));
         assertEquals("4 RESET", told.poll(60, TimeUnit.SECONDS), answer);
         assertNotNull(broken.ended.poll(60, TimeUnit.SECONDS), answer);
       }
--- a/edge/src/test/java/edgegateway/node/SignalsTest.java
+++ b/edge/src/test/java/edgegateway/node/SignalsTest.java
@@ -119,8 +119,8 @@
     Process process = serve(written("node.json"), List.of());
     servingAt(process);
     Matcher silence =
-        Pattern.compile("discovery has not been heard for (\\d+) ms, .*")
-            .matcher(said(process, "discovery has not been heard"));
+        Pattern.compile("discovery_unreachable silent_ms=(\\d+) address=\\S+ revision=\\d+")
+            .matcher(said(process, "discovery_unreachable"));
     assertTrue(silence.matches());
     assertTrue(Long.parseLong(silence.group(1)) >= 6_000, silence.group());
     CompletableFuture<Void> go = new CompletableFuture<>();
--- a/edge/src/test/java/edgegateway/node/discovery/JsonObjectSplitterTest.java
+++ b/edge/src/test/java/edgegateway/node/discovery/JsonObjectSplitterTest.java
@@ -10,53 +10,53 @@
 import org.junit.jupiter.api.Test;
 
 class JsonObjectSplitterTest {
-  private final List<String> told = new ArrayList<>();
+  private final List<String> reported = new ArrayList<>();
   private final JsonObjectSplitter objects =
-      new JsonObjectSplitter(100, told::add, () -> told.add(""));
+      new JsonObjectSplitter(100, reported::add, () -> reported.add(""));
 
   /** Cut in two at each byte, and byte by byte: the same must come of all. */
-  private List<String> read(String text) {
+  private List<String> split(String text) {
     byte[] bytes = text.getBytes(StandardCharsets.UTF_8);
-    objects.next(bytes);
+    objects.append(bytes);
     for (int cut = 0; cut <= bytes.length; cut++) {
       List<String> again = new ArrayList<>();
       JsonObjectSplitter fresh = new JsonObjectSplitter(100, again::add, () -> again.add(""));
-      fresh.next(Arrays.copyOf(bytes, cut));
+      fresh.append(Arrays.copyOf(bytes, cut));
       if (cut == bytes.length / 2) {
         for (byte next : Arrays.copyOfRange(bytes, cut, bytes.length)) {
-          fresh.next(new byte[] {next});
+          fresh.append(new byte[] {next});
         }
       } else {
-        fresh.next(Arrays.copyOfRange(bytes, cut, bytes.length));
+        fresh.append(Arrays.copyOfRange(bytes, cut, bytes.length));
       }
-      assertEquals(told, again, "cut at " + cut);
+      assertEquals(reported, again, "cut at " + cut);
     }
-    return told;
+    return reported;
   }
 
   @Test
-  void objectsComeInAnyLayoutAndEmptyLinesBetweenThemAreTold() {
+  void objectsMayHaveAnyLayoutAndEmptyLinesBetweenThemAreReported() {
     assertEquals(
         List.of("{\"a\":1}", "", "{\n \"b\": {\n\n  \"c\": [{}]\n }\n}", "{}", "{}", ""),
-        read("{\"a\":1}\n\n{\n \"b\": {\n\n  \"c\": [{}]\n }\n}\r\n{} {}\n \t\r\n"));
+        split("{\"a\":1}\n\n{\n \"b\": {\n\n  \"c\": [{}]\n }\n}\r\n{} {}\n \t\r\n"));
   }
 
   @Test
-  void bracesInTextsAreNone() {
+  void bracesInStringsAreIgnored() {
     String odd = "{\"a\":\"}{\\\"}\\\\\",\"b\":\"\\\\\"}";
-    assertEquals(List.of(odd, "{\"ñ\":\"á}\"}"), read(odd + "{\"ñ\":\"á}\"}"));
+    assertEquals(List.of(odd, "{\"ñ\":\"á}\"}"), split(odd + "{\"ñ\":\"á}\"}"));
   }
 
   @Test
-  void whatIsNoObjectOrTooLongEndsIt() {
+  void whatIsNoObjectOrIsTooLongIsRefused() {
     for (String no : List.of("[1]", "x", "}", "\"a\"", "{\"a\":\"" + "b".repeat(100))) {
-      told.clear();
-      JsonObjectSplitter fresh = new JsonObjectSplitter(100, told::add, () -> told.add(""));
+      reported.clear();
+      JsonObjectSplitter fresh = new JsonObjectSplitter(100, reported::add, () -> reported.add(""));
       assertThrows(
           IllegalArgumentException.class,
-          () -> fresh.next(no.getBytes(StandardCharsets.UTF_8)),
+          () -> fresh.append(no.getBytes(StandardCharsets.UTF_8)),
           no);
-      assertEquals(List.of(), told);
+      assertEquals(List.of(), reported);
     }
   }
 }
--- a/edge/src/test/java/edgegateway/node/discovery/WatchSchedulerTest.java
+++ b/edge/src/test/java/edgegateway/node/discovery/WatchSchedulerTest.java
@@ -9,10 +9,10 @@
 import java.util.SplittableRandom;
 import org.junit.jupiter.api.Test;
 
-/** When discovery is asked, on a clock of the test's own. */
-class WatchSchedulerTest implements WatchScheduler.Host {
+/** When discovery is polled, on a fake clock. */
+class WatchSchedulerTest implements WatchTransport {
   private static final long MS = 1_000_000L;
-  private static final long TOLD = 6_000 * MS;
+  private static final long MAX_LIST_AGE = 6_000 * MS;
   private final List<WatchScheduler.Watch> open = new ArrayList<>();
   private int opened;
   private long now;
@@ -21,7 +21,7 @@
   public void open(WatchScheduler.Watch watch) {
     open.add(watch);
     opened++;
-    assertTrue(open.size() <= WatchScheduler.MOST, "descriptors are bounded");
+    assertTrue(open.size() <= WatchScheduler.MAX_OPEN_WATCHES, "descriptors are bounded");
   }
 
   @Override
@@ -29,204 +29,216 @@
     assertTrue(open.remove(watch));
   }
 
-  private WatchScheduler begun(long seed) {
+  private WatchScheduler started(long seed) {
     open.clear();
     opened = 0;
     now = 0;
-    WatchScheduler watches = new WatchScheduler(this, seed);
-    watches.start(0, 5);
-    return watches;
+    WatchScheduler scheduler = new WatchScheduler(this, seed);
+    scheduler.start(0, 5);
+    return scheduler;
   }
 
   private WatchScheduler.Watch last() {
     return open.get(open.size() - 1);
   }
 
-  private void end(WatchScheduler watches, WatchScheduler.Watch watch) {
+  private void end(WatchScheduler scheduler, WatchScheduler.Watch watch) {
     open.remove(watch);
-    watches.ended(now, watch);
+    scheduler.watchClosed(now, watch);
   }
 
-  private void pass(WatchScheduler watches, long span) {
+  private void pass(WatchScheduler scheduler, long span) {
     for (long until = now + span; now < until; ) {
-      now += Math.min(WatchScheduler.LOOK, until - now);
-      watches.look(now);
+      now += Math.min(WatchScheduler.POLL_INTERVAL_NANOS, until - now);
+      scheduler.poll(now);
     }
   }
 
-  /** What a discovery that can't be reached does with a call. */
-  private enum Trouble {
+  /** What discovery that can't be reached does with a watch. */
+  private enum Fault {
     HANGS,
-    REFUSED,
+    REFUSES,
     ENDS_LATE,
-    SPEAKS_ONCE
+    RESPONDS_ONCE
   }
 
-  /** Once reached, a call is answered at once, but what was asked before may hang for ever. */
+  /** Once reachable, discovery responds at once, but scheduler opened before may hang for ever. */
   @Test
-  void whateverFailedBeforeDiscoveryIsHeardWellWithinItsTime() {
-    long worst = 0;
+  void discoveryIsPolledSoonAfterItIsReachableAgainWhateverFailedBefore() {
+    long worstNanos = 0;
     for (long seed = 1; seed <= 400; seed++) {
       SplittableRandom random = new SplittableRandom(seed);
-      WatchScheduler watches = begun(seed);
-      int seen = 0;
-      long back = (1 + random.nextInt(200)) * 100 * MS;
-      while (now < back) {
-        if (opened > seen) {
-          seen = opened;
-          WatchScheduler.Watch watch = last();
-          Trouble trouble = Trouble.values()[random.nextInt(4)];
-          if (trouble == Trouble.REFUSED) {
-            end(watches, watch);
-          } else if (trouble == Trouble.SPEAKS_ONCE) {
-            watches.heard(now, watch);
-          }
-        }
-        if (!open.isEmpty() && random.nextInt(20) == 0) {
-          end(watches, open.get(random.nextInt(open.size())));
-        }
-        pass(watches, 50 * MS);
-      }
+      WatchScheduler scheduler = started(seed);
+      long reachableAt = (1 + random.nextInt(200)) * 100 * MS;
+      failUntil(reachableAt, scheduler, random);
       int before = opened;
       while (opened == before) {
-        pass(watches, 10 * MS);
-        assertTrue(now - back < TOLD, "seed " + seed + ": nobody was asked");
+        pass(scheduler, 10 * MS);
+        assertTrue(now - reachableAt < MAX_LIST_AGE, "seed " + seed + ": nobody was asked");
       }
-      worst = Math.max(worst, now - back);
+      worstNanos = Math.max(worstNanos, now - reachableAt);
     }
     assertTrue(
-        worst <= WatchScheduler.SILENCE + WatchScheduler.LOOK,
-        "asked again after " + worst / MS + " ms");
+        worstNanos
+            <= WatchScheduler.WATCH_SILENCE_TIMEOUT_NANOS + WatchScheduler.POLL_INTERVAL_NANOS,
+        "polled after " + worstNanos / MS + " ms");
     assertTrue(
-        WatchScheduler.SILENCE + WatchScheduler.ANSWER + WatchScheduler.LOOK + 1_500 * MS < TOLD,
-        "no room for a loop that stands still");
+        WatchScheduler.WATCH_SILENCE_TIMEOUT_NANOS
+                + WatchScheduler.WATCH_RESPONSE_TIMEOUT_NANOS
+                + WatchScheduler.POLL_INTERVAL_NANOS
+                + 1_500 * MS
+            < MAX_LIST_AGE,
+        "no room for an event-loop stall");
+  }
+
+  private void failUntil(long reachableAt, WatchScheduler scheduler, SplittableRandom random) {
+    int seen = 0;
+    while (now < reachableAt) {
+      if (opened > seen) {
+        seen = opened;
+        WatchScheduler.Watch watch = last();
+        Fault fault = Fault.values()[random.nextInt(4)];
+        if (fault == Fault.REFUSES) {
+          end(scheduler, watch);
+        } else if (fault == Fault.RESPONDS_ONCE) {
+          scheduler.eventReceived(now, watch);
+        }
+      }
+      if (!open.isEmpty() && random.nextInt(20) == 0) {
+        end(scheduler, open.get(random.nextInt(open.size())));
+      }
+      pass(scheduler, 50 * MS);
+    }
   }
 
   /**
-   * A call that hung was once waited for to the end of its 5 s, with up to 2 s more before the
+   * A watch that hung was once waited for to the end of its 5 s, with up to 2 s more before the
    * next.
    */
   @Test
-  void aWatchThatHangsIsNotWaitedFor() {
+  void aWatchWithoutAResponseIsNotWaitedFor() {
     for (long seed = 1; seed <= 100; seed++) {
-      WatchScheduler watches = begun(seed);
+      WatchScheduler scheduler = started(seed);
       for (int call = 1; call < 20; call++) {
         assertTrue(opened >= call, "seed " + seed);
-        pass(watches, WatchScheduler.ANSWER + WatchScheduler.LOOK);
+        pass(
+            scheduler,
+            WatchScheduler.WATCH_RESPONSE_TIMEOUT_NANOS + WatchScheduler.POLL_INTERVAL_NANOS);
       }
       // Whichever speaks first is followed, were it the first of them.
       WatchScheduler.Watch first = open.get(0);
-      assertTrue(watches.heard(now, first));
+      assertTrue(scheduler.eventReceived(now, first));
       assertEquals(List.of(first), open);
     }
   }
 
   @Test
-  void aWatchThatFallsSilentIsReplacedAndHeardUntilThen() {
-    WatchScheduler watches = begun(3);
+  void aSilentWatchIsReplacedAndItsEventsAcceptedUntilThen() {
+    WatchScheduler scheduler = started(3);
     WatchScheduler.Watch old = last();
-    assertTrue(watches.heard(now, old));
-    pass(watches, WatchScheduler.SILENCE - 1);
+    assertTrue(scheduler.eventReceived(now, old));
+    pass(scheduler, WatchScheduler.WATCH_SILENCE_TIMEOUT_NANOS - 1);
     assertEquals(1, opened);
-    pass(watches, WatchScheduler.LOOK + 1);
+    pass(scheduler, WatchScheduler.POLL_INTERVAL_NANOS + 1);
     assertEquals(2, opened);
     WatchScheduler.Watch next = last();
     // The old one was only slow: then it is as good as any.
-    assertTrue(watches.takes(now, old, 6, false));
+    assertTrue(scheduler.listReceived(now, old, 6, false));
     assertEquals(List.of(old), open);
-    assertFalse(watches.heard(now, next), "what was closed says nothing any more");
-    pass(watches, WatchScheduler.SILENCE + WatchScheduler.LOOK);
+    assertFalse(scheduler.eventReceived(now, next), "what was closed says nothing any more");
+    pass(
+        scheduler, WatchScheduler.WATCH_SILENCE_TIMEOUT_NANOS + WatchScheduler.POLL_INTERVAL_NANOS);
     next = last();
-    assertTrue(watches.takes(now, next, 7, false));
+    assertTrue(scheduler.listReceived(now, next, 7, false));
     assertFalse(
-        watches.takes(now, old, 6, false),
+        scheduler.listReceived(now, old, 6, false),
         "a late line of the old watch would bring back an older list");
-    assertEquals(7, watches.revision());
+    assertEquals(7, scheduler.revision());
   }
 
   /** Both orders of a late line of the old address and the first one of the new. */
   @Test
-  void afterAMoveTheOldAddressIsHeardUntilTheNewOneSpeaks() {
+  void afterAChangeOfAddressTheOldOneIsAcceptedUntilTheNewOneResponds() {
     for (boolean oldFirst : new boolean[] {true, false}) {
-      WatchScheduler watches = begun(4);
+      WatchScheduler scheduler = started(4);
       WatchScheduler.Watch old = last();
-      assertTrue(watches.takes(now, old, 6, true));
-      watches.move(now);
+      assertTrue(scheduler.listReceived(now, old, 6, true));
+      scheduler.addressChanged(now);
       assertEquals(2, opened, "at once");
       WatchScheduler.Watch next = last();
       if (oldFirst) {
-        assertTrue(watches.takes(now, old, 7, false));
+        assertTrue(scheduler.listReceived(now, old, 7, false));
         assertTrue(open.contains(next), "the old address is no reason to leave the new one");
-        assertFalse(watches.sound(now));
+        assertFalse(scheduler.isResponsive(now));
       }
-      assertTrue(watches.takes(now, next, 8, true));
-      assertFalse(watches.takes(now, old, 9, false));
+      assertTrue(scheduler.listReceived(now, next, 8, true));
+      assertFalse(scheduler.listReceived(now, old, 9, false));
       assertEquals(List.of(next), open);
-      assertEquals(8, watches.revision());
+      assertEquals(8, scheduler.revision());
     }
   }
 
   @Test
-  void anOlderListIsNotTakenAndAskedForAgain() {
-    WatchScheduler watches = begun(5);
+  void aStaleListIsNotAppliedAndPolledForAgain() {
+    WatchScheduler scheduler = started(5);
     WatchScheduler.Watch stale = last();
-    assertFalse(watches.takes(now, stale, 4, true));
+    assertFalse(scheduler.listReceived(now, stale, 4, true));
     assertFalse(stale.isOpen());
-    pass(watches, 200 * MS);
+    pass(scheduler, 200 * MS);
     assertEquals(2, opened);
     assertTrue(
-        watches.takes(now, last(), 5, true),
+        scheduler.listReceived(now, last(), 5, true),
         "the same again tells nothing new, and that the watch is sound");
-    assertFalse(watches.takes(now, last(), 4, false), "nor in the midst of a watch");
+    assertFalse(scheduler.listReceived(now, last(), 4, false), "nor in the midst of a watch");
     assertTrue(last().isOpen());
-    assertEquals(5, watches.revision());
+    assertEquals(5, scheduler.revision());
     // Quiet for however long: what is older is older.
     for (int i = 0; i < 100; i++) {
-      pass(watches, 1_000 * MS);
-      watches.heard(now, last());
+      pass(scheduler, 1_000 * MS);
+      scheduler.eventReceived(now, last());
     }
-    end(watches, last());
-    pass(watches, 200 * MS);
-    assertFalse(watches.takes(now, last(), 4, true));
+    end(scheduler, last());
+    pass(scheduler, 200 * MS);
+    assertFalse(scheduler.listReceived(now, last(), 4, true));
   }
 
   /** Else a discovery that lost its revisions would never be heard again. */
   @Test
-  void aDiscoveryThatBeganAnewIsFollowedInTheEnd() {
-    WatchScheduler watches = begun(6);
+  void aDiscoveryThatRestartedItsRevisionsIsFollowedInTheEnd() {
+    WatchScheduler scheduler = started(6);
     long since = now;
-    while (!watches.takes(now, last(), 1, true)) {
+    while (!scheduler.listReceived(now, last(), 1, true)) {
       int before = opened;
       while (opened == before) {
-        pass(watches, 10 * MS);
+        pass(scheduler, 10 * MS);
       }
     }
-    assertEquals(1, watches.revision());
+    assertEquals(1, scheduler.revision());
     assertTrue(
-        now - since >= WatchScheduler.OUTDATED
-            && now - since < WatchScheduler.OUTDATED + 2_000 * MS);
+        now - since >= WatchScheduler.STALE_LIST_TIMEOUT_NANOS
+            && now - since < WatchScheduler.STALE_LIST_TIMEOUT_NANOS + 2_000 * MS);
   }
 
   @Test
-  void anEmptyLineOfASoundWatchEndsTheBackOffAndNodesDoNotAskTogether() {
+  void aKeepAliveResetsTheBackoffAndNodesDoNotPollTogether() {
     List<Long> spans = new ArrayList<>();
     for (long seed = 1; seed <= 20; seed++) {
-      WatchScheduler watches = begun(seed);
+      WatchScheduler scheduler = started(seed);
       for (int i = 0; i < 10; i++) {
         int before = opened;
-        end(watches, last());
+        end(scheduler, last());
         while (opened == before) {
-          pass(watches, MS);
+          pass(scheduler, MS);
         }
       }
-      watches.heard(now, last());
+      scheduler.eventReceived(now, last());
       long since = now;
-      end(watches, last());
+      end(scheduler, last());
       while (open.isEmpty()) {
-        pass(watches, MS);
+        pass(scheduler, MS);
       }
       assertTrue(
-          now - since <= WatchScheduler.FIRST_BACKOFF,
+          now - since <= WatchScheduler.INITIAL_BACKOFF_NANOS,
           "waited " + (now - since) / MS + " ms after a sound watch");
       spans.add(now - since);
     }
