--- a/testbed/src/main/java/edgegateway/testbed/checker/package-info.java
+++ b/testbed/src/main/java/edgegateway/testbed/checker/package-info.java
@@ -1,4 +1,5 @@
 /**
- * Judges a play by the rules, from what was seen at its edges alone ({@code docs/design/lab.md}).
+ * Judges a play by the rules, from what was seen at its edges alone ({@code
+ * docs/design/testbed.md}).
  */
 package edgegateway.testbed.checker;
--- a/testbed/src/main/java/edgegateway/testbed/cli/RunCommand.java
+++ b/testbed/src/main/java/edgegateway/testbed/cli/RunCommand.java
@@ -57,7 +57,7 @@
           Files.createDirectories(
                   out != null
                       ? out
-                      : Path.of("target", "lab", scenario.name() + "-" + scenario.seed()))
+                      : Path.of("target", "testbed", scenario.name() + "-" + scenario.seed()))
               .toRealPath();
       RunResult result =
           ScenarioRun.of(scenario, DeployFile.read(root.toRealPath()), folder, System.out::println);
--- a/testbed/src/main/java/edgegateway/testbed/cli/ScaleReportCommand.java
+++ b/testbed/src/main/java/edgegateway/testbed/cli/ScaleReportCommand.java
@@ -23,7 +23,7 @@
     description = "Prints the tables of results in Markdown.")
 final class ScaleReportCommand implements Callable<Integer> {
   /** Between these lines of a page the tables stand. */
-  static final String BEGIN = "<!-- tables of lab scale report -->";
+  static final String BEGIN = "<!-- tables of testbed scale report -->";
 
   static final String END = "<!-- end of tables -->";
 
--- a/testbed/src/main/java/edgegateway/testbed/cli/TestbedCommand.java
+++ b/testbed/src/main/java/edgegateway/testbed/cli/TestbedCommand.java
@@ -5,7 +5,7 @@
 
 /** Plays fleets of edge nodes. */
 @Command(
-    name = "lab",
+    name = "testbed",
     mixinStandardHelpOptions = true,
     description = "Plays fleets of edge nodes, with faults between them.",
     subcommands = {
--- a/testbed/src/main/java/edgegateway/testbed/fakes/package-info.java
+++ b/testbed/src/main/java/edgegateway/testbed/fakes/package-info.java
@@ -1,5 +1,5 @@
 /**
  * Stand-ins for what an edge node speaks with, written from the protocol ({@code
- * docs/design/lab.md}).
+ * docs/design/testbed.md}).
  */
 package edgegateway.testbed.fakes;
--- a/testbed/src/main/java/edgegateway/testbed/fleet/package-info.java
+++ b/testbed/src/main/java/edgegateway/testbed/fleet/package-info.java
@@ -1,5 +1,5 @@
 /**
  * A fleet of real edge nodes among stand-ins, with a link between every two that speak ({@code
- * docs/design/lab.md}).
+ * docs/design/testbed.md}).
  */
 package edgegateway.testbed.fleet;
--- a/testbed/src/main/java/edgegateway/testbed/network/package-info.java
+++ b/testbed/src/main/java/edgegateway/testbed/network/package-info.java
@@ -1,5 +1,5 @@
 /**
  * The links between the parties of a fleet, and what is wrong with them ({@code
- * docs/design/lab.md}).
+ * docs/design/testbed.md}).
  */
 package edgegateway.testbed.network;
--- a/testbed/src/main/java/edgegateway/testbed/scale/CapacityTables.java
+++ b/testbed/src/main/java/edgegateway/testbed/scale/CapacityTables.java
@@ -218,7 +218,7 @@
                     String.join(
                         " | ",
                         one.date(),
-                        "`lab " + one.command() + "`",
+                        "`testbed " + one.command() + "`",
                         side.name().toLowerCase(Locale.ROOT),
                         String.join(", ", seeds.keySet()),
                         String.join("; ", all)))
--- a/testbed/src/main/java/edgegateway/testbed/scale/sockets/MachineCapacity.java
+++ b/testbed/src/main/java/edgegateway/testbed/scale/sockets/MachineCapacity.java
@@ -75,7 +75,7 @@
         (size.realRequestsPerS() > 0 ? size.real() : 0)
             + (size.hollowRequestsPerS() > 0 ? size.hollow() : 0);
     refuse(
-        "descriptors of the lab's process",
+        "descriptors of the testbed's process",
         PROCESS + CONTROL * (size.real() + size.hollow()) + LOADED * loaded,
         descriptors,
         "");
--- a/testbed/src/main/java/edgegateway/testbed/scenario/package-info.java
+++ b/testbed/src/main/java/edgegateway/testbed/scenario/package-info.java
@@ -1,2 +1,2 @@
-/** Scenarios: what is played, and playing it ({@code docs/design/lab.md}). */
+/** Scenarios: what is played, and playing it ({@code docs/design/testbed.md}). */
 package edgegateway.testbed.scenario;
--- a/testbed/src/main/java/edgegateway/testbed/workload/package-info.java
+++ b/testbed/src/main/java/edgegateway/testbed/workload/package-info.java
@@ -1,2 +1,2 @@
-/** What clients ask for, drawn ahead from a seed ({@code docs/design/lab.md}). */
+/** What clients ask for, drawn ahead from a seed ({@code docs/design/testbed.md}). */
 package edgegateway.testbed.workload;
--- a/testbed/src/test/java/edgegateway/testbed/cli/CapacityPageTest.java
+++ b/testbed/src/test/java/edgegateway/testbed/cli/CapacityPageTest.java
@@ -37,7 +37,7 @@
     assertEquals(
         Files.readString(copy),
         Files.readString(PAGE),
-        "write the page anew: lab scale report testbed/scale/results/* --page docs/CAPACITY.md");
+        "write the page anew: testbed scale report testbed/scale/results/* --page docs/CAPACITY.md");
   }
 
   @Test
--- a/testbed/src/test/java/edgegateway/testbed/scale/sockets/SocketScaleRunTest.java
+++ b/testbed/src/test/java/edgegateway/testbed/scale/sockets/SocketScaleRunTest.java
@@ -89,7 +89,7 @@
                 IllegalArgumentException.class,
                 () -> fit.check(new SocketsSize(3, 50, 0, 200, 70, 0, null)))
             .getMessage();
-    assertEquals("descriptors of the lab's process: 2124 wanted, 1000 is the most here", more);
+    assertEquals("descriptors of the testbed's process: 2124 wanted, 1000 is the most here", more);
     String servers =
         assertThrows(
                 IllegalArgumentException.class,
