--- /dev/null
+++ b/edge/src/main/java/edgegateway/protocol/InvalidSettingException.java
@@ -0,0 +1,18 @@
+package edgegateway.protocol;
+
+/** A setting that cannot be used; the message is one line that names it. */
+public final class InvalidSettingException extends IllegalArgumentException {
+  private static final long serialVersionUID = 1L;
+
+  private InvalidSettingException(String message) {
+    super(message);
+  }
+
+  static InvalidSettingException notANumber(String path) {
+    return new InvalidSettingException(path + " is not a number");
+  }
+
+  static InvalidSettingException notAPair(String text) {
+    return new InvalidSettingException("'" + text + "' is not path=value");
+  }
+}
--- a/edge/src/main/java/edgegateway/protocol/PolicySettingsReader.java
+++ b/edge/src/main/java/edgegateway/protocol/PolicySettingsReader.java
@@ -12,11 +12,12 @@
 import java.util.HashMap;
 import java.util.List;
 import java.util.Map;
+import java.util.function.Function;
 
 /**
- * Turns path=value pairs into {@link PolicySettings}; unknown paths are ignored. The simulator's
- * wire and the real edge node's configuration share it, so that both run the module on the same
- * reading of the same names.
+ * Reads {@link PolicySettings} from pairs of path and value; unknown paths are ignored. The
+ * simulator's wire and the node's configuration share it. The paths are those of {@link
+ * SettingKeys}.
  */
 public final class PolicySettingsReader {
   private final Map<String, String> pairs;
@@ -25,94 +26,136 @@
     this.pairs = pairs;
   }
 
-  /** Reads the pairs that stand on a line of the wire, from part {@code from} on. */
-  public static PolicySettings read(String[] parts, int from) {
+  /**
+   * Reads the settings from the words of a line of the simulator's wire.
+   *
+   * @param words the words of the line
+   * @param from index of the first {@code path=value}
+   * @throws InvalidSettingException if a word is no such pair or a number cannot be read
+   */
+  public static PolicySettings read(String[] words, int from) {
     Map<String, String> pairs = new HashMap<>();
-    for (int i = from; i < parts.length; i++) {
-      int equals = parts[i].indexOf('=');
+    for (int i = from; i < words.length; i++) {
+      int equals = words[i].indexOf('=');
       if (equals < 1) {
-        throw new IllegalArgumentException("'" + parts[i] + "' is not path=value");
+        throw InvalidSettingException.notAPair(words[i]);
       }
-      pairs.put(parts[i].substring(0, equals), parts[i].substring(equals + 1));
+      pairs.put(words[i].substring(0, equals), words[i].substring(equals + 1));
     }
     return read(pairs);
   }
 
   /**
-   * Reads pairs; a list of objects has its length under {@code .count}, plain values are joined by
-   * commas.
+   * Reads the settings from pairs of path and value. A list of objects has its length under {@code
+   * <list>.count} and its elements under {@code <list>.<index>.}; plain values of a list are
+   * separated by commas.
+   *
+   * @throws InvalidSettingException if a number cannot be read
    */
   public static PolicySettings read(Map<String, String> pairs) {
     return new PolicySettingsReader(pairs).settings();
   }
 
   private PolicySettings settings() {
-    List<RequestClass> classes = new ArrayList<>();
-    for (int i = 0; i < whole("classes.count"); i++) {
-      String at = "classes." + i + ".";
-      classes.add(
-          new RequestClass(
-              whole(at + "aim-ns"),
-              whole(at + "deadline-ns"),
-              switch (text(at + "idempotency")) {
-                case "retryable" -> Idempotency.IDEMPOTENT;
-                case "dedup" -> Idempotency.KEYED;
-                default -> Idempotency.NOT_IDEMPOTENT;
-              },
-              switch (text(at + "group")) {
-                case "all" -> DeduplicationScope.ALL;
-                case "zone" -> DeduplicationScope.ZONE;
-                default -> DeduplicationScope.CELL;
-              },
-              whole(at + "key-ttl-ns"),
-              number(at + "late-value"),
-              number(at + "worth")));
-    }
-    List<QuotaPlan> plans = new ArrayList<>();
-    for (int i = 0; i < whole("tariffs.count"); i++) {
-      String at = "tariffs." + i + ".";
-      plans.add(
-          new QuotaPlan(
-              number(at + "units-per-s"),
-              number(at + "peak-units"),
-              (int) whole(at + "at-once"),
-              number(at + "price"),
-              number(at + "beyond-earns"),
-              number(at + "beyond-costs"),
-              number(at + "hard-rate"),
-              number(at + "hard-burst"),
-              number(at + "hard-slack")));
-    }
-    String names = text("load-info.names");
+    List<RequestClass> requestClasses = list(SettingKeys.RequestClasses.LIST, this::requestClass);
+    List<QuotaPlan> quotaPlans = list(SettingKeys.QuotaPlans.LIST, this::quotaPlan);
     return new PolicySettings(
-        (int) whole("my-number"),
-        (int) Math.max(1, whole("siblings")),
-        (int) whole("my-zone"),
-        whole("tick-ns"),
-        !text("weights").equals("off"),
-        text("load-info.source").equals("off") || names.isEmpty() || names.equals("-")
-            ? List.of()
-            : List.of(names.split(",")),
-        List.copyOf(classes),
-        List.copyOf(plans),
-        new RequestLimits(
-            (int) whole("caps.max-attempts"),
-            (int) whole("caps.max-open"),
-            flag("caps.probes"),
-            flag("caps.retry-after"),
-            whole("caps.max-retry-after-ns"),
-            text("discovery").equals("subscribe")),
-        new CounterSettings(
-            flag("domain.has-counter"),
-            whole("domain.count-wait-ns"),
-            flag("domain.trued-up"),
-            number("domain.units-top")),
-        new PlatformRules(
-            whole("rules.answer-slack-ns"),
-            number("rules.cold-from"),
-            whole("rules.ramp-time-ns"),
-            number("rules.overload-factor"),
-            whole("rules.tip-after-ns")));
+        integer(SettingKeys.NODE_INDEX),
+        (int) Math.max(1, whole(SettingKeys.NODE_COUNT)),
+        integer(SettingKeys.LOCAL_ZONE),
+        whole(SettingKeys.TICK_NANOS),
+        !text(SettingKeys.ENDPOINT_WEIGHTS).equals(SettingKeys.OFF),
+        loadReportNames(),
+        requestClasses,
+        quotaPlans,
+        limits(),
+        counter(),
+        rules());
+  }
+
+  /** The elements of a list of objects, each read at its prefix {@code <list>.<index>.}. */
+  private <T> List<T> list(String key, Function<String, T> element) {
+    List<T> elements = new ArrayList<>();
+    for (int index = 0; index < whole(key + SettingKeys.COUNT_SUFFIX); index++) {
+      elements.add(element.apply(key + "." + index + "."));
+    }
+    return List.copyOf(elements);
+  }
+
+  private RequestClass requestClass(String prefix) {
+    return new RequestClass(
+        whole(prefix + SettingKeys.RequestClasses.LATENCY_OBJECTIVE_NANOS),
+        whole(prefix + SettingKeys.RequestClasses.DEADLINE_NANOS),
+        idempotency(text(prefix + SettingKeys.RequestClasses.IDEMPOTENCY)),
+        deduplicationScope(text(prefix + SettingKeys.RequestClasses.DEDUPLICATION_SCOPE)),
+        whole(prefix + SettingKeys.RequestClasses.IDEMPOTENCY_KEY_WINDOW_NANOS),
+        number(prefix + SettingKeys.RequestClasses.LATE_VALUE_FRACTION),
+        number(prefix + SettingKeys.RequestClasses.PRIORITY_WEIGHT));
+  }
+
+  private static Idempotency idempotency(String value) {
+    return switch (value) {
+      case SettingKeys.RequestClasses.IDEMPOTENT -> Idempotency.IDEMPOTENT;
+      case SettingKeys.RequestClasses.KEYED -> Idempotency.KEYED;
+      default -> Idempotency.NOT_IDEMPOTENT;
+    };
+  }
+
+  private static DeduplicationScope deduplicationScope(String value) {
+    return switch (value) {
+      case SettingKeys.RequestClasses.SCOPE_ALL -> DeduplicationScope.ALL;
+      case SettingKeys.RequestClasses.SCOPE_ZONE -> DeduplicationScope.ZONE;
+      default -> DeduplicationScope.CELL;
+    };
+  }
+
+  private QuotaPlan quotaPlan(String prefix) {
+    return new QuotaPlan(
+        number(prefix + SettingKeys.QuotaPlans.UNITS_PER_SECOND),
+        number(prefix + SettingKeys.QuotaPlans.BURST_UNITS),
+        integer(prefix + SettingKeys.QuotaPlans.MAX_CONCURRENT_ATTEMPTS),
+        number(prefix + SettingKeys.QuotaPlans.PRICE_FACTOR),
+        number(prefix + SettingKeys.QuotaPlans.OVER_QUOTA_VALUE_FRACTION),
+        number(prefix + SettingKeys.QuotaPlans.OVER_QUOTA_COST_FRACTION),
+        number(prefix + SettingKeys.QuotaPlans.CEILING_UNITS_PER_SECOND),
+        number(prefix + SettingKeys.QuotaPlans.CEILING_BURST_UNITS),
+        number(prefix + SettingKeys.QuotaPlans.CEILING_SLACK_UNITS));
+  }
+
+  private List<String> loadReportNames() {
+    String names = text(SettingKeys.LoadReport.NAMES);
+    boolean none =
+        text(SettingKeys.LoadReport.SOURCE).equals(SettingKeys.OFF)
+            || names.isEmpty()
+            || names.equals(SettingKeys.ABSENT);
+    return none ? List.of() : List.of(names.split(","));
+  }
+
+  private RequestLimits limits() {
+    return new RequestLimits(
+        integer(SettingKeys.Limits.MAX_ATTEMPTS),
+        integer(SettingKeys.Limits.MAX_IN_FLIGHT),
+        flag(SettingKeys.Limits.HEALTH_CHECKS_ALLOWED),
+        flag(SettingKeys.Limits.RETRY_AFTER_ALLOWED),
+        whole(SettingKeys.Limits.MAX_RETRY_AFTER_NANOS),
+        text(SettingKeys.DISCOVERY).equals(SettingKeys.DISCOVERY_SUBSCRIBE));
+  }
+
+  private CounterSettings counter() {
+    return new CounterSettings(
+        flag(SettingKeys.Counter.PRESENT),
+        whole(SettingKeys.Counter.TIMEOUT_NANOS),
+        flag(SettingKeys.Counter.REPORTS_TRUE_UNITS),
+        number(SettingKeys.Counter.MAX_REQUEST_UNITS));
+  }
+
+  private PlatformRules rules() {
+    return new PlatformRules(
+        whole(SettingKeys.Rules.ANSWER_SLACK_NANOS),
+        number(SettingKeys.Rules.SLOW_START_INITIAL_FRACTION),
+        whole(SettingKeys.Rules.SLOW_START_NANOS),
+        number(SettingKeys.Rules.OVERLOAD_FACTOR),
+        whole(SettingKeys.Rules.OVERLOAD_NANOS));
   }
 
   private String text(String path) {
@@ -123,19 +166,23 @@
     return text(path).equals("true") || text(path).equals("1");
   }
 
+  private int integer(String path) {
+    return (int) whole(path);
+  }
+
   private long whole(String path) {
     return Math.round(number(path));
   }
 
   private double number(String path) {
     String value = text(path);
-    if (value.isEmpty() || value.equals("-")) {
+    if (value.isEmpty() || value.equals(SettingKeys.ABSENT)) {
       return 0;
     }
     try {
       return Double.parseDouble(value);
     } catch (NumberFormatException e) {
-      throw new IllegalArgumentException(path + " is not a number");
+      throw InvalidSettingException.notANumber(path);
     }
   }
 }
