--- a/edge/src/main/java/edgegateway/simulator/MalformedInputException.java
+++ b/edge/src/main/java/edgegateway/simulator/MalformedInputException.java
@@ -1,16 +1,16 @@
 package edgegateway.simulator;
 
-/** Input that is not of the wire; the message names the line and what is wrong with it. */
+/** Input that is not of the wire; the message gives the line, its number and what is wrong. */
 final class MalformedInputException extends Exception {
   private static final long serialVersionUID = 1L;
 
-  MalformedInputException(long lineNumber, String line, String why) {
-    super(
-        "line "
-            + lineNumber
-            + ": "
-            + why
-            + ": "
-            + (line.length() > 200 ? line.substring(0, 200) : line));
+  private static final int MAX_QUOTED_CHARS = 200;
+
+  MalformedInputException(long lineNumber, String line, String reason) {
+    super("line " + lineNumber + ": " + reason + ": " + quoted(line));
+  }
+
+  private static String quoted(String line) {
+    return line.length() > MAX_QUOTED_CHARS ? line.substring(0, MAX_QUOTED_CHARS) : line;
   }
 }
--- a/edge/src/main/java/edgegateway/simulator/WireReader.java
+++ b/edge/src/main/java/edgegateway/simulator/WireReader.java
@@ -5,7 +5,6 @@
 import edgegateway.policy.api.Endpoint;
 import edgegateway.policy.api.EndpointListKind;
 import edgegateway.policy.api.EndpointState;
-import edgegateway.policy.api.Outcome;
 import edgegateway.policy.api.Request;
 import edgegateway.protocol.PolicySettingsReader;
 import java.io.BufferedReader;
@@ -16,215 +15,188 @@
 import java.util.Map;
 
 /**
- * Reads batches of the wire, hands each event to the gateway concerned and has the reply written.
+ * Reads batches of events from the wire, hands each event to the policy of its node and has the
+ * reply to each batch written. The values of each event are listed in {@link SimulatorWire.Events}.
  */
 final class WireReader {
   private final BufferedReader in;
   private final WireWriter out;
-  private final Map<Integer, GatewayPolicy> gateways = new HashMap<>();
+  private final Map<Integer, GatewayPolicy> policies = new HashMap<>();
   private long lineNumber;
-  private String line = "";
-  private String[] parts = {};
-  private long now;
+
+  /** The line read last. */
+  private WireLine line = new WireLine(0, "");
+
+  /** Time of the present batch. */
+  private long nowNanos;
 
   WireReader(BufferedReader in, WireWriter out) {
     this.in = in;
     this.out = out;
   }
 
-  /** Plays batches until the input ends. */
+  /** Runs batches until the input ends. */
   void run() throws IOException, MalformedInputException {
-    while (next()) {
-      if (!parts[0].equals("mark")) {
-        throw malformed("a batch begins with 'mark'");
-      }
-      now = whole(1);
-      while (true) {
-        if (!next()) {
-          throw malformed("the input ends inside a batch, after");
-        }
-        if (parts[0].equals("commit")) {
-          break;
-        }
-        event();
+    while (readLine()) {
+      if (!line.firstWord().equals(SimulatorWire.BATCH_BEGIN)) {
+        throw line.malformed("a batch begins with '" + SimulatorWire.BATCH_BEGIN + "'");
       }
+      nowNanos = line.whole(1);
+      readEvents();
       out.flush();
     }
   }
 
-  private boolean next() throws IOException {
+  private void readEvents() throws IOException, MalformedInputException {
+    while (true) {
+      if (!readLine()) {
+        throw line.malformed("the input ends inside a batch, after");
+      }
+      if (line.firstWord().equals(SimulatorWire.BATCH_END)) {
+        return;
+      }
+      event();
+    }
+  }
+
+  /** Reads the next line; false, and the line stays, if the input has ended. */
+  private boolean readLine() throws IOException {
     String read = in.readLine();
     if (read == null) {
       return false;
     }
-    line = read;
     lineNumber++;
-    parts = line.split(" ");
-    if (parts.length == 0) {
-      parts = new String[] {""};
-    }
+    line = new WireLine(lineNumber, read);
     return true;
   }
 
   private void event() throws IOException, MalformedInputException {
-    int node = integer(1);
-    switch (parts[0]) {
-      case "start" -> {
-        long seed = whole(2);
-        try {
-          gateways.put(
-              node,
-              new GatewayPolicy(
-                  PolicySettingsReader.read(parts, 3), seed, now, out.actionsOf(node)));
-        } catch (IllegalArgumentException e) {
-          throw malformed("bad settings (" + e.getMessage() + ")");
-        }
-      }
-      case "retire" -> gateways.remove(node);
-      case "view" -> view(node);
-      case "ingress" ->
-          gateway(node)
-              .requestReceived(
-                  now,
-                  new Request(
-                      text(2),
-                      integer(3),
-                      integer(4),
-                      whole(5),
-                      whole(6),
-                      number(7),
-                      integer(8),
-                      integer(9),
-                      (whole(10) & 2) != 0));
-      case "resolved" ->
-          gateway(node)
-              .attemptEnded(
-                  now,
-                  new AttemptResult(
-                      text(2),
-                      outcome(3),
-                      whole(4),
-                      text(5),
-                      whole(6) != 0,
-                      integer(7),
-                      number(9),
-                      numbers(10)));
-      case "client_gone" -> gateway(node).clientDisconnected(now, text(2));
-      case "under_way" -> gateway(node).streamStarted(now, text(2));
-      case "count_result" -> gateway(node).counterReplied(now, whole(4), outcome(3), number(2));
-      case "probed" -> gateway(node).healthChecked(now, text(4), outcome(3), whole(2), numbers(5));
-      case "reminder" -> gateway(node).timerFired(now, whole(2));
-      case "memo" -> gateway(node);
-      default -> throw malformed("unknown event");
+    int node = line.integer(1);
+    switch (line.firstWord()) {
+      case SimulatorWire.Events.NODE_STARTED -> nodeStarted(node);
+      case SimulatorWire.Events.NODE_STOPPED -> policies.remove(node);
+      case SimulatorWire.Events.ENDPOINTS_UPDATED -> endpointsUpdated(node);
+      case SimulatorWire.Events.REQUEST_RECEIVED -> requestReceived(policy(node));
+      case SimulatorWire.Events.ATTEMPT_ENDED -> attemptEnded(policy(node));
+      case SimulatorWire.Events.CLIENT_DISCONNECTED ->
+          policy(node).clientDisconnected(nowNanos, line.text(2));
+      case SimulatorWire.Events.STREAM_STARTED ->
+          policy(node).streamStarted(nowNanos, line.text(2));
+      case SimulatorWire.Events.COUNTER_REPLIED -> counterReplied(policy(node));
+      case SimulatorWire.Events.HEALTH_CHECKED -> healthChecked(policy(node));
+      case SimulatorWire.Events.TIMER_FIRED -> policy(node).timerFired(nowNanos, line.whole(2));
+      case SimulatorWire.Events.PEER_MESSAGE -> policy(node);
+      default -> throw line.malformed("unknown event");
     }
   }
 
-  private void view(int node) throws IOException, MalformedInputException {
-    GatewayPolicy gateway = gateway(node);
-    EndpointListKind kind =
-        switch (integer(3)) {
-          case 0 -> EndpointListKind.FULL;
-          case 1 -> EndpointListKind.CACHED;
-          case 2 -> EndpointListKind.DELTA;
-          case 3 -> EndpointListKind.FAILED;
-          default -> throw malformed("unknown kind of list");
-        };
-    int count = integer(4);
-    List<Endpoint> entries = new ArrayList<>();
-    for (int i = 0; i < count; i++) {
-      if (!next() || !parts[0].equals("entry")) {
-        throw malformed("'entry' expected");
-      }
-      EndpointState readiness =
-          switch (integer(3)) {
-            case 0 -> EndpointState.REMOVED;
-            case 1 -> EndpointState.READY;
-            case 2 -> EndpointState.DRAINING;
-            default -> throw malformed("unknown readiness");
-          };
-      entries.add(
-          new Endpoint(
-              text(6), number(1), integer(2), integer(5), integer(7), readiness, whole(4)));
+  private GatewayPolicy policy(int node) throws MalformedInputException {
+    GatewayPolicy policy = policies.get(node);
+    if (policy == null) {
+      throw line.malformed("instance " + node + " was not started");
     }
-    gateway.endpointsUpdated(now, kind, entries);
+    return policy;
   }
 
-  private GatewayPolicy gateway(int node) throws MalformedInputException {
-    GatewayPolicy gateway = gateways.get(node);
-    if (gateway == null) {
-      throw malformed("instance " + node + " was not started");
+  private void nodeStarted(int node) throws MalformedInputException {
+    long seed = line.whole(2);
+    try {
+      policies.put(
+          node,
+          new GatewayPolicy(
+              PolicySettingsReader.read(line.words(), 3), seed, nowNanos, out.actionsOf(node)));
+    } catch (IllegalArgumentException e) {
+      throw line.malformed("bad settings (" + e.getMessage() + ")");
     }
-    return gateway;
   }
 
-  private Outcome outcome(int at) throws MalformedInputException {
-    return switch (text(at)) {
-      case "S" -> Outcome.OK;
-      case "E" -> Outcome.ERROR;
-      case "F" -> Outcome.REJECTED;
-      case "T" -> Outcome.TIMEOUT;
-      case "C" -> Outcome.CONNECT_FAILED;
-      case "R" -> Outcome.RESET;
-      case "X" -> Outcome.CANCELLED;
-      case "N" -> Outcome.NOT_SENT;
-      default -> throw malformed("unknown outcome");
-    };
+  private void endpointsUpdated(int node) throws IOException, MalformedInputException {
+    GatewayPolicy policy = policy(node);
+    EndpointListKind kind = listKind(line.integer(3));
+    int count = line.integer(4);
+    List<Endpoint> endpoints = new ArrayList<>();
+    for (int index = 0; index < count; index++) {
+      if (!readLine() || !line.firstWord().equals(SimulatorWire.Events.ENDPOINT)) {
+        throw line.malformed("'" + SimulatorWire.Events.ENDPOINT + "' expected");
+      }
+      endpoints.add(endpoint());
+    }
+    policy.endpointsUpdated(nowNanos, kind, endpoints);
   }
 
-  private String text(int at) throws MalformedInputException {
-    if (at >= parts.length || parts[at].isEmpty()) {
-      throw malformed("value " + at + " is missing");
-    }
-    return parts[at];
+  private EndpointListKind listKind(int kind) throws MalformedInputException {
+    return switch (kind) {
+      case SimulatorWire.ListKinds.FULL -> EndpointListKind.FULL;
+      case SimulatorWire.ListKinds.CACHED -> EndpointListKind.CACHED;
+      case SimulatorWire.ListKinds.DELTA -> EndpointListKind.DELTA;
+      case SimulatorWire.ListKinds.FAILED -> EndpointListKind.FAILED;
+      default -> throw line.malformed("unknown kind of list");
+    };
   }
 
-  private boolean absent(int at) throws MalformedInputException {
-    return text(at).equals("-");
+  private Endpoint endpoint() throws MalformedInputException {
+    EndpointState state = endpointState(line.integer(3));
+    String id = line.text(6);
+    double weight = line.number(1);
+    int zone = line.integer(2);
+    int cell = line.integer(5);
+    int machineType = line.integer(7);
+    long startedAtNanos = line.whole(4);
+    return new Endpoint(id, weight, zone, cell, machineType, state, startedAtNanos);
   }
 
-  private int integer(int at) throws MalformedInputException {
-    long value = whole(at);
-    if (value != (int) value) {
-      throw malformed("value " + at + " is out of range");
-    }
-    return (int) value;
+  private EndpointState endpointState(int state) throws MalformedInputException {
+    return switch (state) {
+      case SimulatorWire.EndpointStates.REMOVED -> EndpointState.REMOVED;
+      case SimulatorWire.EndpointStates.READY -> EndpointState.READY;
+      case SimulatorWire.EndpointStates.DRAINING -> EndpointState.DRAINING;
+      default -> throw line.malformed("unknown readiness");
+    };
   }
 
-  private long whole(int at) throws MalformedInputException {
-    try {
-      return absent(at) ? 0 : Long.parseLong(parts[at]);
-    } catch (NumberFormatException e) {
-      throw malformed("value " + at + " is not a whole number");
-    }
+  private void requestReceived(GatewayPolicy policy) throws MalformedInputException {
+    String id = line.text(2);
+    int requestClass = line.integer(3);
+    int plan = line.integer(4);
+    long customer = line.whole(5);
+    long deadlineNanos = line.whole(6);
+    double units = line.number(7);
+    int nodeCount = line.integer(8);
+    int firstNode = line.integer(9);
+    boolean clientRetry = (line.whole(10) & SimulatorWire.OPTION_CLIENT_RETRY) != 0;
+    policy.requestReceived(
+        nowNanos,
+        new Request(
+            id,
+            requestClass,
+            plan,
+            customer,
+            deadlineNanos,
+            units,
+            nodeCount,
+            firstNode,
+            clientRetry));
   }
 
-  private double number(int at) throws MalformedInputException {
-    try {
-      double value = absent(at) ? 0 : Double.parseDouble(parts[at]);
-      if (!Double.isFinite(value)) {
-        throw malformed("value " + at + " is not finite");
-      }
-      return value;
-    } catch (NumberFormatException e) {
-      throw malformed("value " + at + " is not a number");
-    }
+  private void attemptEnded(GatewayPolicy policy) throws MalformedInputException {
+    AttemptResult result =
+        new AttemptResult(
+            line.text(2),
+            line.outcome(3),
+            line.whole(4),
+            line.text(5),
+            line.whole(6) != 0,
+            line.integer(7),
+            line.number(9),
+            line.numbers(10));
+    policy.attemptEnded(nowNanos, result);
   }
 
-  private List<Double> numbers(int at) throws MalformedInputException {
-    List<Double> values = new ArrayList<>();
-    if (at < parts.length && !absent(at)) {
-      for (String value : parts[at].split(",")) {
-        try {
-          values.add(Double.parseDouble(value));
-        } catch (NumberFormatException e) {
-          throw malformed("value " + at + " is not a row of numbers");
-        }
-      }
-    }
-    return values;
+  private void counterReplied(GatewayPolicy policy) throws MalformedInputException {
+    policy.counterReplied(nowNanos, line.whole(4), line.outcome(3), line.number(2));
   }
 
-  private MalformedInputException malformed(String why) {
-    return new MalformedInputException(lineNumber, line, why);
+  private void healthChecked(GatewayPolicy policy) throws MalformedInputException {
+    policy.healthChecked(nowNanos, line.text(4), line.outcome(3), line.whole(2), line.numbers(5));
   }
 }
