--- a/edge/src/main/java/edgegateway/node/EdgeNode.java
+++ b/edge/src/main/java/edgegateway/node/EdgeNode.java
@@ -306,7 +306,7 @@
             return "never listed";
           }
           if (out) {
-            upstreamPool.leaveOut(server);
+            upstreamPool.endpointEjected(server);
           }
           endpointEjectionFile.write(policy.operatorEjectedEndpoints());
           updateMetrics();
@@ -430,7 +430,7 @@
     Set<String> out = endpointEjectionFile.changed();
     if (out != null) {
       event(null, now -> policy.restoreEjectedEndpoints(now, out));
-      out.forEach(upstreamPool::leaveOut);
+      out.forEach(upstreamPool::endpointEjected);
     }
     Set<String> zones = zoneEjectionFile.changed();
     if (zones != null) {
@@ -468,15 +468,15 @@
   private DescriptorBudget applyBudget(int processes) {
     budget =
         DescriptorBudget.of(
-            config.connections(), config.sockets(), processes, upstreamPool.listed());
+            config.connections(), config.sockets(), processes, upstreamPool.endpointCount());
     clients.bound(budget);
-    upstreamPool.bound(budget);
+    upstreamPool.applyBudget(budget);
     bufferedBodies.bound(budget);
     return budget;
   }
 
   private void updateMetrics() {
-    figures.servers(upstreamPool.listed(), policy.avoidedEndpoints().size());
+    figures.servers(upstreamPool.endpointCount(), policy.avoidedEndpoints().size());
     if (zoneEjection != null) {
       figures.zones(
           zoneEjection.agreement().zonesAway(),
@@ -525,7 +525,7 @@
   @Override
   public void endpointListReceived(NodeConfig.EndpointList roll, EndpointListKind kind) {
     long read = System.nanoTime();
-    upstreamPool.update(roll, kind != EndpointListKind.DELTA);
+    upstreamPool.updateEndpoints(roll, kind != EndpointListKind.DELTA);
     event(
         null,
         now -> {
--- a/edge/src/main/java/edgegateway/node/WarmUp.java
+++ b/edge/src/main/java/edgegateway/node/WarmUp.java
@@ -130,7 +130,7 @@
     client = new EmbeddedChannel(node.clients.handlers());
     for (NodeConfig.EndpointEntry member : config.known().entries()) {
       EmbeddedChannel server = new EmbeddedChannel(node.upstreamPool.handlers());
-      node.upstreamPool.lend(member.endpoint().id(), server);
+      node.upstreamPool.adopt(member.endpoint().id(), server);
       servers.add(server);
     }
   }
--- a/edge/src/main/java/edgegateway/node/clients/ClientHttpServer.java
+++ b/edge/src/main/java/edgegateway/node/clients/ClientHttpServer.java
@@ -220,7 +220,7 @@
    */
   private static final class RequestDecoder extends HttpRequestDecoder {
     RequestDecoder() {
-      super(new HttpDecoderConfig().setMaxChunkSize(UpstreamPool.MOST_BODY));
+      super(new HttpDecoderConfig().setMaxChunkSize(UpstreamPool.MAX_BUFFERED_BODY_BYTES));
     }
 
     /** Whether a request has begun that can't be told yet. */
@@ -688,14 +688,16 @@
         body =
             last && !piece.isReadable()
                 ? Unpooled.EMPTY_BUFFER
-                : channel.alloc().buffer((int) Math.min(UpstreamPool.MOST_BODY, length));
+                : channel
+                    .alloc()
+                    .buffer((int) Math.min(UpstreamPool.MAX_BUFFERED_BODY_BYTES, length));
       }
       body.writeBytes(piece);
       if (!holding.hold(body.capacity())) {
         turnAway();
         return;
       }
-      if (!last && body.readableBytes() <= UpstreamPool.MOST_BODY) {
+      if (!last && body.readableBytes() <= UpstreamPool.MAX_BUFFERED_BODY_BYTES) {
         return;
       }
       HttpRequest request = head;
--- /dev/null
+++ b/edge/src/main/java/edgegateway/node/upstream/ListedEndpoint.java
@@ -0,0 +1,19 @@
+package edgegateway.node.upstream;
+
+import edgegateway.node.config.NodeConfig;
+import edgegateway.node.connections.Upstream;
+import edgegateway.policy.api.EndpointState;
+
+/** An entry of the endpoint list, and the connections to it. */
+record ListedEndpoint(NodeConfig.EndpointEntry entry, Upstream upstream) {
+  /** Whether its connections stay of use by the new entry: it has not moved or restarted. */
+  boolean hasSameConnections(NodeConfig.EndpointEntry newEntry) {
+    return entry.address().equals(newEntry.address())
+        && entry.endpoint().startedAtNanos() == newEntry.endpoint().startedAtNanos()
+        && isReady() == (newEntry.endpoint().state() == EndpointState.READY);
+  }
+
+  boolean isReady() {
+    return entry.endpoint().state() == EndpointState.READY;
+  }
+}
--- a/edge/src/test/java/edgegateway/node/EdgeNodeTest.java
+++ b/edge/src/test/java/edgegateway/node/EdgeNodeTest.java
@@ -656,7 +656,7 @@
                         + list
                         + "\r\n"));
     EdgeNode node = node();
-    assertEquals(8_900, node.loop.submit(() -> node.upstreamPool.listed()).get());
+    assertEquals(8_900, node.loop.submit(() -> node.upstreamPool.endpointCount()).get());
     assertEquals(6, node.loop.submit(node::revision).get());
   }
 
@@ -678,7 +678,7 @@
       assertTrue(discovery.next().first().contains("after=5"));
     }
     assertEquals("200", ask(client(node), "t-1"));
-    assertEquals(1, node.loop.submit(() -> node.upstreamPool.listed()).get());
+    assertEquals(1, node.loop.submit(() -> node.upstreamPool.endpointCount()).get());
   }
 
   private static String longList(int entries, long revision) {
--- a/edge/src/test/java/edgegateway/node/LongBodyTest.java
+++ b/edge/src/test/java/edgegateway/node/LongBodyTest.java
@@ -358,7 +358,7 @@
               .submit(
                   () -> {
                     EmbeddedChannel server = new EmbeddedChannel(node.upstreamPool.handlers());
-                    node.upstreamPool.lend("s-0", server);
+                    node.upstreamPool.adopt("s-0", server);
                     EmbeddedChannel made = new EmbeddedChannel(node.clients.handlers());
                     made.pipeline()
                         .addFirst(
--- a/edge/src/test/java/edgegateway/node/RaceConditionsTest.java
+++ b/edge/src/test/java/edgegateway/node/RaceConditionsTest.java
@@ -90,7 +90,7 @@
 
   /** Chosen before the change, it once went out when a connection was free, however long after. */
   @Test
-  void anAttemptThatWaitsForAServerToldToLeaveGoesElsewhere() throws Exception {
+  void anAttemptWaitingForATerminatingEndpointGoesElsewhere() throws Exception {
     BlockingQueue<String> lines = telling();
     CompletableFuture<Void> go = new CompletableFuture<>();
     FakePeer leaves = held(go);
@@ -127,7 +127,7 @@
 
   /** What has not begun when its client leaves once began when a connection was free. */
   @Test
-  void anAttemptThatWaitsForItsConnectionIsNotMadeForAClientThatLeft() throws Exception {
+  void aWaitingAttemptIsNotSentForADisconnectedClient() throws Exception {
     CompletableFuture<Void> go = new CompletableFuture<>();
     FakePeer server = held(go);
     EdgeNode node = narrow(member("s-0", server.address(), "Ready", 0));
@@ -158,7 +158,7 @@
    * answered.
    */
   @Test
-  void anOldClientThatEndsItsSendingGetsWhatIsOnItsWayAndNoFurtherAttempt() throws Exception {
+  void anHttp10ClientThatHalfClosesGetsTheResponseInFlightAndNoFurtherAttempt() throws Exception {
     CompletableFuture<Void> go = new CompletableFuture<>();
     FakePeer server = held(go);
     EdgeNode node = narrow(member("s-0", server.address(), "Ready", 0));
@@ -179,7 +179,7 @@
 
   /** An attempt that failed is not made again for it, nor does it go without an answer. */
   @Test
-  void anOldClientIsToldOfTheLastAttemptsFailure() throws Exception {
+  void anHttp10ClientThatHalfClosesGetsTheLastAttemptsFailure() throws Exception {
     CompletableFuture<Void> go = new CompletableFuture<>();
     FakePeer server =
         peer(
@@ -211,7 +211,7 @@
    * once more.
    */
   @Test
-  void aRepeatWhoseConnectionComesTooLateIsNotSent() throws Exception {
+  void aRetryConnectedAfterTheIdempotencyKeyWindowIsNotSent() throws Exception {
     ServerSocket server = new ServerSocket(0, 1, InetAddress.getLoopbackAddress());
     toClose.add(server);
     String at = "127.0.0.1:" + server.getLocalPort();
@@ -261,7 +261,7 @@
 
   /** An attempt that timed out was still out when the next one began. */
   @Test
-  void theConnectionOfAnAttemptThatEndedIsClosedBeforeTheNextAttemptBegins() throws Exception {
+  void theConnectionOfAnEndedAttemptIsClosedBeforeTheNextBegins() throws Exception {
     EdgeNode node =
         start(
             config(
@@ -283,8 +283,8 @@
                       }
                     };
               }
-              node.upstreamPool.lend("s-0", servers[0]);
-              node.upstreamPool.lend("s-1", servers[1]);
+              node.upstreamPool.adopt("s-0", servers[0]);
+              node.upstreamPool.adopt("s-1", servers[1]);
               EmbeddedChannel client = new EmbeddedChannel(node.clients.handlers());
               StringBuilder text = new StringBuilder("GET /api HTTP/1.1\r\n");
               headers("t-1", "lookup", "20000")
@@ -309,7 +309,7 @@
    * its first moment.
    */
   @Test
-  void nobodyIsServedByTheOldListBeforeDiscoveryIsHeard() throws Exception {
+  void noClientIsServedByTheCachedListBeforeDiscoveryResponds() throws Exception {
     CompletableFuture<Void> go = new CompletableFuture<>();
     FakePeer leaves = peer(m -> m.answer(FakePeer.ok("", "leaves")));
     FakePeer stays = peer(m -> m.answer(FakePeer.ok("", "stays")));
@@ -362,7 +362,7 @@
    * close it.
    */
   @Test
-  void aSignalInTheMidstOfAStartEndsIt() throws Exception {
+  void aSignalDuringStartupEndsTheProcess() throws Exception {
     discovery = peer(m -> {});
     EdgeNode node = new EdgeNode(NodeConfig.parse(config()), null);
     toClose.add(node);
@@ -396,7 +396,7 @@
    * answer.
    */
   @Test
-  void anAnswerIsWholeThoughMoreCameInTheMomentOfTheClose() throws Exception {
+  void aResponseIsCompleteThoughMoreArrivesDuringTheClose() throws Exception {
     // All of it is with the system at once, and little of it with the client.
     String body = "x".repeat(8_000);
     BlockingQueue<CompletableFuture<Void>> goes = new LinkedBlockingQueue<>();
@@ -439,7 +439,7 @@
 
   /** Its end was the node's own doing, and no end of the answer. */
   @Test
-  void anAnswerOfNoLengthThatStopsIsNotPassedOnAsWhole() throws Exception {
+  void aStalledResponseWithoutLengthIsNotForwardedAsComplete() throws Exception {
     FakePeer server =
         peer(m -> m.answer("HTTP/1.1 200 OK\r\nConnection: close\r\n\r\n" + "x".repeat(200_000)));
     EdgeNode node = node(server);
@@ -455,7 +455,7 @@
    * request is not sent again.
    */
   @Test
-  void anAnswerCutAtAnyByteIsNoAnswer() throws Exception {
+  void aResponseCutAtAnyByteIsNoResponse() throws Exception {
     List<String> forms =
         List.of(
             "HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\nbody",
@@ -506,7 +506,7 @@
    * list, bind nobody.
    */
   @Test
-  void listsMayBeIndentedAndCutAndWatchesMayHang() throws Exception {
+  void listsMayBeIndentedAndSplitAndWatchesMayHang() throws Exception {
     FakePeer server = peer(m -> m.answer(FakePeer.ok("", "first")));
     FakePeer second = peer(m -> m.answer(FakePeer.ok("", "second")));
     BlockingQueue<Integer> calls = new LinkedBlockingQueue<>(List.of(0, 1, 2));
--- /dev/null
+++ b/edge/src/test/java/edgegateway/node/connections/ConnectBackoffTest.java
@@ -0,0 +1,58 @@
+package edgegateway.node.connections;
+
+import static org.junit.jupiter.api.Assertions.assertEquals;
+import static org.junit.jupiter.api.Assertions.assertFalse;
+import static org.junit.jupiter.api.Assertions.assertTrue;
+
+import java.util.SplittableRandom;
+import org.junit.jupiter.api.Test;
+
+/** Backoff and learned limit of one archive server, on a fake clock. */
+class ConnectBackoffTest {
+  private static final long MS = 1_000_000L;
+  private final ConnectBackoff backoff = new ConnectBackoff(new SplittableRandom(1));
+
+  @Test
+  void eachFailureDoublesTheWaitUpToOneSecond() {
+    long now = 0;
+    long baseNanos = 20 * MS;
+    for (int failures = 1; failures <= 20; failures++) {
+      assertTrue(backoff.allowsConnect(now));
+      backoff.connectFailed(now);
+      assertTrue(backoff.isFailing());
+      assertFalse(backoff.allowsConnect(now + baseNanos / 2 - 1), "failure " + failures);
+      assertTrue(backoff.allowsConnect(now + baseNanos), "failure " + failures);
+      now += baseNanos;
+      baseNanos = Math.min(1_000 * MS, 2 * baseNanos);
+    }
+  }
+
+  @Test
+  void aSuccessEndsTheDoubling() {
+    backoff.connectFailed(0);
+    backoff.connectFailed(100 * MS);
+    backoff.connected();
+    assertFalse(backoff.isFailing());
+    backoff.connectFailed(1_000 * MS);
+    assertTrue(backoff.allowsConnect(1_020 * MS));
+  }
+
+  @Test
+  void aLackOfDescriptorsIsAShortWaitAndNoFailure() {
+    backoff.descriptorsExhausted(0);
+    assertFalse(backoff.isFailing());
+    assertFalse(backoff.allowsConnect(20 * MS - 1));
+    assertTrue(backoff.allowsConnect(20 * MS));
+  }
+
+  @Test
+  void aLearnedLimitGrowsByOneEachPeriod() {
+    LearnedConnectionLimit limit = new LearnedConnectionLimit();
+    assertEquals(Integer.MAX_VALUE, limit.current(10_000 * MS));
+    limit.refusedBeyond(3, 10_000 * MS);
+    assertEquals(3, limit.current(12_000 * MS));
+    assertEquals(4, limit.current(12_001 * MS));
+    assertEquals(4, limit.current(14_001 * MS));
+    assertEquals(5, limit.current(14_002 * MS));
+  }
+}
--- a/edge/src/test/java/edgegateway/node/connections/UpstreamConnectionTableTest.java
+++ b/edge/src/test/java/edgegateway/node/connections/UpstreamConnectionTableTest.java
@@ -7,9 +7,6 @@
 import static org.junit.jupiter.api.Assertions.assertSame;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import edgegateway.node.connections.UpstreamConnectionTable.Failure;
-import edgegateway.node.connections.UpstreamConnectionTable.Upstream;
-import edgegateway.node.connections.UpstreamConnectionTable.UpstreamConnection;
 import java.util.ArrayList;
 import java.util.HashMap;
 import java.util.List;
@@ -29,15 +26,15 @@
   private long now = 7_000_000 * MS;
   private final UpstreamConnectionTable servers =
       new UpstreamConnectionTable(
-          new UpstreamConnectionTable.Host() {
+          new UpstreamTransport() {
             @Override
             public void connect(UpstreamConnection link) {
-              link.carrier(() -> closed.add(link));
+              link.attachTransport(() -> closed.add(link));
               dialed.add(link);
             }
 
             @Override
-            public void later(Upstream target, long span) {
+            public void scheduleConnect(Upstream target, long span) {
               later.add(target);
             }
           },
@@ -50,23 +47,23 @@
   }
 
   private void bound(int all, int each) {
-    servers.bound(new DescriptorBudget(1, 1, all, each, 1, 1, 1, List.of()));
+    servers.applyBudget(new DescriptorBudget(1, 1, all, each, 1, 1, 1, List.of()));
   }
 
   /** An attempt: what it was told. */
-  private static class Want implements UpstreamConnectionTable.ConnectionWaiter {
+  private static class Want implements ConnectionWaiter {
     private UpstreamConnection by;
     private Boolean none;
 
     @Override
-    public void use(UpstreamConnection link) {
+    public void connectionReady(UpstreamConnection link) {
       assertNull(by, "used twice");
       assertNull(none, "used after a no");
       by = link;
     }
 
     @Override
-    public void none(boolean own) {
+    public void noConnection(boolean own) {
       assertNull(by, "a no after its use");
       assertNull(none, "two noes");
       none = own;
@@ -75,7 +72,7 @@
 
   private Want want(Upstream target) {
     Want want = new Want();
-    target.want(now, want);
+    target.acquire(now, want);
     return want;
   }
 
@@ -84,18 +81,18 @@
     Want want = want(target);
     dialed.get(dialed.size() - 1).connected(now);
     now += 100 * MS;
-    want.by.answered(now, true);
+    want.by.responseReceived(now, true);
     return want.by;
   }
 
   @Test
-  void anIdleConnectionIsUsedAndTheLatestFirst() {
-    Upstream target = servers.add("a", false);
+  void idleConnectionsAreReusedMostRecentFirst() {
+    Upstream target = servers.addUpstream("a", false);
     Want first = want(target);
     Want second = want(target);
     dialed.forEach(link -> link.connected(now));
-    first.by.answered(now, true);
-    second.by.answered(now, true);
+    first.by.responseReceived(now, true);
+    second.by.responseReceived(now, true);
     assertSame(second.by, want(target).by);
     assertSame(first.by, want(target).by);
     assertEquals(2, dialed.size());
@@ -103,33 +100,33 @@
   }
 
   @Test
-  void whoWaitsTakesWhatIsFreeFirstAndTheNewOneStaysIdle() {
-    Upstream target = servers.add("a", false);
+  void aWaiterGetsTheFirstReleasedConnectionAndTheNewOneStaysIdle() {
+    Upstream target = servers.addUpstream("a", false);
     UpstreamConnection link = proven(target);
     Want busy = want(target);
     Want waits = want(target);
     assertNull(waits.by);
-    busy.by.answered(now, true);
+    busy.by.responseReceived(now, true);
     assertSame(link, waits.by);
     dialed.get(1).connected(now);
     assertSame(dialed.get(1), want(target).by);
   }
 
   @Test
-  void aBurstWaitsForAConnectionThatIsFreeSooner() {
-    Upstream target = servers.add("a", false);
+  void aWaiterWaitsForAConnectionThatIsReleasedSoonerThanANewOneOpens() {
+    Upstream target = servers.addUpstream("a", false);
     Want slow = want(target);
     now += 80 * MS;
     dialed.get(0).connected(now);
     now += 100 * MS;
-    slow.by.answered(now, true);
+    slow.by.responseReceived(now, true);
     Want busy = want(target);
     now += 95 * MS;
     // It is due in 5 ms, and a new one took 80.
     Want waits = want(target);
     assertEquals(1, dialed.size());
     assertEquals(List.of(target), later);
-    busy.by.answered(now, true);
+    busy.by.responseReceived(now, true);
     assertNotNull(waits.by);
     assertEquals(1, dialed.size());
     // One that is overdue for long is not waited for.
@@ -139,8 +136,8 @@
   }
 
   @Test
-  void aColdServerGetsOneAtATime() {
-    Upstream target = servers.add("a", true);
+  void duringSlowStartConnectionsAreOpenedOneAtATime() {
+    Upstream target = servers.addUpstream("a", true);
     List<Want> wants = new ArrayList<>();
     for (int i = 0; i < 4; i++) {
       wants.add(want(target));
@@ -149,25 +146,25 @@
     dialed.get(0).connected(now);
     assertNotNull(wants.get(0).by);
     assertEquals(2, dialed.size());
-    wants.get(0).by.answered(now, true);
+    wants.get(0).by.responseReceived(now, true);
     assertNotNull(wants.get(1).by);
     assertEquals(3, dialed.size(), "it has answered, and one more waits than connections come");
   }
 
   @Test
-  void aRefusalIsFollowedByABackOffThatGrows() {
-    Upstream target = servers.add("a", false);
+  void refusedConnectsAreFollowedByAGrowingBackoff() {
+    Upstream target = servers.addUpstream("a", false);
     long before = 0;
     for (int i = 0; i < 10; i++) {
       Want want = want(target);
       assertEquals(i + 1, dialed.size());
-      dialed.get(i).failed(now, Failure.REFUSED);
+      dialed.get(i).connectFailed(now, ConnectFailure.REFUSED);
       assertEquals(false, want.none);
       long began = now;
       while (dialed.size() == i + 1) {
         Want early = want(target);
         if (early.none == null) {
-          dialed.remove(i + 1).failed(now, Failure.OWN);
+          dialed.remove(i + 1).connectFailed(now, ConnectFailure.NO_DESCRIPTOR);
           break;
         }
         assertEquals(false, early.none, "who comes meanwhile is told at once");
@@ -182,19 +179,19 @@
   }
 
   @Test
-  void aFullServerIsNotAskedForMoreAndWhoComesWaitsForWhatItHas() {
-    Upstream target = servers.add("a", false);
+  void beyondTheLearnedLimitWaitersGetTheOpenConnections() {
+    Upstream target = servers.addUpstream("a", false);
     UpstreamConnection only = proven(target);
     Want busy = want(target);
     Want second = want(target);
-    dialed.get(1).failed(now, Failure.REFUSED);
+    dialed.get(1).connectFailed(now, ConnectFailure.REFUSED);
     assertNull(second.none, "it is served by the one there is");
     now += 1_500 * MS;
     Want third = want(target);
     assertEquals(2, dialed.size());
-    busy.by.answered(now, true);
+    busy.by.responseReceived(now, true);
     assertSame(only, second.by);
-    second.by.answered(now, true);
+    second.by.responseReceived(now, true);
     assertSame(only, third.by);
     now += 2_500 * MS;
     want(target);
@@ -206,20 +203,20 @@
     Want first = want(target);
     Want second = want(target);
     dialed.forEach(link -> link.connected(now));
-    first.by.answered(now, true);
-    second.by.answered(now, true);
+    first.by.responseReceived(now, true);
+    second.by.responseReceived(now, true);
     now += 1_000 * MS;
     Want used = want(target);
     assertSame(second.by, used.by);
     now += 1_000 * MS;
     used.by.timedOut(now);
-    used.by.lost(now);
+    used.by.closed(now);
     return first.by;
   }
 
   @Test
-  void aServerThatGoesSilentIsTrustedAgainOnceItHasAnswered() {
-    Upstream target = servers.add("a", false);
+  void aSuspectedUpstreamIsTrustedAgainAfterAResponse() {
+    Upstream target = servers.addUpstream("a", false);
     UpstreamConnection idle = afterASilence(target);
     Want next = want(target);
     assertNull(next.by, "what is idle may be dead");
@@ -228,53 +225,53 @@
     assertSame(fresh, next.by);
     Want meanwhile = want(target);
     assertNull(meanwhile.by);
-    fresh.answered(now, true);
+    fresh.responseReceived(now, true);
     assertSame(fresh, meanwhile.by);
     assertSame(idle, want(target).by);
   }
 
   @Test
-  void behindACutNetworkWhatIsIdleGoes() {
-    Upstream target = servers.add("a", false);
+  void idleConnectionsOfAnUnreachableUpstreamAreClosed() {
+    Upstream target = servers.addUpstream("a", false);
     UpstreamConnection idle = afterASilence(target);
     Want next = want(target);
-    dialed.get(2).failed(now, Failure.SILENT);
+    dialed.get(2).connectFailed(now, ConnectFailure.UNRESPONSIVE);
     assertEquals(false, next.none);
     assertEquals(List.of(idle), closed);
-    assertEquals(0, target.open());
+    assertEquals(0, target.connectionCount());
   }
 
   @Test
-  void aSlowAnswerBesideOthersIsNoSilence() {
-    Upstream target = servers.add("a", false);
+  void aTimeoutBesideOtherResponsesRaisesNoSuspicion() {
+    Upstream target = servers.addUpstream("a", false);
     proven(target);
     Want slow = want(target);
     Want quick = want(target);
     dialed.get(1).connected(now);
     now += 500 * MS;
-    quick.by.answered(now, true);
+    quick.by.responseReceived(now, true);
     slow.by.timedOut(now);
-    slow.by.lost(now);
+    slow.by.closed(now);
     assertSame(quick.by, want(target).by);
   }
 
   @Test
-  void nothingGoesToAConnectionThatTheServerIsAboutToClose() {
-    Upstream target = servers.add("a", false);
+  void idleConnectionsAreClosedAheadOfTheServersKeepAlive() {
+    Upstream target = servers.addUpstream("a", false);
     UpstreamConnection link = proven(target);
     now += KEEP_ALIVE - 1_600 * MS;
-    servers.sweep(now);
+    servers.closeExpired(now);
     assertTrue(closed.isEmpty());
     now += 200 * MS;
-    servers.sweep(now);
+    servers.closeExpired(now);
     assertEquals(List.of(link), closed);
   }
 
   @Test
-  void atTheBoundAnothersLongestIdleGivesWay() {
+  void atTheBoundTheLongestIdleConnectionOfAnotherUpstreamIsClosed() {
     bound(3, 2);
-    Upstream a = servers.add("a", false);
-    Upstream b = servers.add("b", false);
+    Upstream a = servers.addUpstream("a", false);
+    Upstream b = servers.addUpstream("b", false);
     UpstreamConnection oldest = proven(a);
     now += MS;
     want(a);
@@ -283,30 +280,30 @@
     Want more = want(a);
     assertNull(more.by);
     assertEquals(2, dialed.size(), "two are the most for one of them");
-    oldest.answered(now, true);
+    oldest.responseReceived(now, true);
     assertSame(oldest, more.by);
-    oldest.answered(now, true);
+    oldest.responseReceived(now, true);
     now += MS;
     want(b);
     Want second = want(b);
     assertEquals(4, dialed.size());
     assertEquals(List.of(oldest), closed);
-    Want third = want(servers.add("c", false));
+    Want third = want(servers.addUpstream("c", false));
     assertEquals(true, third.none, "it is the node's own bound, not the server's fault");
     assertNull(second.none);
     assertNotNull(busy.by);
   }
 
   @Test
-  void aRestartOrAMoveLeavesNothingBehind() {
-    Upstream old = servers.add("a", false);
+  void aRetiredUpstreamKeepsNoConnection() {
+    Upstream old = servers.addUpstream("a", false);
     UpstreamConnection idle = proven(old);
     Want busy = want(old);
     Want waiting = want(old);
     assertSame(idle, busy.by);
     old.retire();
     assertEquals(true, waiting.none, "a server that was told to leave has failed nobody");
-    busy.by.answered(now, true);
+    busy.by.responseReceived(now, true);
     assertEquals(List.of(idle), closed);
     dialed.get(1).connected(now);
     assertEquals(2, closed.size());
@@ -315,10 +312,10 @@
   }
 
   @Test
-  void withoutADescriptorTheServerIsNotToBlame() {
-    Upstream target = servers.add("a", false);
+  void aLackOfDescriptorsIsNoConnectFailure() {
+    Upstream target = servers.addUpstream("a", false);
     Want want = want(target);
-    dialed.get(0).failed(now, Failure.OWN);
+    dialed.get(0).connectFailed(now, ConnectFailure.NO_DESCRIPTOR);
     assertEquals(true, want.none);
     now += 21 * MS;
     want(target);
@@ -327,8 +324,8 @@
   }
 
   @Test
-  void whoNoLongerWaitsIsNotServed() {
-    Upstream target = servers.add("a", false);
+  void aCancelledWaiterGetsNoConnection() {
+    Upstream target = servers.addUpstream("a", false);
     Want want = want(target);
     assertTrue(target.cancel(want));
     assertFalse(target.cancel(want));
@@ -339,7 +336,7 @@
 
   /** Whatever happens: each attempt is told once, bounds hold, and nothing is left. */
   @Test
-  void manySeeds() {
+  void everyWaiterIsToldOnceAndBoundsHoldWhateverHappens() {
     for (long seed = 1; seed <= 200; seed++) {
       try {
         new UpstreamConnectionTableTest().play(new SplittableRandom(seed));
@@ -359,7 +356,7 @@
     List<Upstream> targets = new ArrayList<>();
     Map<Upstream, Integer> room = new HashMap<>();
     for (int i = 0; i < 6; i++) {
-      targets.add(servers.add(i, random.nextBoolean()));
+      targets.add(servers.addUpstream(i, random.nextBoolean()));
       room.put(targets.get(i), random.nextInt(0, 6));
     }
     List<Want> wants = new ArrayList<>();
@@ -371,17 +368,17 @@
       if (random.nextInt(300) == 0) {
         int at = random.nextInt(targets.size());
         targets.get(at).retire();
-        targets.set(at, servers.add(i, true));
+        targets.set(at, servers.addUpstream(i, true));
         room.put(targets.get(at), random.nextInt(0, 6));
       }
       if (random.nextInt(100) == 0) {
-        servers.sweep(now);
+        servers.closeExpired(now);
       }
       Want want =
           new Want() {
             @Override
-            public void use(UpstreamConnection link) {
-              super.use(link);
+            public void connectionReady(UpstreamConnection link) {
+              super.connectionReady(link);
               long end = now + random.nextLong(200 * MS);
               int how = random.nextInt(20);
               events.add(
@@ -390,18 +387,18 @@
                       () -> {
                         if (how == 0) {
                           link.timedOut(now);
-                          link.lost(now);
+                          link.closed(now);
                         } else if (how == 1) {
-                          link.lost(now);
+                          link.closed(now);
                         } else {
-                          link.answered(now, how > 3);
+                          link.responseReceived(now, how > 3);
                         }
                       }));
             }
           };
       wants.add(want);
       Upstream target = targets.get(random.nextInt(targets.size()));
-      target.want(now, want);
+      target.acquire(now, want);
       events.add(
           new Event(
               now + 500 * MS,
@@ -412,10 +409,10 @@
                 }
               }));
       for (UpstreamConnection link : dialed) {
-        int roomThere = room.get(link.target());
+        int roomThere = room.get(link.upstream());
         long at = now + random.nextLong(30 * MS);
-        boolean yes = link.target().open() <= roomThere && random.nextInt(10) > 0;
-        Failure how = Failure.values()[random.nextInt(3)];
+        boolean yes = link.upstream().connectionCount() <= roomThere && random.nextInt(10) > 0;
+        ConnectFailure how = ConnectFailure.values()[random.nextInt(3)];
         events.add(
             new Event(
                 at,
@@ -423,18 +420,18 @@
                   if (yes) {
                     link.connected(now);
                   } else {
-                    link.failed(now, how);
+                    link.connectFailed(now, how);
                   }
                 }));
       }
       dialed.clear();
       for (Upstream one : later) {
-        events.add(new Event(now + 5 * MS, () -> one.look(now)));
+        events.add(new Event(now + 5 * MS, () -> one.connectIfNeeded(now)));
       }
       later.clear();
       assertTrue(counts.serversOpen.get() <= all, counts.serversOpen + " of " + all);
       for (Upstream one : targets) {
-        assertTrue(one.open() <= each, one.open() + " of " + each);
+        assertTrue(one.connectionCount() <= each, one.connectionCount() + " of " + each);
       }
     }
     targets.forEach(Upstream::retire);
@@ -442,7 +439,7 @@
       now = Math.max(now, events.peek().at);
       events.poll().what.run();
       for (UpstreamConnection link : dialed) {
-        link.failed(now, Failure.REFUSED);
+        link.connectFailed(now, ConnectFailure.REFUSED);
       }
       dialed.clear();
     }
--- a/testbed/src/main/java/edgegateway/testbed/scale/SimulationScaleRun.java
+++ b/testbed/src/main/java/edgegateway/testbed/scale/SimulationScaleRun.java
@@ -77,7 +77,7 @@
     FleetSimulation.Measurements of =
         FleetSimulation.measure(
             scenario,
-            UpstreamConnectionTable.kept((long) (file.idleS() * SECOND)),
+            UpstreamConnectionTable.maxIdleNanos((long) (file.idleS() * SECOND)),
             (long) (fromS * SECOND),
             tally,
             progress);
