--- a/testbed/src/main/java/edgegateway/testbed/fakes/FakeCounter.java
+++ b/testbed/src/main/java/edgegateway/testbed/fakes/FakeCounter.java
@@ -17,60 +17,62 @@
  */
 public final class FakeCounter<T> {
   /** A call and the total after it; null if it was turned away and nothing was added. */
-  public record Answer<T>(T call, Double total) {}
+  public record Reply<T>(T call, Double total) {}
 
-  private record Waiting<T>(T call, String name, double amount, long life) {}
+  private record Waiting<T>(T call, String name, double amount, long lifetimeNanos) {}
 
   private static final class Number {
     double total;
-    final long until;
+    final long expiresAtNanos;
 
     Number(long until) {
-      this.until = until;
+      this.expiresAtNanos = until;
     }
   }
 
   private final class Part {
-    final ArrayDeque<Waiting<T>> line = new ArrayDeque<>();
+    final ArrayDeque<Waiting<T>> queue = new ArrayDeque<>();
     final Map<String, Number> numbers = new HashMap<>();
-    long free = Long.MIN_VALUE;
-    boolean gone;
+    long freeAtNanos = Long.MIN_VALUE;
+    boolean lost;
   }
 
-  private final FakeCounterSettings terms;
+  private final FakeCounterSettings settings;
   private final List<Part> parts = new ArrayList<>();
-  private final ArrayDeque<Answer<T>> answers = new ArrayDeque<>();
-  private double slowness = 1;
-  private long clock;
+  private final ArrayDeque<Reply<T>> replies = new ArrayDeque<>();
+  private double slowdownFactor = 1;
+  private long clockNanos;
 
   /** Begins empty. */
-  public FakeCounter(FakeCounterSettings terms, long now) {
-    this.terms = terms;
-    clock = now;
-    for (int i = 0; i < terms.parts(); i++) {
+  public FakeCounter(FakeCounterSettings settings, long nowNanos) {
+    this.settings = settings;
+    clockNanos = nowNanos;
+    for (int i = 0; i < settings.parts(); i++) {
       parts.add(new Part());
     }
   }
 
   /** A call arrives; its amount is added when its turn comes. */
-  public void call(long now, T call, String name, double amount, long life) {
-    advance(now);
+  public void call(long nowNanos, T call, String name, double amount, long lifetimeNanos) {
+    advanceTo(nowNanos);
     Part part = parts.get(Math.floorMod(name.hashCode(), parts.size()));
-    if (part.gone) {
+    if (part.lost) {
       return;
     }
-    if (part.line.size() >= terms.line()) {
-      answers.add(new Answer<>(call, null));
+    if (part.queue.size() >= settings.queueCapacity()) {
+      replies.add(new Reply<>(call, null));
       return;
     }
-    if (part.line.isEmpty()) {
-      part.free = now + span();
+    if (part.queue.isEmpty()) {
+      part.freeAtNanos = nowNanos + callDurationNanos();
     }
-    part.line.add(new Waiting<>(call, name, amount, Math.min(life, FakeCounterSettings.MOST_LIFE)));
+    part.queue.add(
+        new Waiting<>(
+            call, name, amount, Math.min(lifetimeNanos, FakeCounterSettings.MAX_LIFETIME_NANOS)));
   }
 
-  private long span() {
-    return Math.max(1, (long) (terms.perCall() * slowness));
+  private long callDurationNanos() {
+    return Math.max(1, (long) (settings.callDurationNanos() * slowdownFactor));
   }
 
   /** How many parts it has. */
@@ -81,14 +83,14 @@
   /**
    * Each call takes so many times as long from now on, 1 or more; the one in work keeps its time.
    */
-  public void slow(long now, double times) {
-    advance(now);
-    slowness = times;
+  public void slow(long nowNanos, double times) {
+    advanceTo(nowNanos);
+    slowdownFactor = times;
   }
 
   /** Forgets this share of the names that it holds. */
-  public void flush(long now, double share, SplittableRandom chance) {
-    advance(now);
+  public void flush(long nowNanos, double share, SplittableRandom chance) {
+    advanceTo(nowNanos);
     parts.forEach(part -> part.numbers.keySet().removeIf(name -> chance.nextDouble() < share));
   }
 
@@ -96,63 +98,63 @@
    * A part is gone with all that it held and all calls in its line; later calls to it get no
    * answer.
    */
-  public void lose(long now, int part) {
-    advance(now);
+  public void lose(long nowNanos, int part) {
+    advanceTo(nowNanos);
     parts.set(part, new Part());
-    parts.get(part).gone = true;
+    parts.get(part).lost = true;
   }
 
   /** A part is back elsewhere, empty. */
-  public void restore(long now, int part) {
-    advance(now);
+  public void restore(long nowNanos, int part) {
+    advanceTo(nowNanos);
     parts.set(part, new Part());
   }
 
   /** When to ask next; {@link Long#MAX_VALUE} if no call waits. */
-  public long next() {
-    return answers.isEmpty()
+  public long nextEventNanos() {
+    return replies.isEmpty()
         ? parts.stream()
-            .filter(part -> !part.line.isEmpty())
-            .mapToLong(part -> part.free)
+            .filter(part -> !part.queue.isEmpty())
+            .mapToLong(part -> part.freeAtNanos)
             .min()
             .orElse(Long.MAX_VALUE)
-        : clock;
+        : clockNanos;
   }
 
   /**
    * The next answer that is due by now, or null; the answers of one part come in the order of its
    * calls.
    */
-  public Answer<T> poll(long now) {
-    advance(now);
-    return answers.poll();
+  public Reply<T> poll(long nowNanos) {
+    advanceTo(nowNanos);
+    return replies.poll();
   }
 
-  private void advance(long now) {
+  private void advanceTo(long nowNanos) {
     for (Part part : parts) {
-      while (!part.line.isEmpty() && part.free <= now) {
-        answers.add(serve(part, part.line.poll()));
-        part.free += span();
+      while (!part.queue.isEmpty() && part.freeAtNanos <= nowNanos) {
+        replies.add(serve(part, part.queue.poll()));
+        part.freeAtNanos += callDurationNanos();
       }
     }
-    clock = now;
+    clockNanos = nowNanos;
   }
 
-  private Answer<T> serve(Part part, Waiting<T> one) {
-    long at = part.free;
-    Number number = part.numbers.get(one.name);
-    if (number == null || number.until <= at) {
-      number = new Number(at + one.life);
-      part.numbers.put(one.name, number);
+  private Reply<T> serve(Part part, Waiting<T> waiting) {
+    long servedAtNanos = part.freeAtNanos;
+    Number number = part.numbers.get(waiting.name);
+    if (number == null || number.expiresAtNanos <= servedAtNanos) {
+      number = new Number(servedAtNanos + waiting.lifetimeNanos);
+      part.numbers.put(waiting.name, number);
     }
-    number.total += one.amount;
-    return new Answer<>(one.call, number.total);
+    number.total += waiting.amount;
+    return new Reply<>(waiting.call, number.total);
   }
 
   /** What a name holds, 0 if it is not known. */
-  public double total(long now, String name) {
-    advance(now);
+  public double total(long nowNanos, String name) {
+    advanceTo(nowNanos);
     Number number = parts.get(Math.floorMod(name.hashCode(), parts.size())).numbers.get(name);
-    return number == null || number.until <= now ? 0 : number.total;
+    return number == null || number.expiresAtNanos <= nowNanos ? 0 : number.total;
   }
 }
--- a/testbed/src/main/java/edgegateway/testbed/fakes/FakeDiscoveryAgent.java
+++ b/testbed/src/main/java/edgegateway/testbed/fakes/FakeDiscoveryAgent.java
@@ -15,37 +15,37 @@
  */
 public final class FakeDiscoveryAgent {
   /** Readers that are further behind get the whole list. */
-  private static final int KEPT = 64;
+  private static final int MAX_RETAINED_CHANGES = 64;
 
-  private record Late(long at, DiscoveryMessage change) {}
+  private record DelayedChange(long arrivalNanos, DiscoveryMessage change) {}
 
-  private final TreeMap<String, DiscoveryMember> list = new TreeMap<>();
-  private final ArrayDeque<Late> underWay = new ArrayDeque<>();
-  private final ArrayDeque<DiscoveryMessage> kept = new ArrayDeque<>();
+  private final TreeMap<String, DiscoveryMember> members = new TreeMap<>();
+  private final ArrayDeque<DelayedChange> inTransit = new ArrayDeque<>();
+  private final ArrayDeque<DiscoveryMessage> retainedChanges = new ArrayDeque<>();
   private long revision;
-  private long forgotten;
-  private boolean silent;
+  private long oldestRetainedRevision;
+  private boolean silenced;
 
   /** The last one asked for, and of which version: many readers ask for the same. */
-  private DiscoveryMessage whole;
+  private DiscoveryMessage fullList;
 
-  private DiscoveryMessage since;
+  private DiscoveryMessage changesSince;
 
-  private long sinceVersion;
+  private long changesSinceRevision;
 
   /** Begins with a whole list. */
-  public FakeDiscoveryAgent(DiscoveryMessage begin) {
-    revision = begin.revision();
-    forgotten = revision;
-    apply(begin.members());
+  public FakeDiscoveryAgent(DiscoveryMessage initial) {
+    revision = initial.revision();
+    oldestRetainedRevision = revision;
+    apply(initial.members());
   }
 
-  private void apply(List<DiscoveryMember> members) {
-    for (DiscoveryMember one : members) {
+  private void apply(List<DiscoveryMember> changed) {
+    for (DiscoveryMember one : changed) {
       if (one.phase() == Phase.GONE) {
-        list.remove(one.id());
+        members.remove(one.id());
       } else {
-        list.put(one.id(), one);
+        members.put(one.id(), one);
       }
     }
   }
@@ -54,40 +54,43 @@
    * Discovery sends a change, which takes {@code delay} to this machine but overtakes none before
    * it.
    */
-  public void send(long now, DiscoveryMessage change, long delay) {
-    long at = underWay.isEmpty() ? now + delay : Math.max(underWay.getLast().at, now + delay);
-    underWay.add(new Late(at, change));
+  public void send(long nowNanos, DiscoveryMessage change, long delayNanos) {
+    long arrivalNanos =
+        inTransit.isEmpty()
+            ? nowNanos + delayNanos
+            : Math.max(inTransit.getLast().arrivalNanos, nowNanos + delayNanos);
+    inTransit.add(new DelayedChange(arrivalNanos, change));
   }
 
   /**
    * Whether discovery is down: nothing is said until it is up again; what was sent meanwhile has
    * not been lost.
    */
-  public void silent(boolean down) {
-    silent = down;
+  public void silenced(boolean down) {
+    silenced = down;
   }
 
   /** Whether it says nothing now. */
-  public boolean silent() {
-    return silent;
+  public boolean silenced() {
+    return silenced;
   }
 
   /** When the next change reaches it; {@link Long#MAX_VALUE} if none is under way. */
-  public long next() {
-    return underWay.isEmpty() ? Long.MAX_VALUE : underWay.peek().at;
+  public long nextArrivalNanos() {
+    return inTransit.isEmpty() ? Long.MAX_VALUE : inTransit.peek().arrivalNanos;
   }
 
   /** What has reached it by now is on its list, unless discovery is down. */
-  public void advance(long now) {
-    while (!silent && !underWay.isEmpty() && underWay.peek().at <= now) {
-      DiscoveryMessage change = underWay.poll().change;
+  public void advanceTo(long nowNanos) {
+    while (!silenced && !inTransit.isEmpty() && inTransit.peek().arrivalNanos <= nowNanos) {
+      DiscoveryMessage change = inTransit.poll().change;
       apply(change.members());
       revision = change.revision();
-      whole = null;
-      since = null;
-      kept.add(change);
-      if (kept.size() > KEPT) {
-        forgotten = kept.poll().revision();
+      fullList = null;
+      changesSince = null;
+      retainedChanges.add(change);
+      if (retainedChanges.size() > MAX_RETAINED_CHANGES) {
+        oldestRetainedRevision = retainedChanges.poll().revision();
       }
     }
   }
@@ -98,33 +101,33 @@
   }
 
   /** The whole list as it stands. */
-  public DiscoveryMessage whole() {
-    if (whole == null) {
-      whole = new DiscoveryMessage(revision, true, List.copyOf(list.values()));
+  public DiscoveryMessage fullList() {
+    if (fullList == null) {
+      fullList = new DiscoveryMessage(revision, true, List.copyOf(members.values()));
     }
-    return whole;
+    return fullList;
   }
 
   /**
    * What a reader of a version misses: the changes since, or the whole list if they are not kept or
    * the version is unknown.
    */
-  public DiscoveryMessage since(long version) {
-    if (version < forgotten || version > revision) {
-      return whole();
+  public DiscoveryMessage changesSince(long fromRevision) {
+    if (fromRevision < oldestRetainedRevision || fromRevision > revision) {
+      return fullList();
     }
-    if (since == null || sinceVersion != version) {
-      since = changes(version);
-      sinceVersion = version;
+    if (changesSince == null || changesSinceRevision != fromRevision) {
+      changesSince = changes(fromRevision);
+      changesSinceRevision = fromRevision;
     }
-    return since;
+    return changesSince;
   }
 
-  private DiscoveryMessage changes(long version) {
+  private DiscoveryMessage changes(long fromRevision) {
     Map<String, DiscoveryMember> changed = new LinkedHashMap<>();
-    for (DiscoveryMessage one : kept) {
-      if (one.revision() > version) {
-        one.members().forEach(member -> changed.put(member.id(), member));
+    for (DiscoveryMessage change : retainedChanges) {
+      if (change.revision() > fromRevision) {
+        change.members().forEach(member -> changed.put(member.id(), member));
       }
     }
     return new DiscoveryMessage(revision, false, new ArrayList<>(changed.values()));
--- a/testbed/src/main/java/edgegateway/testbed/fakes/FakeDiscoveryWatch.java
+++ b/testbed/src/main/java/edgegateway/testbed/fakes/FakeDiscoveryWatch.java
@@ -8,41 +8,41 @@
   /**
    * As long as nothing changes an empty line comes so often (protocol, Discovery), in nanoseconds.
    */
-  public static final long IDLE = 2_000_000_000L;
+  public static final long KEEP_ALIVE_NANOS = 2_000_000_000L;
 
   private final FakeDiscoveryAgent agent;
-  private long told;
-  private long lineAt;
-  private boolean begun;
+  private long sentRevision;
+  private long nextLineNanos;
+  private boolean started;
 
   /** Begins after a version; its first line is due at once. */
-  public FakeDiscoveryWatch(FakeDiscoveryAgent agent, long now, long after) {
+  public FakeDiscoveryWatch(FakeDiscoveryAgent agent, long nowNanos, long afterRevision) {
     this.agent = agent;
-    told = after;
-    lineAt = now;
+    sentRevision = afterRevision;
+    nextLineNanos = nowNanos;
   }
 
   /** When to ask next if the agent hears of nothing before. */
-  public long next() {
-    return lineAt;
+  public long nextLineDueNanos() {
+    return nextLineNanos;
   }
 
   /**
    * What to write now: a roll, an empty line ({@code members} is empty and the version the last
    * one), or null.
    */
-  public DiscoveryMessage poll(long now) {
-    agent.advance(now);
-    if (agent.silent()) {
-      lineAt = Math.max(lineAt, now + IDLE);
+  public DiscoveryMessage poll(long nowNanos) {
+    agent.advanceTo(nowNanos);
+    if (agent.silenced()) {
+      nextLineNanos = Math.max(nextLineNanos, nowNanos + KEEP_ALIVE_NANOS);
       return null;
     }
-    if (!begun || agent.revision() != told || now >= lineAt) {
-      DiscoveryMessage roll = agent.since(told);
-      begun = true;
-      told = roll.revision();
-      lineAt = now + IDLE;
-      return roll;
+    if (!started || agent.revision() != sentRevision || nowNanos >= nextLineNanos) {
+      DiscoveryMessage message = agent.changesSince(sentRevision);
+      started = true;
+      sentRevision = message.revision();
+      nextLineNanos = nowNanos + KEEP_ALIVE_NANOS;
+      return message;
     }
     return null;
   }
--- a/testbed/src/main/java/edgegateway/testbed/fakes/WarmUpWorkLimit.java
+++ b/testbed/src/main/java/edgegateway/testbed/fakes/WarmUpWorkLimit.java
@@ -8,27 +8,28 @@
  * away.
  */
 final class WarmUpWorkLimit {
-  private record Arrival(long at, double work) {}
+  private record Arrival(long atNanos, double work) {}
 
-  private final FakeArchiveServerSettings terms;
+  private final FakeArchiveServerSettings settings;
   private final ArrayDeque<Arrival> window = new ArrayDeque<>();
-  private double sum;
+  private double windowWork;
 
-  WarmUpWorkLimit(FakeArchiveServerSettings terms) {
-    this.terms = terms;
+  WarmUpWorkLimit(FakeArchiveServerSettings settings) {
+    this.settings = settings;
   }
 
   /**
    * Work arrives at a server that does {@code capacity} nanoseconds of it in each; how much of the
    * bound is used, above 1 too much.
    */
-  double used(long now, double work, double capacity) {
-    window.add(new Arrival(now, work));
-    sum += work;
-    while (window.peek().at <= now - terms.tipAfter()) {
-      sum -= window.poll().work;
+  double usedFraction(long nowNanos, double work, double capacity) {
+    window.add(new Arrival(nowNanos, work));
+    windowWork += work;
+    while (window.peek().atNanos <= nowNanos - settings.overloadWindowNanos()) {
+      windowWork -= window.poll().work;
     }
     // A request more than the bound may be chance: the smallest servers would fall over by one.
-    return (sum - work) / (terms.overload() * capacity * terms.tipAfter());
+    return (windowWork - work)
+        / (settings.overloadFactor() * capacity * settings.overloadWindowNanos());
   }
 }
--- a/testbed/src/main/java/edgegateway/testbed/fakes/http/ArchiveServerHttpFake.java
+++ b/testbed/src/main/java/edgegateway/testbed/fakes/http/ArchiveServerHttpFake.java
@@ -1,7 +1,7 @@
 package edgegateway.testbed.fakes.http;
 
 import edgegateway.testbed.fakes.FakeArchiveServer;
-import edgegateway.testbed.fakes.FakeArchiveServer.Ended;
+import edgegateway.testbed.fakes.FakeArchiveServer.Finished;
 import edgegateway.testbed.fakes.FakeArchiveServerSettings;
 import io.netty.channel.EventLoop;
 import io.netty.handler.codec.http.FullHttpRequest;
@@ -25,16 +25,16 @@
     void arrived(long at, String id, String key);
 
     /** The request's answer is written. */
-    void ended(long at, String id, FakeArchiveServer.Ending how);
+    void ended(long at, String id, FakeArchiveServer.Completion how);
   }
 
   /** A request and the place of its answer. */
   record Call(String id, PipelinedResponse reply) {
-    void answer(FakeArchiveServer.Ending how) {
+    void answer(FakeArchiveServer.Completion how) {
       switch (how) {
-        case SERVED, REPEATED -> reply.answer(HttpResponseStatus.OK, id);
+        case SERVED, DEDUPLICATED -> reply.answer(HttpResponseStatus.OK, id);
         case FAILED -> reply.answer(HttpResponseStatus.INTERNAL_SERVER_ERROR, "");
-        case TURNED_AWAY ->
+        case REJECTED ->
             reply.answer(HttpResponseStatus.SERVICE_UNAVAILABLE, "", "X-Never-Ran", "1");
       }
     }
@@ -75,14 +75,14 @@
    */
   public long fellAt() {
     long[] at = new long[1];
-    carry(() -> at[0] = core.fellAt());
+    carry(() -> at[0] = core.overloadedAtNanos());
     return at[0];
   }
 
   /** The most of what it may be sent while cold that it was sent, as a share. */
   public double pressure() {
     double[] pressure = new double[1];
-    carry(() -> pressure[0] = core.pressure());
+    carry(() -> pressure[0] = core.warmUpPressure());
     return pressure[0];
   }
 
@@ -96,16 +96,16 @@
     String key = request.headers().get("Idempotency-Key");
     long now = System.nanoTime();
     history.arrived(now, id, key);
-    core.arrive(now, new Call(id, to), key, work.applyAsDouble(id));
+    core.receive(now, new Call(id, to), key, work.applyAsDouble(id));
   }
 
   @Override
   long due(long now) {
-    for (Ended<Call> one = core.poll(now); one != null; one = core.poll(now)) {
+    for (Finished<Call> one = core.poll(now); one != null; one = core.poll(now)) {
       Call call = one.request();
-      history.ended(now, call.id, one.how());
-      call.answer(one.how());
+      history.ended(now, call.id, one.completion());
+      call.answer(one.completion());
     }
-    return core.next();
+    return core.nextEventNanos();
   }
 }
--- a/testbed/src/main/java/edgegateway/testbed/fakes/http/CounterHttpFake.java
+++ b/testbed/src/main/java/edgegateway/testbed/fakes/http/CounterHttpFake.java
@@ -1,7 +1,7 @@
 package edgegateway.testbed.fakes.http;
 
 import edgegateway.testbed.fakes.FakeCounter;
-import edgegateway.testbed.fakes.FakeCounter.Answer;
+import edgegateway.testbed.fakes.FakeCounter.Reply;
 import edgegateway.testbed.fakes.FakeCounterSettings;
 import io.netty.channel.EventLoop;
 import io.netty.handler.codec.http.FullHttpRequest;
@@ -96,7 +96,7 @@
 
   @Override
   long due(long now) {
-    for (Answer<Call> one = core.poll(now); one != null; one = core.poll(now)) {
+    for (Reply<Call> one = core.poll(now); one != null; one = core.poll(now)) {
       history.answered(now - one.call().at, one.total() != null);
       if (one.total() == null) {
         one.call().reply.answer(HttpResponseStatus.SERVICE_UNAVAILABLE, "");
@@ -107,6 +107,6 @@
                 HttpResponseStatus.OK, new BigDecimal(one.total()).round(DIGITS).toPlainString());
       }
     }
-    return core.next();
+    return core.nextEventNanos();
   }
 }
--- a/testbed/src/main/java/edgegateway/testbed/fakes/http/DiscoveryHttpFake.java
+++ b/testbed/src/main/java/edgegateway/testbed/fakes/http/DiscoveryHttpFake.java
@@ -70,7 +70,7 @@
 
   /** Whether discovery is down: the agent says nothing. */
   public void silent(boolean down) {
-    carry(() -> agent.silent(down));
+    carry(() -> agent.silenced(down));
   }
 
   @Override
@@ -81,16 +81,16 @@
       return;
     }
     long now = System.nanoTime();
-    agent.advance(now);
+    agent.advanceTo(now);
     if (uri.parameters().getOrDefault("watch", List.of()).equals(List.of("1"))) {
       DefaultHttpResponse head =
           new DefaultHttpResponse(HttpVersion.HTTP_1_1, HttpResponseStatus.OK);
       head.headers().set(HttpHeaderNames.TRANSFER_ENCODING, HttpHeaderValues.CHUNKED);
       to.channel().writeAndFlush(head);
       watches.put(to.channel(), new FakeDiscoveryWatch(agent, now, after(uri)));
-    } else if (!agent.silent()) {
-      history.wrote(now, agent.whole());
-      to.answer(HttpResponseStatus.OK, agent.whole().json());
+    } else if (!agent.silenced()) {
+      history.wrote(now, agent.fullList());
+      to.answer(HttpResponseStatus.OK, agent.fullList().json());
     }
   }
 
@@ -118,15 +118,15 @@
 
   @Override
   long due(long now) {
-    agent.advance(now);
-    long next = agent.silent() ? Long.MAX_VALUE : agent.next();
+    agent.advanceTo(now);
+    long next = agent.silenced() ? Long.MAX_VALUE : agent.nextArrivalNanos();
     for (Map.Entry<Channel, FakeDiscoveryWatch> one : watches.entrySet()) {
       DiscoveryMessage roll = one.getValue().poll(now);
       if (roll != null) {
         history.wrote(now, roll);
         one.getKey().writeAndFlush(new DefaultHttpContent(line(roll)));
       }
-      next = Math.min(next, one.getValue().next());
+      next = Math.min(next, one.getValue().nextLineDueNanos());
     }
     return next;
   }
--- a/testbed/src/main/java/edgegateway/testbed/fakes/http/ManyArchiveServersHttpFake.java
+++ b/testbed/src/main/java/edgegateway/testbed/fakes/http/ManyArchiveServersHttpFake.java
@@ -1,7 +1,7 @@
 package edgegateway.testbed.fakes.http;
 
 import edgegateway.testbed.fakes.FakeArchiveServer;
-import edgegateway.testbed.fakes.FakeArchiveServer.Ended;
+import edgegateway.testbed.fakes.FakeArchiveServer.Finished;
 import edgegateway.testbed.fakes.FakeArchiveServerSettings;
 import edgegateway.testbed.fakes.http.ArchiveServerHttpFake.Call;
 import edgegateway.testbed.fakes.http.ArchiveServerHttpFake.History;
@@ -79,19 +79,21 @@
         servers.computeIfAbsent(
             ((InetSocketAddress) to.channel().localAddress()).getAddress(),
             address ->
-                new One(servers.size(), new FakeArchiveServer<>(terms, now, now - terms.ramp())));
-    at.core.arrive(now, new Call(id, to), key, work.applyAsDouble(id));
+                new One(
+                    servers.size(),
+                    new FakeArchiveServer<>(terms, now, now - terms.slowStartNanos())));
+    at.core.receive(now, new Call(id, to), key, work.applyAsDouble(id));
     look(at, now);
   }
 
   /** Answers what has ended at one, and notes when it is to be asked next. */
   private void look(One at, long now) {
     waiting.remove(at);
-    for (Ended<Call> one = at.core.poll(now); one != null; one = at.core.poll(now)) {
-      history.ended(now, one.request().id(), one.how());
-      one.request().answer(one.how());
+    for (Finished<Call> one = at.core.poll(now); one != null; one = at.core.poll(now)) {
+      history.ended(now, one.request().id(), one.completion());
+      one.request().answer(one.completion());
     }
-    at.next = at.core.next();
+    at.next = at.core.nextEventNanos();
     if (at.next != Long.MAX_VALUE) {
       waiting.add(at);
     }
--- a/testbed/src/main/java/edgegateway/testbed/fleet/Fleet.java
+++ b/testbed/src/main/java/edgegateway/testbed/fleet/Fleet.java
@@ -132,7 +132,7 @@
               loops.next(),
               ANY,
               terms.servers(),
-              System.nanoTime() - terms.servers().ramp(),
+              System.nanoTime() - terms.servers().slowStartNanos(),
               terms.work(),
               history.of(server)));
     }
--- a/testbed/src/main/java/edgegateway/testbed/scale/sockets/FakePlatform.java
+++ b/testbed/src/main/java/edgegateway/testbed/scale/sockets/FakePlatform.java
@@ -221,7 +221,7 @@
   }
 
   @Override
-  public void ended(long at, String id, FakeArchiveServer.Ending how) {
+  public void ended(long at, String id, FakeArchiveServer.Completion how) {
     works.computeIfPresent(id, (key, work) -> new Work(work.arrived, at));
   }
 
--- a/testbed/src/main/java/edgegateway/testbed/scale/sockets/RequestBatch.java
+++ b/testbed/src/main/java/edgegateway/testbed/scale/sockets/RequestBatch.java
@@ -125,7 +125,7 @@
               plans,
               ClientRetryPolicy.NONE,
               notice);
-      done = new HttpClients(loop, door, asking, history::add).play(arrivals);
+      done = new HttpClients(loop, door, asking, history::add).sendAll(arrivals);
     }
   }
 
--- a/testbed/src/main/java/edgegateway/testbed/scale/sockets/SocketScaleRun.java
+++ b/testbed/src/main/java/edgegateway/testbed/scale/sockets/SocketScaleRun.java
@@ -181,7 +181,7 @@
         new WorkloadSettings(
             file.load().classes().stream().map(Scenario.Kind::requestClass).toList(),
             file.load().plans().stream().map(Scenario.Customers::plan).toList(),
-            file.servers().terms().keyLife(),
+            file.servers().terms().keyLifetimeNanos(),
             null);
     long callTimeout =
         NodeConfigWriter.settings(topology, load, topology.nodes().get(0))
--- a/testbed/src/main/java/edgegateway/testbed/scenario/FleetCapacity.java
+++ b/testbed/src/main/java/edgegateway/testbed/scenario/FleetCapacity.java
@@ -58,7 +58,7 @@
               terms.cores()
                   * (life.warmFrom == Long.MIN_VALUE
                       ? 1
-                      : FakeArchiveServer.warmth(terms, at - life.warmFrom));
+                      : FakeArchiveServer.slowStartFactor(terms, at - life.warmFrom));
         }
       }
     }
--- a/testbed/src/main/java/edgegateway/testbed/scenario/Scenario.java
+++ b/testbed/src/main/java/edgegateway/testbed/scenario/Scenario.java
@@ -386,7 +386,10 @@
   /** What edge nodes are told of what will be asked. */
   public WorkloadSettings told() {
     return new WorkloadSettings(
-        classes(), plans(), servers.terms().keyLife(), zones == null ? null : zones.settings());
+        classes(),
+        plans(),
+        servers.terms().keyLifetimeNanos(),
+        zones == null ? null : zones.settings());
   }
 
   /** How clients ask. */
@@ -423,7 +426,7 @@
     return new InvariantSettings(
         ANSWER_SLACK,
         STOP_WITHIN,
-        servers.terms().tipAfter(),
+        servers.terms().overloadWindowNanos(),
         told.classes().stream()
             .map(
                 kind ->
--- a/testbed/src/main/java/edgegateway/testbed/scenario/ScenarioRun.java
+++ b/testbed/src/main/java/edgegateway/testbed/scenario/ScenarioRun.java
@@ -116,7 +116,7 @@
               scenario.asking(),
               history::add);
       begun = System.nanoTime();
-      CompletableFuture<Void> done = clients.play(arrivals);
+      CompletableFuture<Void> done = clients.sendAll(arrivals);
       for (FaultSchedule.Step step : FaultSchedule.of(scenario, this)) {
         long left = begun + step.at() - System.nanoTime();
         if (left > 0) {
@@ -198,8 +198,8 @@
       }
 
       @Override
-      public void ended(long at, String id, FakeArchiveServer.Ending how) {
-        if (how == FakeArchiveServer.Ending.TURNED_AWAY) {
+      public void ended(long at, String id, FakeArchiveServer.Completion how) {
+        if (how == FakeArchiveServer.Completion.REJECTED) {
           history.add(new HistoryEvent.AttemptRejected(at, id, server.name()));
         }
       }
--- a/testbed/src/main/java/edgegateway/testbed/simulation/FleetSimulation.java
+++ b/testbed/src/main/java/edgegateway/testbed/simulation/FleetSimulation.java
@@ -226,7 +226,7 @@
     nodes.forEach(SimulatedNode::start);
     clock.advanceTo(FIRST_ARRIVAL_NANOS);
     new SimulatedClients(clock, network, topology.front(), nodes, scenario.asking(), history)
-        .play(arrivals);
+        .sendAll(arrivals);
     steps.addAll(FaultSchedule.of(scenario, this));
     return clock.now();
   }
--- a/testbed/src/main/java/edgegateway/testbed/simulation/SimulatedArchiveServer.java
+++ b/testbed/src/main/java/edgegateway/testbed/simulation/SimulatedArchiveServer.java
@@ -2,8 +2,8 @@
 
 import edgegateway.testbed.checker.HistoryEvent;
 import edgegateway.testbed.fakes.FakeArchiveServer;
-import edgegateway.testbed.fakes.FakeArchiveServer.Ended;
-import edgegateway.testbed.fakes.FakeArchiveServer.Ending;
+import edgegateway.testbed.fakes.FakeArchiveServer.Completion;
+import edgegateway.testbed.fakes.FakeArchiveServer.Finished;
 import edgegateway.testbed.fakes.FakeArchiveServerSettings;
 import edgegateway.testbed.network.NetworkPeer;
 import java.util.LinkedHashSet;
@@ -15,7 +15,7 @@
   /** Whoever asked for something here. */
   interface Caller {
     /** It ended so; called when it ends, at the server. */
-    void ended(Ending how);
+    void ended(Completion how);
 
     /** The process died first. */
     void processDied();
@@ -44,7 +44,8 @@
     this.peer = peer;
     this.settings = settings;
     this.history = history;
-    server = new FakeArchiveServer<>(settings, clock.now(), clock.now() - settings.ramp());
+    server =
+        new FakeArchiveServer<>(settings, clock.now(), clock.now() - settings.slowStartNanos());
   }
 
   @Override
@@ -69,12 +70,12 @@
 
   /** When it was pushed over in this life; {@link Long#MAX_VALUE} if it was not. */
   long overloadedAtNanos() {
-    return server == null ? Long.MAX_VALUE : server.fellAt();
+    return server == null ? Long.MAX_VALUE : server.overloadedAtNanos();
   }
 
   /** The most of what it may be sent while cold that it was sent in this life, as a share. */
   double warmUpPressure() {
-    return server == null ? 0 : server.pressure();
+    return server == null ? 0 : server.warmUpPressure();
   }
 
   void kill() {
@@ -113,22 +114,22 @@
     history.accept(new HistoryEvent.AttemptReceived(clock.now(), id, peer.name()));
     Call call = new Call(id, caller);
     calls.add(call);
-    server.arrive(clock.now(), call, key, workNanos);
+    server.receive(clock.now(), call, key, workNanos);
     poll();
   }
 
   private void poll() {
-    for (Ended<Call> ended = server.poll(clock.now());
+    for (Finished<Call> ended = server.poll(clock.now());
         ended != null;
         ended = server.poll(clock.now())) {
       Call call = ended.request();
       calls.remove(call);
-      if (ended.how() == Ending.TURNED_AWAY) {
+      if (ended.completion() == Completion.REJECTED) {
         history.accept(new HistoryEvent.AttemptRejected(clock.now(), call.id, peer.name()));
       }
-      call.caller.ended(ended.how());
+      call.caller.ended(ended.completion());
     }
-    long nextNanos = server.next();
+    long nextNanos = server.nextEventNanos();
     if (nextNanos < nextPollNanos) {
       nextPollNanos = nextNanos;
       int polledIn = incarnation;
--- a/testbed/src/main/java/edgegateway/testbed/simulation/SimulatedClients.java
+++ b/testbed/src/main/java/edgegateway/testbed/simulation/SimulatedClients.java
@@ -17,35 +17,35 @@
   private static final long HEALTH = 100_000_000L;
   private static final int OK = 200;
 
-  private final VirtualClock timeline;
+  private final VirtualClock clock;
   private final SimulatedNetwork network;
-  private final NetworkPeer party;
+  private final NetworkPeer peer;
   private final List<SimulatedNode> nodes;
-  private final ClientBehavior asking;
+  private final ClientBehavior behavior;
   private final Consumer<HistoryEvent> history;
   private final List<SimulatedConnectionPool> pools = new ArrayList<>();
 
   SimulatedClients(
-      VirtualClock timeline,
+      VirtualClock clock,
       SimulatedNetwork network,
-      NetworkPeer party,
+      NetworkPeer peer,
       List<SimulatedNode> nodes,
-      ClientBehavior asking,
+      ClientBehavior behavior,
       Consumer<HistoryEvent> history) {
-    this.timeline = timeline;
+    this.clock = clock;
     this.network = network;
-    this.party = party;
+    this.peer = peer;
     this.nodes = nodes;
-    this.asking = asking;
+    this.behavior = behavior;
     this.history = history;
     SimulationMeter off = new SimulationMeter();
     nodes.forEach(
         node ->
             pools.add(
                 new SimulatedConnectionPool(
-                    timeline,
+                    clock,
                     network,
-                    party,
+                    peer,
                     node,
                     CONNECT,
                     SimulatedConnectionPool.NO_IDLE_TIMEOUT,
@@ -53,57 +53,57 @@
   }
 
   /** Sends all at their times from now on. */
-  void play(List<RequestArrival> arrivals) {
-    long begun = timeline.now();
+  void sendAll(List<RequestArrival> arrivals) {
+    long begun = clock.now();
     next(arrivals.iterator(), begun);
-    timeline.runAfter(HEALTH, this::askHealth);
+    clock.runAfter(HEALTH, this::askHealth);
   }
 
   /** Only the next one waits on the timeline: all of a large fleet's would fill it. */
   private void next(Iterator<RequestArrival> arrivals, long begun) {
     if (arrivals.hasNext()) {
       RequestArrival one = arrivals.next();
-      timeline.runAt(
+      clock.runAt(
           begun + one.at(),
           () -> {
             next(arrivals, begun);
-            new ClientAttempt(asking.first(one, timeline.now())).start();
+            new ClientAttempt(behavior.first(one, clock.now())).start();
           });
     }
   }
 
   private void askHealth() {
     for (int i = 0; i < nodes.size(); i++) {
-      if (asking.front().doubted(i)) {
+      if (behavior.front().needsHealthCheck(i)) {
         int node = i;
         SimulatedNode asked = nodes.get(i);
         network.send(
-            party,
+            peer,
             asked.peer(),
             () -> {
               if (asked.ready()) {
-                network.send(asked.peer(), party, () -> asking.front().healthy(node));
+                network.send(asked.peer(), peer, () -> behavior.front().healthy(node));
               }
             });
       }
     }
-    timeline.runAfter(HEALTH, this::askHealth);
+    clock.runAfter(HEALTH, this::askHealth);
   }
 
   /** One request on its way. */
   private final class ClientAttempt
       implements SimulatedConnectionPool.ConnectionUser, SimulatedNode.Client {
-    private final ClientRequest ask;
-    private final SimulatedNode host;
+    private final ClientRequest request;
+    private final SimulatedNode node;
     private final SimulatedConnectionPool pool;
-    private int life;
+    private int incarnation;
     private boolean reused;
-    private boolean over;
+    private boolean ended;
 
-    ClientAttempt(ClientRequest ask) {
-      this.ask = ask;
-      host = nodes.get(ask.node());
-      pool = pools.get(ask.node());
+    ClientAttempt(ClientRequest request) {
+      this.request = request;
+      node = nodes.get(request.node());
+      pool = pools.get(request.node());
     }
 
     void start() {
@@ -112,47 +112,48 @@
 
     @Override
     public void connectFailed() {
-      asking.front().refused(timeline.now(), ask.node());
-      if (ask.asked()) {
-        history.accept(new HistoryEvent.ClientDisconnected(timeline.now(), ask.id()));
+      behavior.front().connectRefused(clock.now(), request.node());
+      if (request.sent()) {
+        history.accept(new HistoryEvent.ClientDisconnected(clock.now(), request.id()));
       }
-      again(0);
-      over = true;
+      scheduleRetry(0);
+      ended = true;
     }
 
     @Override
     public void connected(int to, boolean again) {
-      if (over) {
+      if (ended) {
         pool.release(to);
         return;
       }
-      life = to;
+      incarnation = to;
       reused = again;
-      long now = timeline.now();
-      if (ask.write(now)) {
-        timeline.runAt(ask.deadline() + ClientBehavior.LINGER, this::leave);
+      long now = clock.now();
+      if (request.markSent(now)) {
+        clock.runAt(
+            request.deadlineNanos() + ClientBehavior.LATE_RESPONSE_WAIT_NANOS, this::giveUp);
       }
-      history.accept(ask.event(now));
-      RequestArrival of = ask.of();
-      long span = Math.max(1, ask.deadline() - now);
+      history.accept(request.sentEvent(now));
+      RequestArrival arrival = request.arrival();
+      long waitNanos = Math.max(1, request.deadlineNanos() - now);
       network.send(
-          party,
-          host.peer(),
+          peer,
+          node.peer(),
           () -> {
-            if (host.incarnation() == life) {
-              host.receive(
+            if (node.incarnation() == incarnation) {
+              node.receive(
                   new Request(
-                      ask.id(),
-                      of.requestClass(),
-                      of.plan(),
-                      of.customer(),
+                      request.id(),
+                      arrival.requestClass(),
+                      arrival.plan(),
+                      arrival.customer(),
                       0,
                       1,
-                      ask.spread(),
-                      of.first(),
+                      request.spread(),
+                      arrival.first(),
                       false),
-                  span,
-                  ask.requestClass().keyed(),
+                  waitNanos,
+                  request.requestClass().keyed(),
                   this);
             } else {
               processDied();
@@ -161,17 +162,17 @@
     }
 
     @Override
-    public void respond(int status, long advice) {
+    public void respond(int status, long retryAfterNanos) {
       network.send(
-          host.peer(),
-          party,
+          node.peer(),
+          peer,
           () -> {
-            if (!over) {
-              over = true;
-              pool.release(life);
-              history.accept(new HistoryEvent.ResponseReceived(timeline.now(), ask.id(), status));
+            if (!ended) {
+              ended = true;
+              pool.release(incarnation);
+              history.accept(new HistoryEvent.ResponseReceived(clock.now(), request.id(), status));
               if (status != OK) {
-                again(advice);
+                scheduleRetry(retryAfterNanos);
               }
             }
           });
@@ -180,37 +181,38 @@
     @Override
     public void processDied() {
       network.send(
-          host.peer(),
-          party,
+          node.peer(),
+          peer,
           () -> {
-            if (!over && reused) {
+            if (!ended && reused) {
               pool.connect(this);
-            } else if (!over) {
-              over = true;
-              history.accept(new HistoryEvent.ConnectionBroken(timeline.now(), ask.id()));
-              again(0);
+            } else if (!ended) {
+              ended = true;
+              history.accept(new HistoryEvent.ConnectionBroken(clock.now(), request.id()));
+              scheduleRetry(0);
             }
           });
     }
 
     /** Asks again after a pause, if it may. */
-    private void again(long advice) {
-      long pause = ask.pause(timeline.now(), advice);
-      if (pause >= 0) {
-        timeline.runAfter(pause, () -> new ClientAttempt(ask.again(timeline.now())).start());
+    private void scheduleRetry(long retryAfterNanos) {
+      long delayNanos = request.retryDelayNanos(clock.now(), retryAfterNanos);
+      if (delayNanos >= 0) {
+        clock.runAfter(
+            delayNanos, () -> new ClientAttempt(request.nextAttempt(clock.now())).start());
       }
     }
 
-    private void leave() {
-      if (!over) {
-        over = true;
-        history.accept(new HistoryEvent.ClientDisconnected(timeline.now(), ask.id()));
+    private void giveUp() {
+      if (!ended) {
+        ended = true;
+        history.accept(new HistoryEvent.ClientDisconnected(clock.now(), request.id()));
         network.send(
-            party,
-            host.peer(),
+            peer,
+            node.peer(),
             () -> {
-              if (host.incarnation() == life) {
-                host.clientLeft(ask.id());
+              if (node.incarnation() == incarnation) {
+                node.clientLeft(request.id());
               }
             });
       }
--- a/testbed/src/main/java/edgegateway/testbed/simulation/SimulatedCounter.java
+++ b/testbed/src/main/java/edgegateway/testbed/simulation/SimulatedCounter.java
@@ -1,7 +1,7 @@
 package edgegateway.testbed.simulation;
 
 import edgegateway.testbed.fakes.FakeCounter;
-import edgegateway.testbed.fakes.FakeCounter.Answer;
+import edgegateway.testbed.fakes.FakeCounter.Reply;
 import edgegateway.testbed.fakes.FakeCounterSettings;
 import edgegateway.testbed.network.NetworkPeer;
 import java.util.function.Consumer;
@@ -38,12 +38,12 @@
   }
 
   private void poll() {
-    for (Answer<Consumer<Double>> one = counter.poll(clock.now());
+    for (Reply<Consumer<Double>> one = counter.poll(clock.now());
         one != null;
         one = counter.poll(clock.now())) {
       one.call().accept(one.total());
     }
-    long nextNanos = counter.next();
+    long nextNanos = counter.nextEventNanos();
     if (nextNanos < nextPollNanos) {
       nextPollNanos = nextNanos;
       clock.runAt(
--- a/testbed/src/main/java/edgegateway/testbed/simulation/SimulatedNode.java
+++ b/testbed/src/main/java/edgegateway/testbed/simulation/SimulatedNode.java
@@ -10,7 +10,7 @@
 import edgegateway.policy.api.PolicyActions;
 import edgegateway.policy.api.PolicySettings;
 import edgegateway.policy.api.Request;
-import edgegateway.testbed.fakes.FakeArchiveServer.Ending;
+import edgegateway.testbed.fakes.FakeArchiveServer.Completion;
 import edgegateway.testbed.network.NetworkPeer;
 import edgegateway.testbed.simulation.SimulationMeter.Activity;
 import java.util.ArrayList;
@@ -461,7 +461,7 @@
               environment.workNanosOf.applyAsLong(id),
               new SimulatedArchiveServer.Caller() {
                 @Override
-                public void ended(Ending how) {
+                public void ended(Completion how) {
                   attempt.serverDurationNanos = clock.now() - arrived;
                   returnToNode(
                       attempt,
@@ -472,9 +472,9 @@
                         endAttempt(
                             attempt,
                             switch (how) {
-                              case SERVED, REPEATED -> Outcome.OK;
+                              case SERVED, DEDUPLICATED -> Outcome.OK;
                               case FAILED -> Outcome.ERROR;
-                              case TURNED_AWAY -> Outcome.REJECTED;
+                              case REJECTED -> Outcome.REJECTED;
                             });
                       });
                 }
--- a/testbed/src/main/java/edgegateway/testbed/workload/ClientBehavior.java
+++ b/testbed/src/main/java/edgegateway/testbed/workload/ClientBehavior.java
@@ -12,12 +12,12 @@
    * So long after its time a client still looks for the answer, to tell one that is late from none;
    * nanoseconds.
    */
-  public static final long LINGER = 500_000_000L;
+  public static final long LATE_RESPONSE_WAIT_NANOS = 500_000_000L;
 
   private final List<String> nodes;
   private final List<WorkloadClass> classes;
   private final List<CustomerPlan> plans;
-  private final ClientRetryPolicy retries;
+  private final ClientRetryPolicy retryPolicy;
   private final FrontLoadBalancer front;
 
   /**
@@ -28,13 +28,13 @@
       List<String> nodes,
       List<WorkloadClass> classes,
       List<CustomerPlan> plans,
-      ClientRetryPolicy retries,
-      long notice) {
+      ClientRetryPolicy retryPolicy,
+      long detectionNanos) {
     this.nodes = nodes;
     this.classes = classes;
     this.plans = plans;
-    this.retries = retries;
-    front = new FrontLoadBalancer(nodes.size(), notice);
+    this.retryPolicy = retryPolicy;
+    front = new FrontLoadBalancer(nodes.size(), detectionNanos);
   }
 
   /** What it knows of the edge nodes. */
@@ -48,33 +48,34 @@
   }
 
   /** The first try of a request that arrives now. */
-  public ClientRequest first(RequestArrival of, long now) {
-    return new ClientRequest(of, 0, 0, now);
+  public ClientRequest first(RequestArrival arrival, long nowNanos) {
+    return new ClientRequest(arrival, 0, 0, nowNanos);
   }
 
   /** One try of a request. */
   public final class ClientRequest {
-    private final RequestArrival of;
+    private final RequestArrival arrival;
     private final String id;
-    private final int number;
+    private final int attempt;
     private final int spread;
     private final int node;
-    private long deadline;
-    private boolean asked;
+    private long deadlineNanos;
+    private boolean sent;
 
     /** {@code until} is the first try's deadline; 0 for the first one itself. */
-    private ClientRequest(RequestArrival of, int number, long until, long now) {
-      this.of = of;
-      this.number = number;
-      id = ClientRetryPolicy.id(of.id(), number);
-      deadline = until;
-      spread = Math.min(plans.get(of.plan()).spread(), nodes.size());
-      node = front.pick(now, of, spread);
+    private ClientRequest(
+        RequestArrival arrival, int attempt, long firstDeadlineNanos, long nowNanos) {
+      this.arrival = arrival;
+      this.attempt = attempt;
+      id = ClientRetryPolicy.id(arrival.id(), attempt);
+      deadlineNanos = firstDeadlineNanos;
+      spread = Math.min(plans.get(arrival.plan()).spread(), nodes.size());
+      node = front.pick(nowNanos, arrival, spread);
     }
 
     /** The request. */
-    public RequestArrival of() {
-      return of;
+    public RequestArrival arrival() {
+      return arrival;
     }
 
     /** The try's own id. */
@@ -94,52 +95,59 @@
 
     /** Its class. */
     public WorkloadClass requestClass() {
-      return classes.get(of.requestClass());
+      return classes.get(arrival.requestClass());
     }
 
     /** Its plan. */
     public CustomerPlan plan() {
-      return plans.get(of.plan());
+      return plans.get(arrival.plan());
     }
 
     /** When its client stops waiting; told once it was written. */
-    public long deadline() {
-      return deadline;
+    public long deadlineNanos() {
+      return deadlineNanos;
     }
 
     /** Whether it was written to a connection. */
-    public boolean asked() {
-      return asked;
+    public boolean sent() {
+      return sent;
     }
 
     /** It is about to be written; whether for the first time. */
-    public boolean write(long now) {
-      boolean first = !asked;
-      asked = true;
-      deadline = deadline == 0 ? now + of.deadline() : deadline;
+    public boolean markSent(long nowNanos) {
+      boolean first = !sent;
+      sent = true;
+      deadlineNanos = deadlineNanos == 0 ? nowNanos + arrival.deadline() : deadlineNanos;
       return first;
     }
 
     /** That it was written, for the judge. */
-    public HistoryEvent.RequestSent event(long now) {
+    public HistoryEvent.RequestSent sentEvent(long nowNanos) {
       return new HistoryEvent.RequestSent(
-          now, id, nodes.get(node), of.customer(), of.plan(), of.requestClass(), deadline);
+          nowNanos,
+          id,
+          nodes.get(node),
+          arrival.customer(),
+          arrival.plan(),
+          arrival.requestClass(),
+          deadlineNanos);
     }
 
     /**
-     * It came to nothing now: how long its client pauses before {@link #again}, in nanoseconds, or
-     * -1 if it asks no more. Who never reached a node has all its time from now on.
+     * It came to nothing now: how long its client pauses before {@link #nextAttempt}, in
+     * nanoseconds, or -1 if it asks no more. Who never reached a node has all its time from now on.
      *
-     * @param advice as it was told, in nanoseconds; 0 for none
+     * @param retryAfterNanos as it was told, in nanoseconds; 0 for none
      */
-    public long pause(long now, long advice) {
-      deadline = deadline == 0 ? now + of.deadline() : deadline;
-      return retries.pause(of.id(), number + 1, advice, deadline - now);
+    public long retryDelayNanos(long nowNanos, long retryAfterNanos) {
+      deadlineNanos = deadlineNanos == 0 ? nowNanos + arrival.deadline() : deadlineNanos;
+      return retryPolicy.delayNanos(
+          arrival.id(), attempt + 1, retryAfterNanos, deadlineNanos - nowNanos);
     }
 
     /** The next try, after its pause. */
-    public ClientRequest again(long now) {
-      return new ClientRequest(of, number + 1, deadline, now);
+    public ClientRequest nextAttempt(long nowNanos) {
+      return new ClientRequest(arrival, attempt + 1, deadlineNanos, nowNanos);
     }
   }
 }
--- a/testbed/src/main/java/edgegateway/testbed/workload/HttpClients.java
+++ b/testbed/src/main/java/edgegateway/testbed/workload/HttpClients.java
@@ -37,62 +37,62 @@
  * is up, and comes again if it may.
  */
 public final class HttpClients {
-  private static final long MS = 1_000_000L;
-  private static final double SECOND = 1e9;
-  private static final int MOST_BODY = 1 << 16;
-  private static final int CONNECT_MS = 1_000;
-  private static final int HEALTH_MS = 100;
-  private static final int OK = 200;
-  private static final String HEALTH = "/_health";
+  private static final long NANOS_PER_MILLI = 1_000_000L;
+  private static final double NANOS_PER_SECOND = 1e9;
+  private static final int MAX_BODY_BYTES = 1 << 16;
+  private static final int CONNECT_TIMEOUT_MILLIS = 1_000;
+  private static final int HEALTH_CHECK_MILLIS = 100;
+  private static final int STATUS_OK = 200;
+  private static final String HEALTH_PATH = "/_health";
 
   private final EventLoop loop;
-  private final IntFunction<InetSocketAddress> door;
-  private final ClientBehavior asking;
+  private final IntFunction<InetSocketAddress> addressOf;
+  private final ClientBehavior behavior;
   private final Consumer<HistoryEvent> history;
   private final List<ArrayDeque<Channel>> idle = new ArrayList<>();
   private final CompletableFuture<Void> done = new CompletableFuture<>();
   private List<RequestArrival> arrivals;
-  private long begun;
+  private long startNanos;
   private int next;
   private int open;
 
   /**
    * Nothing is sent yet.
    *
-   * @param door where the front reaches a node, by number; asked for each connection
+   * @param addressOf where the front reaches a node, by number; asked for each connection
    * @param history hears what was asked and answered, on the loop
    */
   public HttpClients(
       EventLoop loop,
-      IntFunction<InetSocketAddress> door,
-      ClientBehavior asking,
+      IntFunction<InetSocketAddress> addressOf,
+      ClientBehavior behavior,
       Consumer<HistoryEvent> history) {
     this.loop = loop;
-    this.door = door;
-    this.asking = asking;
+    this.addressOf = addressOf;
+    this.behavior = behavior;
     this.history = history;
-    for (int i = 0; i < asking.nodes(); i++) {
+    for (int i = 0; i < behavior.nodes(); i++) {
       idle.add(new ArrayDeque<>());
     }
   }
 
   /** Sends all at their times from now on; completes when each has ended. */
-  public CompletableFuture<Void> play(List<RequestArrival> all) {
+  public CompletableFuture<Void> sendAll(List<RequestArrival> all) {
     loop.execute(
         () -> {
           arrivals = all;
-          begun = System.nanoTime();
-          loop.schedule(this::askHealth, HEALTH_MS, TimeUnit.MILLISECONDS);
+          startNanos = System.nanoTime();
+          loop.schedule(this::checkHealth, HEALTH_CHECK_MILLIS, TimeUnit.MILLISECONDS);
           send();
         });
     return done;
   }
 
   private void send() {
-    long now = System.nanoTime() - begun;
+    long now = System.nanoTime() - startNanos;
     while (next < arrivals.size() && arrivals.get(next).at() <= now) {
       open++;
-      new ClientAttempt(asking.first(arrivals.get(next++), System.nanoTime())).start();
+      new ClientAttempt(behavior.first(arrivals.get(next++), System.nanoTime())).start();
     }
     if (next < arrivals.size()) {
       loop.schedule(this::send, arrivals.get(next).at() - now, TimeUnit.NANOSECONDS);
@@ -101,15 +101,15 @@
     }
   }
 
-  private void askHealth() {
-    for (int i = 0; i < asking.nodes(); i++) {
-      if (asking.front().doubted(i)) {
+  private void checkHealth() {
+    for (int i = 0; i < behavior.nodes(); i++) {
+      if (behavior.front().needsHealthCheck(i)) {
         int node = i;
         connect(node, new HealthCheck(node));
       }
     }
     if (!done.isDone()) {
-      loop.schedule(this::askHealth, HEALTH_MS, TimeUnit.MILLISECONDS);
+      loop.schedule(this::checkHealth, HEALTH_CHECK_MILLIS, TimeUnit.MILLISECONDS);
     }
   }
 
@@ -117,24 +117,24 @@
     return new Bootstrap()
         .group(loop)
         .channel(NioSocketChannel.class)
-        .option(ChannelOption.CONNECT_TIMEOUT_MILLIS, CONNECT_MS)
+        .option(ChannelOption.CONNECT_TIMEOUT_MILLIS, CONNECT_TIMEOUT_MILLIS)
         .option(ChannelOption.TCP_NODELAY, true)
         .handler(
             new ChannelInitializer<Channel>() {
               @Override
               protected void initChannel(Channel made) {
                 made.pipeline()
-                    .addLast(new HttpClientCodec(), new HttpObjectAggregator(MOST_BODY), user);
+                    .addLast(new HttpClientCodec(), new HttpObjectAggregator(MAX_BODY_BYTES), user);
               }
             })
-        .connect(door.apply(node));
+        .connect(addressOf.apply(node));
   }
 
   /** What {@code Retry-After} says, in nanoseconds; 0 if nothing that can be used. */
-  private static long advice(FullHttpResponse answer) {
+  private static long retryAfterNanos(FullHttpResponse answer) {
     try {
       double seconds = Double.parseDouble(answer.headers().get(HttpHeaderNames.RETRY_AFTER, "0"));
-      return seconds > 0 ? (long) Math.min(Long.MAX_VALUE, seconds * SECOND) : 0;
+      return seconds > 0 ? (long) Math.min(Long.MAX_VALUE, seconds * NANOS_PER_SECOND) : 0;
     } catch (NumberFormatException e) {
       return 0;
     }
@@ -157,13 +157,13 @@
 
     @Override
     public void channelActive(ChannelHandlerContext context) {
-      context.writeAndFlush(request(HttpMethod.GET, HEALTH));
+      context.writeAndFlush(request(HttpMethod.GET, HEALTH_PATH));
     }
 
     @Override
-    protected void channelRead0(ChannelHandlerContext context, FullHttpResponse answer) {
-      if (answer.status().code() == OK) {
-        asking.front().healthy(node);
+    protected void channelRead0(ChannelHandlerContext context, FullHttpResponse response) {
+      if (response.status().code() == STATUS_OK) {
+        behavior.front().healthy(node);
       }
       context.close();
     }
@@ -185,16 +185,16 @@
     }
 
     @Override
-    protected void channelRead0(ChannelHandlerContext context, FullHttpResponse answer) {
-      ClientAttempt answered = current;
+    protected void channelRead0(ChannelHandlerContext context, FullHttpResponse response) {
+      ClientAttempt finished = current;
       current = null;
-      if (HttpUtil.isKeepAlive(answer)) {
+      if (HttpUtil.isKeepAlive(response)) {
         idle.get(node).push(context.channel());
       } else {
         context.close();
       }
-      if (answered != null) {
-        answered.answered(answer.status().code(), advice(answer));
+      if (finished != null) {
+        finished.responseReceived(response.status().code(), retryAfterNanos(response));
       }
     }
 
@@ -202,7 +202,7 @@
     public void channelInactive(ChannelHandlerContext context) {
       idle.get(node).remove(context.channel());
       if (current != null) {
-        current.broken();
+        current.connectionBroken();
       }
     }
 
@@ -214,15 +214,15 @@
 
   /** One request on its way. */
   private final class ClientAttempt {
-    private final ClientRequest ask;
+    private final ClientRequest request;
     private final int node;
-    private Channel on;
+    private Channel channel;
     private boolean reused;
-    private boolean over;
+    private boolean ended;
 
-    ClientAttempt(ClientRequest ask) {
-      this.ask = ask;
-      node = ask.node();
+    ClientAttempt(ClientRequest request) {
+      this.request = request;
+      node = request.node();
     }
 
     void start() {
@@ -244,59 +244,64 @@
                     if (made.isSuccess()) {
                       write(made.channel());
                     } else {
-                      asking.front().refused(System.nanoTime(), node);
-                      if (ask.asked()) {
+                      behavior.front().connectRefused(System.nanoTime(), node);
+                      if (request.sent()) {
                         // Written once to a connection that was closed already, and nobody is there
                         // now.
                         history.accept(
-                            new HistoryEvent.ClientDisconnected(System.nanoTime(), ask.id()));
+                            new HistoryEvent.ClientDisconnected(System.nanoTime(), request.id()));
                       }
-                      again(0);
+                      scheduleRetry(0);
                       end();
                     }
                   });
     }
 
     private void write(Channel to) {
-      on = to;
+      channel = to;
       long now = System.nanoTime();
-      if (ask.write(now)) {
+      if (request.markSent(now)) {
         loop.schedule(
-            this::leave, ask.deadline() - now + ClientBehavior.LINGER, TimeUnit.NANOSECONDS);
+            this::giveUp,
+            request.deadlineNanos() - now + ClientBehavior.LATE_RESPONSE_WAIT_NANOS,
+            TimeUnit.NANOSECONDS);
       }
-      boolean keyed = ask.requestClass().keyed();
-      DefaultFullHttpRequest request = request(keyed ? HttpMethod.POST : HttpMethod.GET, "/api");
-      request
+      boolean hasIdempotencyKey = request.requestClass().keyed();
+      DefaultFullHttpRequest message =
+          request(hasIdempotencyKey ? HttpMethod.POST : HttpMethod.GET, "/api");
+      message
           .headers()
-          .set("X-Trace-Id", ask.id())
-          .set("X-Qos", ask.requestClass().name())
-          .set("X-Plan", ask.plan().name())
-          .set("Cookie", String.format(Locale.ROOT, "customer=%016x", ask.of().customer()))
-          .set("X-Expires-In-Ms", Math.max(1, (ask.deadline() - now) / MS))
-          .set("X-Quota", "units=1,spread=" + ask.spread() + ",first=" + ask.of().first());
-      if (keyed) {
-        request.headers().set("Idempotency-Key", "k" + ask.of().id());
+          .set("X-Trace-Id", request.id())
+          .set("X-Qos", request.requestClass().name())
+          .set("X-Plan", request.plan().name())
+          .set("Cookie", String.format(Locale.ROOT, "customer=%016x", request.arrival().customer()))
+          .set("X-Expires-In-Ms", Math.max(1, (request.deadlineNanos() - now) / NANOS_PER_MILLI))
+          .set(
+              "X-Quota",
+              "units=1,spread=" + request.spread() + ",first=" + request.arrival().first());
+      if (hasIdempotencyKey) {
+        message.headers().set("Idempotency-Key", "k" + request.arrival().id());
       }
-      history.accept(ask.event(now));
-      to.writeAndFlush(request);
+      history.accept(request.sentEvent(now));
+      to.writeAndFlush(message);
     }
 
-    void answered(int status, long advice) {
-      history.accept(new HistoryEvent.ResponseReceived(System.nanoTime(), ask.id(), status));
-      if (status != OK) {
-        again(advice);
+    void responseReceived(int status, long retryAfterNanos) {
+      history.accept(new HistoryEvent.ResponseReceived(System.nanoTime(), request.id(), status));
+      if (status != STATUS_OK) {
+        scheduleRetry(retryAfterNanos);
       }
       end();
     }
 
     /** Asks again after a pause, if it may. */
-    private void again(long advice) {
-      long pause = over ? -1 : ask.pause(System.nanoTime(), advice);
-      if (pause >= 0) {
+    private void scheduleRetry(long retryAfterNanos) {
+      long delayNanos = ended ? -1 : request.retryDelayNanos(System.nanoTime(), retryAfterNanos);
+      if (delayNanos >= 0) {
         open++;
         loop.schedule(
-            () -> new ClientAttempt(ask.again(System.nanoTime())).start(),
-            pause,
+            () -> new ClientAttempt(request.nextAttempt(System.nanoTime())).start(),
+            delayNanos,
             TimeUnit.NANOSECONDS);
       }
     }
@@ -305,32 +310,32 @@
      * The close of an idle connection may have crossed the request: that is sent once more on a new
      * one (protocol).
      */
-    void broken() {
-      if (reused && !over) {
+    void connectionBroken() {
+      if (reused && !ended) {
         reused = false;
         open();
         return;
       }
-      if (!over) {
-        history.accept(new HistoryEvent.ConnectionBroken(System.nanoTime(), ask.id()));
-        again(0);
+      if (!ended) {
+        history.accept(new HistoryEvent.ConnectionBroken(System.nanoTime(), request.id()));
+        scheduleRetry(0);
       }
       end();
     }
 
-    private void leave() {
-      if (!over) {
-        history.accept(new HistoryEvent.ClientDisconnected(System.nanoTime(), ask.id()));
+    private void giveUp() {
+      if (!ended) {
+        history.accept(new HistoryEvent.ClientDisconnected(System.nanoTime(), request.id()));
         end();
-        if (on != null) {
-          on.close();
+        if (channel != null) {
+          channel.close();
         }
       }
     }
 
     private void end() {
-      if (!over) {
-        over = true;
+      if (!ended) {
+        ended = true;
         open--;
         if (open == 0 && next == arrivals.size()) {
           done.complete(null);
--- a/testbed/src/test/java/edgegateway/testbed/fakes/FakeCounterTest.java
+++ b/testbed/src/test/java/edgegateway/testbed/fakes/FakeCounterTest.java
@@ -5,7 +5,7 @@
 import static org.junit.jupiter.api.Assertions.assertThrows;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import edgegateway.testbed.fakes.FakeCounter.Answer;
+import edgegateway.testbed.fakes.FakeCounter.Reply;
 import java.util.HashMap;
 import java.util.Map;
 import java.util.SplittableRandom;
@@ -30,16 +30,16 @@
       Map<String, Integer> last = new HashMap<>();
       long at = 0;
       int answered = 0;
-      for (int i = 0; i < 400 || counter.next() != Long.MAX_VALUE; i++) {
+      for (int i = 0; i < 400 || counter.nextEventNanos() != Long.MAX_VALUE; i++) {
         if (i < 400) {
           at += chance.nextLong(2 * MS);
           names.put(i, "n" + chance.nextInt(5));
           amounts.put(i, chance.nextInt(9) - 2.0);
           counter.call(at, i, names.get(i), amounts.get(i), 50 * SECOND);
         } else {
-          at = counter.next();
+          at = counter.nextEventNanos();
         }
-        for (Answer<Integer> one = counter.poll(at); one != null; one = counter.poll(at)) {
+        for (Reply<Integer> one = counter.poll(at); one != null; one = counter.poll(at)) {
           answered++;
           String name = names.get(one.call());
           if (one.total() != null) {
@@ -62,14 +62,14 @@
     for (int i = 0; i < 5; i++) {
       counter.call(0, i, "n", 1, SECOND);
     }
-    assertEquals(new Answer<>(3, null), counter.poll(0));
-    assertEquals(new Answer<>(4, null), counter.poll(0));
+    assertEquals(new Reply<>(3, null), counter.poll(0));
+    assertEquals(new Reply<>(4, null), counter.poll(0));
     assertNull(counter.poll(MS - 1));
-    assertEquals(new Answer<>(0, 1.0), counter.poll(MS));
+    assertEquals(new Reply<>(0, 1.0), counter.poll(MS));
     counter.slow(MS, 5);
-    assertEquals(new Answer<>(1, 2.0), counter.poll(2 * MS));
-    assertEquals(7 * MS, counter.next());
-    assertEquals(new Answer<>(2, 3.0), counter.poll(7 * MS));
+    assertEquals(new Reply<>(1, 2.0), counter.poll(2 * MS));
+    assertEquals(7 * MS, counter.nextEventNanos());
+    assertEquals(new Reply<>(2, 3.0), counter.poll(7 * MS));
   }
 
   @Test
@@ -107,10 +107,10 @@
     counter.lose(2 * SECOND, 0);
     counter.call(2 * SECOND, -2, "n", 1, SECOND);
     assertNull(counter.poll(9 * SECOND), "an answer of a part that is gone");
-    assertEquals(Long.MAX_VALUE, counter.next());
+    assertEquals(Long.MAX_VALUE, counter.nextEventNanos());
     counter.restore(9 * SECOND, 0);
     counter.call(9 * SECOND, -3, "n", 1, SECOND);
-    assertEquals(new Answer<>(-3, 1.0), counter.poll(10 * SECOND));
+    assertEquals(new Reply<>(-3, 1.0), counter.poll(10 * SECOND));
   }
 
   @Test
--- a/testbed/src/test/java/edgegateway/testbed/fakes/FakeDiscoveryAgentTest.java
+++ b/testbed/src/test/java/edgegateway/testbed/fakes/FakeDiscoveryAgentTest.java
@@ -47,14 +47,14 @@
                   7, true, List.of(member(0, Phase.READY), member(1, Phase.READY))));
       Map<String, DiscoveryMember> early = new TreeMap<>();
       Map<String, DiscoveryMember> late = new TreeMap<>();
-      read(early, agent.whole());
+      read(early, agent.fullList());
       FakeDiscoveryWatch first = new FakeDiscoveryWatch(agent, 0, 7);
       FakeDiscoveryWatch second = null;
       long at = 0;
       int changes = 10 + chance.nextInt(150);
       for (int i = 1; i <= changes; i++) {
         at += chance.nextLong(300 * MS);
-        agent.silent(chance.nextInt(4) == 0);
+        agent.silenced(chance.nextInt(4) == 0);
         agent.send(
             at,
             change(7 + i, chance.nextInt(6), Phase.values()[chance.nextInt(3)]),
@@ -65,13 +65,13 @@
         }
         if (second == null && chance.nextInt(20) == 0) {
           second = new FakeDiscoveryWatch(agent, at, agent.revision());
-          read(late, agent.whole());
+          read(late, agent.fullList());
         }
       }
-      agent.silent(false);
+      agent.silenced(false);
       read(early, first.poll(at + 10 * SECOND));
       Map<String, DiscoveryMember> held =
-          agent.whole().members().stream()
+          agent.fullList().members().stream()
               .collect(Collectors.toMap(DiscoveryMember::id, Function.identity()));
       assertEquals(held, early, "seed " + seed);
       if (second != null) {
@@ -99,10 +99,10 @@
         new DiscoveryMessage(3, false, List.of()),
         watch.poll(2_500 * MS),
         "no line though nothing changed");
-    agent.silent(true);
+    agent.silenced(true);
     agent.send(3 * SECOND, change(4, 0, Phase.GONE), 0);
     assertNull(watch.poll(20 * SECOND));
-    agent.silent(false);
+    agent.silenced(false);
     assertEquals(4, watch.poll(20 * SECOND).revision());
   }
 
@@ -110,15 +110,15 @@
   void whoIsTooFarBehindOrFromElsewhereGetsTheWholeList() {
     FakeDiscoveryAgent agent =
         new FakeDiscoveryAgent(new DiscoveryMessage(100, true, List.of(member(0, Phase.READY))));
-    assertTrue(agent.since(99).complete());
-    assertTrue(agent.since(101).complete());
-    assertFalse(agent.since(100).complete());
+    assertTrue(agent.changesSince(99).complete());
+    assertTrue(agent.changesSince(101).complete());
+    assertFalse(agent.changesSince(100).complete());
     for (int i = 1; i <= 70; i++) {
       agent.send(0, change(100 + i, i % 3, Phase.READY), 0);
     }
-    agent.advance(0);
-    assertTrue(agent.since(105).complete());
-    assertFalse(agent.since(106).complete());
-    assertEquals(3, agent.since(106).members().size());
+    agent.advanceTo(0);
+    assertTrue(agent.changesSince(105).complete());
+    assertFalse(agent.changesSince(106).complete());
+    assertEquals(3, agent.changesSince(106).members().size());
   }
 }
--- a/testbed/src/test/java/edgegateway/testbed/fakes/http/HttpFakesTest.java
+++ b/testbed/src/test/java/edgegateway/testbed/fakes/http/HttpFakesTest.java
@@ -118,7 +118,7 @@
               }
 
               @Override
-              public void ended(long at, String id, FakeArchiveServer.Ending how) {
+              public void ended(long at, String id, FakeArchiveServer.Completion how) {
                 history.add(id + " " + how);
               }
             });
@@ -188,7 +188,7 @@
     new Client(busy).send("POST /tally/a?n=1&keep_ms=1");
     boolean[] waits = new boolean[1];
     while (!waits[0]) {
-      busy.on(core -> waits[0] = core.next() != Long.MAX_VALUE);
+      busy.on(core -> waits[0] = core.nextEventNanos() != Long.MAX_VALUE);
     }
     assertEquals("503", new Client(busy).send("POST /tally/a?n=1&keep_ms=1").answer());
   }
@@ -276,7 +276,7 @@
               }
 
               @Override
-              public void ended(long at, String id, FakeArchiveServer.Ending how) {
+              public void ended(long at, String id, FakeArchiveServer.Completion how) {
                 history.add(id + " " + how);
               }
             });
--- a/testbed/src/test/java/edgegateway/testbed/fleet/FleetTest.java
+++ b/testbed/src/test/java/edgegateway/testbed/fleet/FleetTest.java
@@ -64,8 +64,8 @@
       }
 
       @Override
-      public void ended(long at, String id, FakeArchiveServer.Ending how) {
-        if (how != FakeArchiveServer.Ending.TURNED_AWAY) {
+      public void ended(long at, String id, FakeArchiveServer.Completion how) {
+        if (how != FakeArchiveServer.Completion.REJECTED) {
           served.put(id, server);
         }
       }
--- a/testbed/src/test/java/edgegateway/testbed/workload/FrontLoadBalancerTest.java
+++ b/testbed/src/test/java/edgegateway/testbed/workload/FrontLoadBalancerTest.java
@@ -14,19 +14,19 @@
   @Test
   void aDeadNodeIsNoticedLateAndTakenInByItsHealth() {
     FrontLoadBalancer front = new FrontLoadBalancer(5, 100);
-    assertFalse(front.doubted(4));
-    front.refused(10, 4);
-    front.refused(90, 4);
-    assertTrue(front.doubted(4));
+    assertFalse(front.needsHealthCheck(4));
+    front.connectRefused(10, 4);
+    front.connectRefused(90, 4);
+    assertTrue(front.needsHealthCheck(4));
     assertEquals(4, front.pick(109, to(3, 4), 3));
     assertEquals(0, front.pick(110, to(3, 4), 3), "the next of its set, counted round");
     assertEquals(3, front.pick(110, to(3, 3), 3));
-    front.refused(200, 0);
+    front.connectRefused(200, 0);
     assertEquals(3, front.pick(300, to(3, 4), 3));
-    front.refused(200, 3);
+    front.connectRefused(200, 3);
     assertEquals(4, front.pick(300, to(3, 4), 3), "all are out");
     front.healthy(4);
     assertEquals(4, front.pick(300, to(3, 4), 3));
-    assertFalse(front.doubted(4));
+    assertFalse(front.needsHealthCheck(4));
   }
 }
