--- a/edge/src/main/java/edgegateway/node/EdgeNode.java
+++ b/edge/src/main/java/edgegateway/node/EdgeNode.java
@@ -458,7 +458,7 @@
   /** No descriptor is left for an operator's call: clients give up some of theirs. */
   @Override
   public void descriptorsExhausted() {
-    loop.execute(clients::exhausted);
+    loop.execute(clients::descriptorsExhausted);
   }
 
   /**
@@ -469,9 +469,9 @@
     budget =
         DescriptorBudget.of(
             config.connections(), config.sockets(), processes, upstreamPool.endpointCount());
-    clients.bound(budget);
+    clients.applyBudget(budget);
     upstreamPool.applyBudget(budget);
-    bufferedBodies.bound(budget);
+    bufferedBodies.applyBudget(budget);
     return budget;
   }
 
@@ -569,7 +569,7 @@
    */
   @Override
   public boolean healthy() {
-    return admitted && discovery.hasStarted() && (!clients.draining() || clients.succeeded());
+    return admitted && discovery.hasStarted() && (!clients.draining() || clients.isSuperseded());
   }
 
   /** The deadline that the module is told, for a client that waits {@code span} from now. */
@@ -617,8 +617,8 @@
    * over, at {@code due}.
    */
   private void backstop(InFlightRequest of, long due) {
-    of.due = due;
-    of.overdue = at(due - LAST_MOMENT, () -> overdue(of));
+    of.clientDeadlineNanos = due;
+    of.clientDeadlineTimer = at(due - LAST_MOMENT, () -> overdue(of));
   }
 
   private Future<?> at(long time, Runnable task) {
@@ -644,16 +644,17 @@
   @Override
   public Channel responseStarted(
       InFlightRequest of, long length, long took, String server, Runnable gone) {
-    InFlightRequest.ResponseWriter answers = of.answerOnce();
+    InFlightRequest.ResponseWriter answers = of.claimResponse();
     if (answers == null) {
       return null;
     }
     // The module's deadline does not bind what follows, and the server has done its work.
     tellEnd(of, Outcome.OK, took, server, 0);
-    of.attemptOut = false;
+    of.attemptInFlight = false;
     settle(of);
-    Channel to = answers.begun(length, gone);
-    of.overdue = at(of.due - LAST_MOMENT, answers::cut);
+    Channel to = answers.startStream(length, gone);
+    of.clientDeadlineTimer =
+        at(of.clientDeadlineNanos - LAST_MOMENT, answers::abortUnfinishedResponse);
     return to;
   }
 
@@ -665,8 +666,8 @@
   }
 
   private static void cancelBackstop(InFlightRequest of) {
-    if (of.overdue != null) {
-      of.overdue.cancel(false);
+    if (of.clientDeadlineTimer != null) {
+      of.clientDeadlineTimer.cancel(false);
     }
   }
 
@@ -674,7 +675,7 @@
     if (!late.answered) {
       fail(late);
       event(null, now -> policy.clientDisconnected(now, late.request.id()));
-      late.withdraw();
+      late.cancelUnsentAttempt();
     }
   }
 
@@ -686,7 +687,7 @@
     if (answerOnce(gone, null) != null) {
       settle(gone);
       event(gone, now -> policy.clientDisconnected(now, gone.request.id()));
-      gone.withdraw();
+      gone.cancelUnsentAttempt();
     }
   }
 
@@ -698,15 +699,15 @@
   public void clientPossiblyDisconnected(InFlightRequest unsure) {
     unsure.lastAttempt = true;
     event(unsure, now -> policy.clientDisconnected(now, unsure.request.id()));
-    unsure.withdraw();
-    if (!unsure.attemptOut) {
+    unsure.cancelUnsentAttempt();
+    if (!unsure.attemptInFlight) {
       endLast(unsure);
     }
   }
 
   /** No attempt follows: refused if none may have run. */
   private void endLast(InFlightRequest of) {
-    if (of.mayHaveRunSince == Long.MIN_VALUE) {
+    if (of.firstPossibleExecutionNanos == Long.MIN_VALUE) {
       reject(of.request.id(), 0);
     } else {
       fail(of);
@@ -717,11 +718,11 @@
   @Override
   public void attemptEnded(
       InFlightRequest of, Outcome outcome, long took, String server, double units, ByteBuf body) {
-    of.attemptOut = false;
+    of.attemptInFlight = false;
     if (outcome == Outcome.OK) {
       InFlightRequest.ResponseWriter answers = answerOnce(of, RequestEnd.PASSED);
       if (answers != null) {
-        answers.served(body);
+        answers.sendResponse(body);
       }
     }
     tellEnd(of, outcome, took, server, units);
@@ -746,7 +747,7 @@
 
   /** The one place that settles how a request ends; null if that is settled already. */
   private InFlightRequest.ResponseWriter answerOnce(InFlightRequest of, RequestEnd how) {
-    InFlightRequest.ResponseWriter answers = of.answerOnce();
+    InFlightRequest.ResponseWriter answers = of.claimResponse();
     if (answers != null) {
       figures.ended(of.request.requestClass(), how);
     }
@@ -769,7 +770,7 @@
 
   /** Forgets a request once it is answered and no attempt of it is out. */
   private void settle(InFlightRequest of) {
-    if (of.answered && !of.attemptOut && inFlight.remove(of.request.id(), of)) {
+    if (of.answered && !of.attemptInFlight && inFlight.remove(of.request.id(), of)) {
       cancelBackstop(of);
       of.release();
     }
@@ -778,14 +779,14 @@
   @Override
   public void sendAttempt(String id, String server, long patience) {
     InFlightRequest of = inFlight.get(id);
-    if (of == null || of.answered || of.attemptOut) {
+    if (of == null || of.answered || of.attemptInFlight) {
       if (of != null) {
         LOG.warn("attempt_not_allowed", field("error", new IllegalStateException(id)));
       }
       return;
     }
     of.attempts++;
-    of.attemptOut = true;
+    of.attemptInFlight = true;
     upstreamPool.send(of, server, patience);
   }
 
@@ -794,7 +795,7 @@
     InFlightRequest of = inFlight.get(id);
     InFlightRequest.ResponseWriter answers = of == null ? null : answerOnce(of, RequestEnd.DROPPED);
     if (answers != null) {
-      answers.refused(retryAfter);
+      answers.sendRejection(retryAfter);
       settle(of);
     }
   }
@@ -810,7 +811,7 @@
   private void fail(InFlightRequest of) {
     InFlightRequest.ResponseWriter answers = answerOnce(of, RequestEnd.BAD_GATEWAY);
     if (answers != null) {
-      answers.failed();
+      answers.sendFailure();
       settle(of);
     }
   }
--- a/edge/src/main/java/edgegateway/node/clients/ClientHttpServer.java
+++ b/edge/src/main/java/edgegateway/node/clients/ClientHttpServer.java
@@ -4,6 +4,7 @@
 
 import edgegateway.node.config.NodeConfig;
 import edgegateway.node.connections.BufferedBodies;
+import edgegateway.node.connections.ClientConnection;
 import edgegateway.node.connections.ClientConnectionTable;
 import edgegateway.node.connections.ConnectionAcceptor;
 import edgegateway.node.connections.ConnectionMetrics;
@@ -75,7 +76,7 @@
   private static final long MAX_CUSTOMER = 1L << 33;
   private static final long LOOK_MS = 200;
   private static final long LINGER_MS = 1_000;
-  private static final long GRACE_MS = ClientConnectionTable.DRAIN_GRACE / 1_000_000;
+  private static final long GRACE_MS = ClientConnectionTable.DRAIN_GRACE_NANOS / 1_000_000;
 
   /**
    * When a client that ended its sending is asked whether it is still there, in milliseconds after
@@ -133,7 +134,7 @@
   private Future<?> grace;
 
   private volatile CompletableFuture<Void> drained;
-  private volatile boolean succeeded;
+  private volatile boolean isSuperseded;
 
   /** Null until it was begun to listen. */
   private CompletableFuture<Void> binding;
@@ -155,12 +156,14 @@
     this.config = config;
     table =
         new ClientConnectionTable(
-            () -> ConnectionAcceptor.afterNextSelect(loop, () -> table().step(System.nanoTime())),
+            () ->
+                ConnectionAcceptor.afterNextSelect(
+                    loop, () -> table().evictSelected(System.nanoTime())),
             connectionMetrics);
-    listener = new ConnectionAcceptor(loop, this::exhausted);
+    listener = new ConnectionAcceptor(loop, this::descriptorsExhausted);
     tls = config.tls() == null ? null : new TlsTermination(config.tls(), connectionMetrics);
     loop.scheduleAtFixedRate(
-        () -> table.look(System.nanoTime()), LOOK_MS, LOOK_MS, TimeUnit.MILLISECONDS);
+        () -> table.enforceTimeouts(System.nanoTime()), LOOK_MS, LOOK_MS, TimeUnit.MILLISECONDS);
   }
 
   private ClientConnectionTable table() {
@@ -168,14 +171,14 @@
   }
 
   /** Follows a new budget. */
-  public void bound(DescriptorBudget budget) {
-    table.bound(System.nanoTime(), budget);
+  public void applyBudget(DescriptorBudget budget) {
+    table.applyBudget(System.nanoTime(), budget);
   }
 
   /** No descriptor is left, whatever the budget says: clients give up some of theirs. */
-  public void exhausted() {
-    if (table.exhausted(System.nanoTime())) {
-      LOG.warn("client_descriptors_exhausted", field("connections", table.open()));
+  public void descriptorsExhausted() {
+    if (table.descriptorsExhausted(System.nanoTime())) {
+      LOG.warn("client_descriptors_exhausted", field("connections", table.openCount()));
     }
   }
 
@@ -197,7 +200,7 @@
     RequestDecoder decoder = new RequestDecoder();
     Session session = new Session(decoder);
     if (tls != null) {
-      channel.pipeline().addLast(tls.gate(() -> session.entry.secured()));
+      channel.pipeline().addLast(tls.newHandshakeGate(() -> session.entry.handshakeCompleted()));
     }
     channel.pipeline().addLast(decoder, new HttpResponseEncoder(), session);
   }
@@ -253,12 +256,12 @@
       return on;
     }
     if (on && !draining) {
-      grace = loop.schedule(table::endIdle, GRACE_MS, TimeUnit.MILLISECONDS);
+      grace = loop.schedule(table::closeIdleConnections, GRACE_MS, TimeUnit.MILLISECONDS);
     } else if (!on && draining) {
       grace.cancel(false);
     }
     draining = on;
-    table.drain(on);
+    table.setDraining(on);
     return true;
   }
 
@@ -268,8 +271,8 @@
   }
 
   /** Whether another process takes this edge node's clients now; any thread. */
-  public boolean succeeded() {
-    return succeeded;
+  public boolean isSuperseded() {
+    return isSuperseded;
   }
 
   /**
@@ -277,7 +280,7 @@
    * well. Where another process takes the clients, it goes at once.
    */
   public void stop(CompletableFuture<Void> done, boolean bySuccessor) {
-    succeeded = bySuccessor;
+    isSuperseded = bySuccessor;
     drain(true);
     drained = done;
     if (binding == null) {
@@ -291,14 +294,14 @@
     loop.schedule(
         () -> {
           listener.close(this::finishDrain);
-          table.endIdle();
+          table.closeIdleConnections();
         },
         GRACE_MS,
         TimeUnit.MILLISECONDS);
   }
 
   private void finishDrain() {
-    if (drained != null && !listener.open() && table.open() == 0) {
+    if (drained != null && !listener.isOpen() && table.openCount() == 0) {
       drained.complete(null);
     }
   }
@@ -436,7 +439,7 @@
     try {
       return customer(message.headers());
     } catch (Refusal e) {
-      return BufferedBodies.STRANGER;
+      return BufferedBodies.UNKNOWN_CUSTOMER;
     }
   }
 
@@ -445,7 +448,7 @@
       implements TransportHandle {
     private final RequestDecoder decoder;
     private Channel channel;
-    private ClientConnectionTable.Entry entry;
+    private ClientConnection entry;
     private InFlightRequest current;
     private boolean keepAlive;
     private boolean old;
@@ -491,13 +494,13 @@
     @Override
     public void channelActive(ChannelHandlerContext context) {
       channel = context.channel();
-      entry = table.accepted(System.nanoTime(), channel.remoteAddress(), tls != null, this);
+      entry = table.accept(System.nanoTime(), channel.remoteAddress(), tls != null, this);
       if (entry == null) {
         closing = true;
         channel.close();
       }
-      if (table.full()) {
-        listener.awaitRoom();
+      if (table.isFull()) {
+        listener.pauseWhileFull();
       }
     }
 
@@ -551,8 +554,8 @@
     private boolean crowded() {
       if (behind > LITTLE_BEHIND && ahead == null) {
         ahead =
-            bufferedBodies.open(
-                current == null ? BufferedBodies.STRANGER : current.request.customer());
+            bufferedBodies.newBody(
+                current == null ? BufferedBodies.UNKNOWN_CUSTOMER : current.request.customer());
       } else if (behind <= LITTLE_BEHIND && ahead != null) {
         ahead.release();
         ahead = null;
@@ -560,8 +563,8 @@
       if (ahead == null) {
         return false;
       }
-      ahead.keep(behind);
-      return behind > MOST_BEHIND || !bufferedBodies.spare();
+      ahead.resize(behind);
+      return behind > MOST_BEHIND || !bufferedBodies.isLessThanHalfUsed();
     }
 
     /** Reads no more, and so sees neither a close nor a reset. */
@@ -576,8 +579,8 @@
     public void channelReadComplete(ChannelHandlerContext context) {
       if (rest != null && rest.relay != null) {
         rest.relay.readComplete();
-      } else if (!closing && entry.between() && decoder.holdsMore()) {
-        entry.heard(System.nanoTime(), 0);
+      } else if (!closing && entry.isIdle() && decoder.holdsMore()) {
+        entry.bytesReceived(System.nanoTime(), 0);
       }
     }
 
@@ -646,8 +649,8 @@
     private void open(HttpRequest request) {
       head = request;
       received = 0;
-      entry.head(System.nanoTime());
-      holding = bufferedBodies.open(owner(request));
+      entry.headReceived(System.nanoTime());
+      holding = bufferedBodies.newBody(owner(request));
       keepAlive = HttpUtil.isKeepAlive(request);
       old = !request.protocolVersion().isKeepAliveDefault();
       headOnly = request.method().equals(HttpMethod.HEAD);
@@ -658,7 +661,7 @@
       } else if (expected != null && !HttpHeaderValues.CONTINUE.contentEqualsIgnoreCase(expected)) {
         keepAlive = false;
         plain(HttpResponseStatus.EXPECTATION_FAILED, "no such expectation");
-      } else if (entry.turnedAway() && !request.uri().equals("/_health")) {
+      } else if (entry.isOverCapacity() && !request.uri().equals("/_health")) {
         turnAway();
       } else if (HttpUtil.is100ContinueExpected(request)) {
         goOn();
@@ -682,7 +685,7 @@
 
     private void take(ByteBuf piece, boolean last) {
       received += piece.readableBytes();
-      entry.heard(System.nanoTime(), piece.readableBytes());
+      entry.bytesReceived(System.nanoTime(), piece.readableBytes());
       if (body == null) {
         long length = Math.max(FIRST_PIECE, HttpUtil.getContentLength(head, 0L));
         body =
@@ -693,7 +696,7 @@
                     .buffer((int) Math.min(UpstreamPool.MAX_BUFFERED_BODY_BYTES, length));
       }
       body.writeBytes(piece);
-      if (!holding.hold(body.capacity())) {
+      if (!holding.tryResize(body.capacity())) {
         turnAway();
         return;
       }
@@ -706,7 +709,7 @@
       body = null;
       holding = null;
       head = null;
-      entry.request();
+      entry.requestReceived();
       try {
         if (request.uri().equals("/_health") && last) {
           holds.release();
@@ -777,13 +780,15 @@
 
     /** A peer that does not read is given up after a while. */
     private ChannelFuture written(ChannelFuture last) {
-      entry.writing(System.nanoTime());
-      return last.addListener(done -> entry.written(System.nanoTime()));
+      entry.writeStarted(System.nanoTime());
+      return last.addListener(done -> entry.writeCompleted(System.nanoTime()));
     }
 
     /** Whether the connection ends with this answer is told in its head. */
     private void tellEnd(HttpHeaders headers) {
-      endTold = !keepAlive || waiting.isEmpty() && (draining || inputEnded || entry.shouldEnd());
+      endTold =
+          !keepAlive
+              || waiting.isEmpty() && (draining || inputEnded || entry.shouldCloseAfterResponse());
       if (endTold) {
         headers.set(HttpHeaderNames.CONNECTION, HttpHeaderValues.CLOSE);
       } else if (old) {
@@ -800,11 +805,11 @@
       asked = 0;
       drop();
       if (closing) {
-        entry.ending();
+        entry.closing();
         written.addListener(done -> endSending(done.isSuccess()));
         return;
       }
-      entry.idle(System.nanoTime());
+      entry.responseSent(System.nanoTime());
       written.addListener(ChannelFutureListener.CLOSE_ON_FAILURE);
       if (!waiting.isEmpty() || !channel.config().isAutoRead()) {
         loop.execute(this::handleWaiting);
@@ -825,7 +830,7 @@
       if (tls == null) {
         socket.shutdownOutput();
       } else {
-        tls.endSending(socket);
+        tls.shutdownOutput(socket);
       }
       channel.config().setAutoRead(true);
       loop.schedule(
@@ -881,7 +886,7 @@
     public void channelInactive(ChannelHandlerContext context) {
       if (entry != null) {
         entry.closed();
-        listener.roomAgain();
+        listener.resumeWithRoom();
       }
       while (!waiting.isEmpty()) {
         ReferenceCountUtil.release(next());
@@ -932,17 +937,17 @@
       }
 
       @Override
-      public long length() {
+      public long contentLength() {
         return length;
       }
 
       @Override
-      public boolean complete() {
+      public boolean isComplete() {
         return complete;
       }
 
       @Override
-      public void passTo(Channel to, Runnable whenWritten, Runnable whenGone) {
+      public void forwardTo(Channel to, Runnable whenWritten, Runnable whenGone) {
         server = to;
         written = whenWritten;
         gone = whenGone;
@@ -977,7 +982,7 @@
           handler.bodyForwarded(of);
         }
         if (part instanceof HttpContent content) {
-          relay.piece(content.content().retain());
+          relay.forward(content.content().retain());
         }
         if (part instanceof LastHttpContent) {
           complete = true;
@@ -994,7 +999,7 @@
       }
 
       @Override
-      public void leave() {
+      public void stopForwarding() {
         if (relay != null) {
           relay.end();
           relay = null;
@@ -1004,7 +1009,7 @@
       /** The client left in the midst of it: the app server must not wait for the rest. */
       private void cutOff() {
         if (!complete && server != null) {
-          leave();
+          stopForwarding();
           gone.run();
         }
       }
@@ -1019,15 +1024,15 @@
       private ChannelFuture last;
 
       @Override
-      public void served(ByteBuf whole) {
+      public void sendResponse(ByteBuf whole) {
         // It is here until the client has taken it.
-        BufferedBodies.Body writing = bufferedBodies.open(current.request.customer());
-        writing.keep(whole.readableBytes());
+        BufferedBodies.Body writing = bufferedBodies.newBody(current.request.customer());
+        writing.resize(whole.readableBytes());
         write(HttpResponseStatus.OK, whole.retain(), 0).addListener(done -> writing.release());
       }
 
       @Override
-      public void refused(long retryAfter) {
+      public void sendRejection(long retryAfter) {
         // Without a place, and not for anything of this customer's, it is no case of too many
         // requests.
         write(
@@ -1039,12 +1044,12 @@
       }
 
       @Override
-      public void failed() {
+      public void sendFailure() {
         write(HttpResponseStatus.BAD_GATEWAY, Unpooled.EMPTY_BUFFER, 0);
       }
 
       @Override
-      public Channel begun(long length, Runnable gone) {
+      public Channel startStream(long length, Runnable gone) {
         of = current;
         leaves = gone;
         DefaultHttpResponse answer =
@@ -1063,7 +1068,7 @@
       }
 
       @Override
-      public void ended(boolean whole) {
+      public void endStream(boolean whole) {
         if (leaves == null || current != of) {
           return;
         }
@@ -1086,7 +1091,7 @@
       }
 
       @Override
-      public boolean seen() {
+      public boolean wouldHaveSeenDisconnect() {
         long now = System.nanoTime();
         // What is no socket has nothing unread.
         return !(channel instanceof SocketChannel)
@@ -1094,7 +1099,7 @@
       }
 
       @Override
-      public void ask(Runnable then) {
+      public void checkClientPresence(Runnable then) {
         InFlightRequest about = current;
         if (channel.config().isAutoRead()) {
           // What it has to say is read meanwhile.
@@ -1126,7 +1131,7 @@
       }
 
       @Override
-      public void cut() {
+      public void abortUnfinishedResponse() {
         if (leaves != null && current == of) {
           Runnable gone = leaves;
           leaves = null;
--- a/edge/src/main/java/edgegateway/node/connections/BufferedBodies.java
+++ b/edge/src/main/java/edgegateway/node/connections/BufferedBodies.java
@@ -4,42 +4,48 @@
 import java.util.Map;
 
 /**
- * The bound on bodies that are held whole, for all requests together. Each customer may hold as
- * much as is left free twice over (a dynamic threshold): one alone gets two thirds of it, and
- * however many hold much, a part stays free for those that hold little. Nobody's bodies are taken
- * away for it.
+ * Bounds the bytes of bodies that are buffered whole, for all requests together. Each customer may
+ * hold up to twice what is free (a dynamic threshold): one customer alone gets two thirds of the
+ * capacity, and however many hold much, some stays free for those that hold little. Nothing that is
+ * buffered is ever dropped for it. For the event loop's thread.
  */
 public final class BufferedBodies {
-  /** Whose customer can't be read. */
-  public static final long STRANGER = -1;
+  /** Stands for the customer of a request whose customer cannot be read. */
+  public static final long UNKNOWN_CUSTOMER = -1;
 
-  private static final int OF_FREE = 2;
-  private final ConnectionMetrics counts;
-  private final Map<Long, Long> held = new HashMap<>();
-  private long total;
-  private int most;
+  /** A customer may hold this many times the free capacity. */
+  private static final int FREE_CAPACITY_MULTIPLE = 2;
 
-  /** Nothing is held. */
-  public BufferedBodies(ConnectionMetrics counts) {
-    this.counts = counts;
+  private final ConnectionMetrics metrics;
+  private final Map<Long, Long> bytesByCustomer = new HashMap<>();
+  private long totalBytes;
+  private int capacityBytes;
+
+  /** Has no capacity until {@link #applyBudget}. */
+  public BufferedBodies(ConnectionMetrics metrics) {
+    this.metrics = metrics;
   }
 
-  /** Follows a new budget. */
-  public void bound(DescriptorBudget budget) {
-    most = budget.heldBytes();
+  /** Takes its capacity from the budget; what is buffered beyond it stays. */
+  public void applyBudget(DescriptorBudget budget) {
+    capacityBytes = budget.bufferedBytes();
   }
 
-  /** Whether less than half of all is held: what need not be read may be. */
-  public boolean spare() {
-    return 2 * total < most;
+  /** Whether less than half of the capacity is used, so that reading ahead does no harm. */
+  public boolean isLessThanHalfUsed() {
+    return 2 * totalBytes < capacityBytes;
   }
 
-  /** A body of this customer, nothing of which is held yet. */
-  public Body open(long customer) {
+  /** A body of this customer, empty so far. */
+  public Body newBody(long customer) {
     return new Body(customer);
   }
 
-  /** What is held of one body. */
+  private long bytesOf(long customer) {
+    return bytesByCustomer.getOrDefault(customer, 0L);
+  }
+
+  /** The buffered bytes of one body. */
   public final class Body {
     private final long customer;
     private long bytes;
@@ -48,40 +54,35 @@
       this.customer = customer;
     }
 
-    /**
-     * Holds so many bytes in all from now on; false, and nothing changed, if there is no room for
-     * that.
-     */
-    public boolean hold(int wanted) {
-      long more = wanted - bytes;
-      if (more > 0 && held.getOrDefault(customer, 0L) + more > OF_FREE * (most - total)) {
-        counts.bodiesRefused.incrementAndGet();
+    /** Changes the body's size; false, with nothing changed, if that exceeds the threshold. */
+    public boolean tryResize(int newBytes) {
+      long addedBytes = newBytes - bytes;
+      long thresholdBytes = FREE_CAPACITY_MULTIPLE * (capacityBytes - totalBytes);
+      if (addedBytes > 0 && bytesOf(customer) + addedBytes > thresholdBytes) {
+        metrics.bodiesRejected.incrementAndGet();
         return false;
       }
-      keep(wanted);
+      resize(newBytes);
       return true;
     }
 
-    /** Holds so many bytes in all from now on, whether there is room or not: they are here. */
-    public void keep(int wanted) {
-      long more = wanted - bytes;
-      set(held.getOrDefault(customer, 0L) + more);
-      total += more;
-      bytes = wanted;
-      counts.heldBytes.set(total);
-    }
-
-    private void set(long mine) {
-      if (mine == 0) {
-        held.remove(customer);
+    /** Changes the body's size whatever the threshold: the bytes are in memory already. */
+    public void resize(int newBytes) {
+      long addedBytes = newBytes - bytes;
+      long customerBytes = bytesOf(customer) + addedBytes;
+      if (customerBytes == 0) {
+        bytesByCustomer.remove(customer);
       } else {
-        held.put(customer, mine);
+        bytesByCustomer.put(customer, customerBytes);
       }
+      totalBytes += addedBytes;
+      bytes = newBytes;
+      metrics.bufferedBytes.set(totalBytes);
     }
 
-    /** Holds nothing any more; may be repeated. */
+    /** Nothing of the body is buffered any more. May be repeated. */
     public void release() {
-      keep(0);
+      resize(0);
     }
   }
 }
--- a/edge/src/main/java/edgegateway/node/connections/ConnectionAcceptor.java
+++ b/edge/src/main/java/edgegateway/node/connections/ConnectionAcceptor.java
@@ -1,5 +1,8 @@
 package edgegateway.node.connections;
 
+import static edgegateway.node.logging.EventLog.field;
+
+import edgegateway.node.logging.EventLog;
 import io.netty.bootstrap.ServerBootstrap;
 import io.netty.channel.Channel;
 import io.netty.channel.ChannelFutureListener;
@@ -25,77 +28,70 @@
 import java.util.function.Consumer;
 
 /**
- * A listening socket. It takes a few connections at a time, so that what is in hand goes on;
- * without a descriptor left it tells so, waits a moment and tries again. All but {@link #bind} is
- * for its loop's thread.
+ * A listening socket. It accepts a few connections at a time, so that requests in flight go on.
+ * When no descriptor is left it reports that, pauses, and tries again. All methods but {@link
+ * #bind} and {@link #address} are for its event loop's thread.
  */
 public final class ConnectionAcceptor {
-  /** So few that each has been read once before the second next lot: half of a small lane. */
-  private static final int AT_ONCE = 4;
+  private static final EventLog LOG = EventLog.console();
+
+  /** Half of the rejection slots of a small budget: each is read once before the next are taken. */
+  private static final int MAX_ACCEPTS_PER_READ = 4;
 
   private static final int BACKLOG = 4096;
 
-  /**
-   * How long the kernel's line has to wait where there is no descriptor or no place: short against
-   * a deadline.
-   */
-  private static final long PAUSE_MS = 20;
+  /** How long the backlog waits without a descriptor or a place: short against a deadline. */
+  private static final long PAUSE_MILLIS = 20;
+
+  /** At a close the backlog is drained a few at a time for so long, and then all at once. */
+  private static final long GRADUAL_DRAIN_NANOS = TimeUnit.MILLISECONDS.toNanos(300);
 
-  /** For so long the kernel's line is emptied some at a time; after that all at once. */
-  private static final long EMPTYING = TimeUnit.MILLISECONDS.toNanos(300);
+  /** Long enough for the selector to run, which a task that is executed at once does not let. */
+  private static final long NEXT_SELECT_DELAY_MILLIS = 1;
 
   private final EventLoop loop;
-  private final Runnable exhausted;
-  private ServerSocketChannel socket;
-  private Channel listening;
-  private Future<?> paused;
-  private boolean patient = true;
-
-  /** {@code exhausted} is run when no descriptor is left for a connection. */
-  public ConnectionAcceptor(EventLoop loop, Runnable exhausted) {
+  private final Runnable onDescriptorsExhausted;
+  private ServerSocketChannel serverSocket;
+  private Channel serverChannel;
+  private Future<?> pauseTimer;
+  private boolean mayPause = true;
+
+  /**
+   * Listens to nothing yet.
+   *
+   * @param onDescriptorsExhausted run when no descriptor is left for a connection
+   */
+  public ConnectionAcceptor(EventLoop loop, Runnable onDescriptorsExhausted) {
     this.loop = loop;
-    this.exhausted = exhausted;
+    this.onDescriptorsExhausted = onDescriptorsExhausted;
   }
 
-  /** Listens; each connection gets its handlers by {@code made}. */
+  /**
+   * Begins to listen; any thread.
+   *
+   * @param shared whether other processes may listen at the same address
+   * @param initializer adds the handlers of each connection
+   * @return completes when it listens, or with the error
+   */
   public CompletableFuture<Void> bind(
-      InetSocketAddress at, boolean shared, Consumer<Channel> made) {
+      InetSocketAddress address, boolean shared, Consumer<Channel> initializer) {
     CompletableFuture<Void> bound = new CompletableFuture<>();
     try {
-      socket = ServerSocketChannel.open();
+      serverSocket = ServerSocketChannel.open();
     } catch (IOException e) {
       return CompletableFuture.failedFuture(e);
     }
-    ServerBootstrap bootstrap =
-        new ServerBootstrap()
-            .group(loop)
-            .channelFactory(() -> new NioServerSocketChannel(socket))
-            .option(
-                ChannelOption.RECVBUF_ALLOCATOR,
-                new ServerChannelRecvByteBufAllocator().maxMessagesPerRead(AT_ONCE))
-            .option(ChannelOption.SO_BACKLOG, BACKLOG)
-            .option(ChannelOption.SO_REUSEADDR, true)
-            .childOption(ChannelOption.TCP_NODELAY, true)
-            // Who ends its sending may wait for its answer.
-            .childOption(ChannelOption.ALLOW_HALF_CLOSURE, true)
-            .handler(new Accepting())
-            .childHandler(
-                new ChannelInitializer<Channel>() {
-                  @Override
-                  protected void initChannel(Channel channel) {
-                    made.accept(channel);
-                  }
-                });
+    ServerBootstrap bootstrap = newBootstrap(initializer);
     if (shared) {
       // Both processes of an upgrade listen at this address.
       bootstrap.option(NioChannelOption.of(StandardSocketOptions.SO_REUSEPORT), true);
     }
     bootstrap
-        .bind(at)
+        .bind(address)
         .addListener(
             (ChannelFutureListener)
                 done -> {
-                  listening = done.channel();
+                  serverChannel = done.channel();
                   if (done.isSuccess()) {
                     bound.complete(null);
                   } else {
@@ -105,122 +101,153 @@
     return bound;
   }
 
-  /** Where it listens; any thread, once bound. */
+  private ServerBootstrap newBootstrap(Consumer<Channel> initializer) {
+    return new ServerBootstrap()
+        .group(loop)
+        .channelFactory(() -> new NioServerSocketChannel(serverSocket))
+        .option(
+            ChannelOption.RECVBUF_ALLOCATOR,
+            new ServerChannelRecvByteBufAllocator().maxMessagesPerRead(MAX_ACCEPTS_PER_READ))
+        .option(ChannelOption.SO_BACKLOG, BACKLOG)
+        .option(ChannelOption.SO_REUSEADDR, true)
+        .childOption(ChannelOption.TCP_NODELAY, true)
+        // A client that ended its side may still wait for its response.
+        .childOption(ChannelOption.ALLOW_HALF_CLOSURE, true)
+        .handler(new AcceptFailureHandler())
+        .childHandler(
+            new ChannelInitializer<Channel>() {
+              @Override
+              protected void initChannel(Channel channel) {
+                initializer.accept(channel);
+              }
+            });
+  }
+
+  /** The address it listens at; any thread, once bound. */
   public InetSocketAddress address() {
-    return (InetSocketAddress) listening.localAddress();
+    return (InetSocketAddress) serverChannel.localAddress();
   }
 
   /** Whether it is bound and not closed. */
-  public boolean open() {
-    return listening != null && listening.isOpen();
+  public boolean isOpen() {
+    return serverChannel != null && serverChannel.isOpen();
   }
 
   /**
-   * Newcomers wait in the kernel's line for a moment, or until there is room. If that moment
-   * brought none, the next ones are taken all the same: nobody may be left unheard there.
+   * Leaves new connections in the kernel's backlog for a moment, or until there is room. If there
+   * is none by then, the next ones are accepted all the same: none may be left unheard there.
    */
-  public void awaitRoom() {
-    if (patient) {
+  public void pauseWhileFull() {
+    if (mayPause) {
       pause();
     }
   }
 
-  /** There is room for newcomers. */
-  public void roomAgain() {
-    patient = true;
+  /** There is room for new connections. */
+  public void resumeWithRoom() {
+    mayPause = true;
     resume();
   }
 
   private void pause() {
-    if (paused == null && open()) {
-      listening.config().setAutoRead(false);
-      paused =
+    if (pauseTimer == null && isOpen()) {
+      serverChannel.config().setAutoRead(false);
+      pauseTimer =
           loop.schedule(
               () -> {
-                patient = false;
+                mayPause = false;
                 resume();
               },
-              PAUSE_MS,
+              PAUSE_MILLIS,
               TimeUnit.MILLISECONDS);
     }
   }
 
   private void resume() {
-    if (paused != null && open()) {
-      paused.cancel(false);
-      paused = null;
-      listening.config().setAutoRead(true);
+    if (pauseTimer != null && isOpen()) {
+      pauseTimer.cancel(false);
+      pauseTimer = null;
+      serverChannel.config().setAutoRead(true);
     }
   }
 
   /**
-   * Takes the socket from its selector first: its close would else leave it queueing for a while.
+   * Drains the backlog, then closes the socket. It is deregistered from its selector first: closed
+   * while registered, it would go on queueing connections for a while.
+   *
+   * @param onClosed run when it is closed
    */
-  public void close(Runnable closed) {
-    if (listening.isRegistered()) {
-      long until = System.nanoTime() + EMPTYING;
-      listening.deregister().addListener(done -> emptyAndClose(until, closed));
+  public void close(Runnable onClosed) {
+    if (serverChannel.isRegistered()) {
+      long gradualUntil = System.nanoTime() + GRADUAL_DRAIN_NANOS;
+      serverChannel.deregister().addListener(done -> drainBacklogAndClose(gradualUntil, onClosed));
     }
   }
 
   /**
-   * Nobody may be left in the kernel's line: what it holds is accepted, some at a time, right
-   * before the close.
+   * The backlog is accepted right before the close, which would reset what is still in it. Shown by
+   * ConnectionsTest#aSurgeInADrainLeavesNobodyUnheard.
    */
-  private void emptyAndClose(long until, Runnable closed) {
-    List<SocketChannel> last = new ArrayList<>();
+  private void drainBacklogAndClose(long gradualUntil, Runnable onClosed) {
+    List<SocketChannel> accepted = new ArrayList<>();
     boolean more = true;
-    if (!socket.isRegistered()) {
-      more = accept(last, System.nanoTime() < until ? AT_ONCE : Integer.MAX_VALUE);
+    if (!serverSocket.isRegistered()) {
+      boolean gradual = System.nanoTime() < gradualUntil;
+      more = acceptBacklog(accepted, gradual ? MAX_ACCEPTS_PER_READ : Integer.MAX_VALUE);
     }
     if (!more) {
-      try {
-        socket.close();
-      } catch (IOException e) {
-        System.err.println("the end of listening: " + e);
-      }
+      closeSocket();
+    }
+    for (SocketChannel socket : accepted) {
+      serverChannel.pipeline().fireChannelRead(new NioSocketChannel(serverChannel, socket));
     }
-    last.forEach(
-        next -> listening.pipeline().fireChannelRead(new NioSocketChannel(listening, next)));
     if (more) {
-      afterNextSelect(loop, () -> emptyAndClose(until, closed));
+      afterNextSelect(loop, () -> drainBacklogAndClose(gradualUntil, onClosed));
     } else {
-      listening.close().addListener(done -> closed.run());
+      serverChannel.close().addListener(done -> onClosed.run());
+    }
+  }
+
+  private void closeSocket() {
+    try {
+      serverSocket.close();
+    } catch (IOException e) {
+      LOG.warn("listener_close_failed", field("error", e));
     }
   }
 
-  /** Accepts so many at the most; false if nobody is left or can be taken. */
-  private boolean accept(List<SocketChannel> into, int most) {
+  /** Accepts up to a number; false if the backlog is empty or no more can be accepted. */
+  private boolean acceptBacklog(List<SocketChannel> accepted, int max) {
     try {
-      while (into.size() < most) {
-        SocketChannel next = socket.accept();
+      while (accepted.size() < max) {
+        SocketChannel next = serverSocket.accept();
         if (next == null) {
           return false;
         }
-        into.add(next);
+        accepted.add(next);
       }
       return true;
     } catch (IOException e) {
-      // No descriptor is left: who is still in line is reset by the close.
-      exhausted.run();
+      // No descriptor is left: the close resets what is still in the backlog.
+      onDescriptorsExhausted.run();
       return false;
     }
   }
 
   /**
-   * A task that is executed runs in the same round of the loop as long as there are others: a timer
-   * does not.
+   * Runs a task after the selector has run once more. By a timer: a task that is executed runs in
+   * the same round of the loop as long as there are others.
    */
   public static void afterNextSelect(EventLoop loop, Runnable task) {
-    loop.schedule(task, 1, TimeUnit.MILLISECONDS);
+    loop.schedule(task, NEXT_SELECT_DELAY_MILLIS, TimeUnit.MILLISECONDS);
   }
 
-  /** Stands before Netty's own acceptor, which would wait for a whole second. */
-  private final class Accepting extends ChannelInboundHandlerAdapter {
+  /** Handles a failed accept before Netty's acceptor, which would pause for a whole second. */
+  private final class AcceptFailureHandler extends ChannelInboundHandlerAdapter {
     @Override
     public void exceptionCaught(ChannelHandlerContext context, Throwable cause) {
       pause();
-      exhausted.run();
+      onDescriptorsExhausted.run();
     }
   }
 }
--- a/edge/src/main/java/edgegateway/node/connections/ConnectionMetrics.java
+++ b/edge/src/main/java/edgegateway/node/connections/ConnectionMetrics.java
@@ -1,71 +1,77 @@
 package edgegateway.node.connections;
 
-import java.util.Locale;
 import java.util.concurrent.atomic.AtomicLong;
 import java.util.concurrent.atomic.AtomicLongArray;
 import java.util.function.BiConsumer;
 
-/** The figures of connections: told on the loop, read on any thread. */
+/** Counters and gauges of connections on both sides. Written on the event loop, read anywhere. */
 public final class ConnectionMetrics {
-  /** Why a connection was ended by this side before its peer did. */
+  /** Why this side closed a client's connection before the client did. */
   public enum CloseReason {
-    /** No end of its TLS handshake in time. */
-    HANDSHAKE,
-    /** No whole head in time. */
-    HEAD,
-    /** A body that came too slowly. */
-    BODY,
-    /** Too long between requests. */
-    IDLE,
-    /** An answer that was not read. */
-    UNREAD,
-    /** Another peer had fewer: this one gave way. */
-    EVICTED,
-    /** The edge node drains. */
-    DRAIN,
-    /** There was no place for it, and it said nothing in time. */
-    CROWDED
+    /** The TLS handshake did not complete in time. */
+    HANDSHAKE_TIMEOUT("timed_out.handshake"),
+    /** No complete request head arrived in time. */
+    HEAD_TIMEOUT("timed_out.head"),
+    /** A request body arrived too slowly. */
+    SLOW_BODY("timed_out.body"),
+    /** The connection was idle between requests for too long. */
+    IDLE_TIMEOUT("timed_out.idle"),
+    /** The client did not read its response. */
+    RESPONSE_NOT_READ("timed_out.unread"),
+    /** Closed while idle to make room for a peer with fewer connections. */
+    EVICTED("evicted"),
+    /** The node drains. */
+    DRAINED("drain"),
+    /** Accepted over capacity, and no request arrived in time to be rejected. */
+    OVER_CAPACITY("timed_out.crowded");
+
+    private final String metricName;
+
+    CloseReason(String metricName) {
+      this.metricName = metricName;
+    }
   }
 
-  final AtomicLong open = new AtomicLong();
-  final AtomicLong idle = new AtomicLong();
+  /** Cached: {@code values()} copies the array. */
+  private static final CloseReason[] CLOSE_REASONS = CloseReason.values();
+
+  final AtomicLong clientsOpen = new AtomicLong();
+  final AtomicLong clientsIdle = new AtomicLong();
   final AtomicLong handshaking = new AtomicLong();
   final AtomicLong handshakesFailed = new AtomicLong();
-  final AtomicLong refused = new AtomicLong();
+  final AtomicLong rejected = new AtomicLong();
   final AtomicLong halfClosed = new AtomicLong();
-  final AtomicLong exhausted = new AtomicLong();
-  final AtomicLong serversOpen = new AtomicLong();
-  final AtomicLong opened = new AtomicLong();
-  final AtomicLong notOpened = new AtomicLong();
-  final AtomicLong reused = new AtomicLong();
-  final AtomicLong heldBytes = new AtomicLong();
-  final AtomicLong bodiesRefused = new AtomicLong();
-  private final AtomicLongArray ended = new AtomicLongArray(CloseReason.values().length);
+  final AtomicLong descriptorsExhausted = new AtomicLong();
+  final AtomicLong upstreamsOpen = new AtomicLong();
+  final AtomicLong upstreamConnects = new AtomicLong();
+  final AtomicLong upstreamConnectFailures = new AtomicLong();
+  final AtomicLong upstreamReuses = new AtomicLong();
+  final AtomicLong bufferedBytes = new AtomicLong();
+  final AtomicLong bodiesRejected = new AtomicLong();
+  private final AtomicLongArray closedByReason = new AtomicLongArray(CLOSE_REASONS.length);
 
-  void ended(CloseReason why) {
-    ended.incrementAndGet(why.ordinal());
+  /** Counts a client's connection that this side closed. */
+  void closed(CloseReason reason) {
+    closedByReason.incrementAndGet(reason.ordinal());
   }
 
-  /** Tells each figure with its name. */
-  public void tell(BiConsumer<String, Long> to) {
-    to.accept("open", open.get());
-    to.accept("idle", idle.get());
-    to.accept("handshaking", handshaking.get());
-    to.accept("handshakes_failed", handshakesFailed.get());
-    to.accept("refused", refused.get());
-    to.accept("half_closed", halfClosed.get());
-    to.accept("descriptors_exhausted", exhausted.get());
-    for (CloseReason why : CloseReason.values()) {
-      boolean late = why != CloseReason.EVICTED && why != CloseReason.DRAIN;
-      to.accept(
-          (late ? "timed_out." : "") + why.name().toLowerCase(Locale.ROOT),
-          ended.get(why.ordinal()));
+  /** Passes each metric's name, as operators read it, and its value; any thread. */
+  public void forEach(BiConsumer<String, Long> consumer) {
+    consumer.accept("open", clientsOpen.get());
+    consumer.accept("idle", clientsIdle.get());
+    consumer.accept("handshaking", handshaking.get());
+    consumer.accept("handshakes_failed", handshakesFailed.get());
+    consumer.accept("refused", rejected.get());
+    consumer.accept("half_closed", halfClosed.get());
+    consumer.accept("descriptors_exhausted", descriptorsExhausted.get());
+    for (CloseReason reason : CLOSE_REASONS) {
+      consumer.accept(reason.metricName, closedByReason.get(reason.ordinal()));
     }
-    to.accept("archive_servers.open", serversOpen.get());
-    to.accept("archive_servers.opened", opened.get());
-    to.accept("archive_servers.not_opened", notOpened.get());
-    to.accept("archive_servers.reused", reused.get());
-    to.accept("held_bytes", heldBytes.get());
-    to.accept("bodies_refused", bodiesRefused.get());
+    consumer.accept("archive_servers.open", upstreamsOpen.get());
+    consumer.accept("archive_servers.opened", upstreamConnects.get());
+    consumer.accept("archive_servers.not_opened", upstreamConnectFailures.get());
+    consumer.accept("archive_servers.reused", upstreamReuses.get());
+    consumer.accept("held_bytes", bufferedBytes.get());
+    consumer.accept("bodies_refused", bodiesRejected.get());
   }
 }
--- a/edge/src/main/java/edgegateway/node/connections/HandshakeQueue.java
+++ b/edge/src/main/java/edgegateway/node/connections/HandshakeQueue.java
@@ -5,54 +5,55 @@
 import java.util.Set;
 
 /**
- * Whose TLS handshake goes on, who waits in line for its turn, and who finds no place in the line.
- * No I/O.
+ * Bounds how many TLS handshakes run at once; further ones are queued in order of arrival, and
+ * rejected once the queue is full. Does no I/O. For one thread.
  */
 final class HandshakeQueue {
-  /** A connection whose handshake may begin. */
-  interface Waiting {
+  /** A connection whose handshake has not begun. */
+  interface PendingHandshake {
+    /** Its turn has come. */
     void begin();
   }
 
-  /** So many times as many as may run at once may wait. */
-  private static final int LINE = 16;
+  /** Queue capacity as a multiple of the handshakes that may run at once. */
+  private static final int MAX_QUEUED_PER_RUNNING = 16;
 
-  private final int most;
-  private final Set<Waiting> running = new HashSet<>();
-  private final ArrayDeque<Waiting> line = new ArrayDeque<>();
+  private final int maxRunning;
+  private final Set<PendingHandshake> running = new HashSet<>();
+  private final ArrayDeque<PendingHandshake> queue = new ArrayDeque<>();
 
-  HandshakeQueue(int most) {
-    this.most = most;
+  HandshakeQueue(int maxRunning) {
+    this.maxRunning = maxRunning;
   }
 
-  /** Begins one, now or in its turn; false if the line is full. */
-  boolean arrived(Waiting one) {
-    if (running.size() < most) {
-      running.add(one);
-      one.begin();
+  /** Begins a handshake now, or queues it; false if the queue is full. */
+  boolean submit(PendingHandshake handshake) {
+    if (running.size() < maxRunning) {
+      running.add(handshake);
+      handshake.begin();
       return true;
     }
-    return line.size() < LINE * most && line.add(one);
+    return queue.size() < MAX_QUEUED_PER_RUNNING * maxRunning && queue.add(handshake);
   }
 
-  /** It is through, has failed or has left the line; may be repeated. */
-  void left(Waiting one) {
-    if (running.remove(one)) {
-      Waiting next = line.poll();
-      if (next != null) {
-        running.add(next);
-        next.begin();
-      }
-    } else {
-      line.remove(one);
+  /** The handshake completed, failed, or left the queue. May be repeated. */
+  void remove(PendingHandshake handshake) {
+    if (!running.remove(handshake)) {
+      queue.remove(handshake);
+      return;
+    }
+    PendingHandshake next = queue.poll();
+    if (next != null) {
+      running.add(next);
+      next.begin();
     }
   }
 
-  int running() {
+  int runningCount() {
     return running.size();
   }
 
-  int waiting() {
-    return line.size();
+  int queuedCount() {
+    return queue.size();
   }
 }
--- a/edge/src/main/java/edgegateway/node/connections/TlsTermination.java
+++ b/edge/src/main/java/edgegateway/node/connections/TlsTermination.java
@@ -15,72 +15,89 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * TLS on clients' connections; the handshakes' key operations run on a thread of their own. One
- * loop's thread.
+ * TLS on clients' connections. For the event loop's thread; the handshakes' key operations run on a
+ * thread of their own, so that they do not hold up the event loop.
  */
 public final class TlsTermination implements AutoCloseable {
-  private static final int SESSIONS = 4_096;
-  private static final long SESSION_S = 3_600;
-  private static final long CLOSE_NOTIFY_MS = 1_000;
+  private static final int SESSION_CACHE_SIZE = 4_096;
+  private static final long SESSION_TIMEOUT_SECONDS = 3_600;
+  private static final long CLOSE_NOTIFY_FLUSH_TIMEOUT_MILLIS = 1_000;
+  private static final long KEY_THREAD_IDLE_SECONDS = 10;
 
   /**
    * What the configuration's {@code tls} object sets.
    *
    * @param certificate a PEM file: the certificate, then those that sign it
    * @param key a PEM file: its key, PKCS#8 without a password
-   * @param handshakes how many run at once
+   * @param maxConcurrentHandshakes how many run at once
    */
-  public record Settings(String certificate, String key, int handshakes) {}
+  public record Settings(String certificate, String key, int maxConcurrentHandshakes) {}
 
   private final SslContext context;
   private final HandshakeQueue handshakes;
-  private final ConnectionMetrics counts;
-  private final ThreadPoolExecutor keys;
+  private final ConnectionMetrics metrics;
+  private final ThreadPoolExecutor keyOperations;
 
-  /** Loads certificate and key; throws if they can't be used. */
-  public TlsTermination(Settings settings, ConnectionMetrics counts) throws IOException {
-    // A peer that asks for new keys over and over costs a signature each time.
+  /**
+   * Loads certificate and key.
+   *
+   * @throws IOException if they cannot be used; the message names the settings and the cause
+   */
+  public TlsTermination(Settings settings, ConnectionMetrics metrics) throws IOException {
+    // A client that renegotiates over and over would cost a signature each time.
     System.setProperty("jdk.tls.rejectClientInitiatedRenegotiation", "true");
-    this.counts = counts;
+    this.metrics = metrics;
+    context = loadContext(settings);
+    handshakes = new HandshakeQueue(settings.maxConcurrentHandshakes());
+    keyOperations = newKeyOperations(settings.maxConcurrentHandshakes());
+  }
+
+  private static SslContext loadContext(Settings settings) throws IOException {
     try {
-      context =
-          SslContextBuilder.forServer(new File(settings.certificate()), new File(settings.key()))
-              .sslProvider(SslProvider.JDK)
-              .protocols("TLSv1.3", "TLSv1.2")
-              .sessionCacheSize(SESSIONS)
-              .sessionTimeout(SESSION_S)
-              .build();
+      return SslContextBuilder.forServer(new File(settings.certificate()), new File(settings.key()))
+          .sslProvider(SslProvider.JDK)
+          .protocols("TLSv1.3", "TLSv1.2")
+          .sessionCacheSize(SESSION_CACHE_SIZE)
+          .sessionTimeout(SESSION_TIMEOUT_SECONDS)
+          .build();
     } catch (IOException | IllegalArgumentException e) {
       Throwable cause = e.getCause() == null ? e : e.getCause();
       throw new IOException("tls.certificate or tls.key cannot be used: " + cause.getMessage(), e);
     }
-    handshakes = new HandshakeQueue(settings.handshakes());
-    // Each handshake has one operation waiting at the most.
-    keys =
+  }
+
+  private static ThreadPoolExecutor newKeyOperations(int maxConcurrentHandshakes) {
+    // Each handshake has at most one operation pending.
+    int queueCapacity = maxConcurrentHandshakes + 1;
+    ThreadPoolExecutor executor =
         new ThreadPoolExecutor(
             1,
             1,
-            10,
+            KEY_THREAD_IDLE_SECONDS,
             TimeUnit.SECONDS,
-            new ArrayBlockingQueue<>(settings.handshakes() + 1),
-            task -> {
-              Thread thread = new Thread(task, "tls-keys");
-              thread.setDaemon(true);
-              return thread;
-            });
-    keys.allowCoreThreadTimeOut(true);
+            new ArrayBlockingQueue<>(queueCapacity),
+            TlsTermination::newKeyThread);
+    executor.allowCoreThreadTimeOut(true);
+    return executor;
+  }
+
+  private static Thread newKeyThread(Runnable task) {
+    Thread thread = new Thread(task, "tls-keys");
+    thread.setDaemon(true);
+    return thread;
   }
 
   /**
-   * Stands first on a new connection until its handshake begins; {@code secured} is run when that
-   * is through.
+   * The first handler of a new connection.
+   *
+   * @param onHandshakeCompleted run when the handshake succeeded
    */
-  public Gate gate(Runnable secured) {
-    return new Gate(secured);
+  public HandshakeGate newHandshakeGate(Runnable onHandshakeCompleted) {
+    return new HandshakeGate(onHandshakeCompleted);
   }
 
-  /** Ends the sending on a connection, and tells so. */
-  public void endSending(SocketChannel channel) {
+  /** Ends the output of a connection, by {@code close_notify} where TLS was begun. */
+  public void shutdownOutput(SocketChannel channel) {
     SslHandler handler = channel.pipeline().get(SslHandler.class);
     if (handler == null) {
       channel.shutdownOutput();
@@ -91,46 +108,50 @@
 
   @Override
   public void close() {
-    keys.shutdownNow();
+    keyOperations.shutdownNow();
   }
 
-  /** Where a connection waits for its turn. */
-  public final class Gate extends ChannelInboundHandlerAdapter implements HandshakeQueue.Waiting {
-    private final Runnable secured;
+  /**
+   * The first handler of a connection: it holds back reading until the handshake's turn has come,
+   * and adds Netty's TLS handler before itself then.
+   */
+  public final class HandshakeGate extends ChannelInboundHandlerAdapter
+      implements HandshakeQueue.PendingHandshake {
+    private final Runnable onHandshakeCompleted;
     private Channel channel;
 
-    private Gate(Runnable secured) {
-      this.secured = secured;
+    private HandshakeGate(Runnable onHandshakeCompleted) {
+      this.onHandshakeCompleted = onHandshakeCompleted;
     }
 
     @Override
-    public void channelActive(ChannelHandlerContext at) {
-      channel = at.channel();
-      // Nothing is read while it waits.
+    public void channelActive(ChannelHandlerContext context) {
+      channel = context.channel();
+      // Nothing is read while the handshake is queued.
       channel.config().setAutoRead(false);
-      boolean placed = handshakes.arrived(this);
-      at.fireChannelActive();
-      if (!placed) {
-        counts.refused.incrementAndGet();
+      boolean queued = handshakes.submit(this);
+      context.fireChannelActive();
+      if (!queued) {
+        metrics.rejected.incrementAndGet();
         channel.close();
       }
     }
 
     @Override
     public void begin() {
-      SslHandler handler = context.newHandler(channel.alloc(), keys);
-      // The table of connections has its eye on the time.
+      SslHandler handler = context.newHandler(channel.alloc(), keyOperations);
+      // ClientConnectionTable enforces the timeout.
       handler.setHandshakeTimeoutMillis(0);
-      handler.setCloseNotifyFlushTimeoutMillis(CLOSE_NOTIFY_MS);
+      handler.setCloseNotifyFlushTimeoutMillis(CLOSE_NOTIFY_FLUSH_TIMEOUT_MILLIS);
       handler
           .handshakeFuture()
           .addListener(
               done -> {
-                handshakes.left(this);
+                handshakes.remove(this);
                 if (done.isSuccess()) {
-                  secured.run();
+                  onHandshakeCompleted.run();
                 } else {
-                  counts.handshakesFailed.incrementAndGet();
+                  metrics.handshakesFailed.incrementAndGet();
                 }
               });
       channel.pipeline().addFirst(handler);
@@ -138,9 +159,9 @@
     }
 
     @Override
-    public void channelInactive(ChannelHandlerContext at) {
-      handshakes.left(this);
-      at.fireChannelInactive();
+    public void channelInactive(ChannelHandlerContext context) {
+      handshakes.remove(this);
+      context.fireChannelInactive();
     }
   }
 }
--- a/edge/src/main/java/edgegateway/node/connections/TransportHandle.java
+++ b/edge/src/main/java/edgegateway/node/connections/TransportHandle.java
@@ -1,7 +1,7 @@
 package edgegateway.node.connections;
 
-/** What carries a connection's bytes. */
+/** The socket of a connection, as the connection tables see it. */
 public interface TransportHandle {
-  /** Ends it at once. */
+  /** Closes it at once. */
   void close();
 }
--- a/edge/src/main/java/edgegateway/node/connections/UpstreamConnectionTable.java
+++ b/edge/src/main/java/edgegateway/node/connections/UpstreamConnectionTable.java
@@ -63,8 +63,8 @@
 
   /** Follows a new budget; idle connections beyond it are closed. */
   public void applyBudget(DescriptorBudget budget) {
-    maxOpen = budget.archiveServers();
-    maxOpenPerUpstream = budget.perArchiveServer();
+    maxOpen = budget.upstreams();
+    maxOpenPerUpstream = budget.perUpstream();
     boolean closedOne = true;
     while (open > maxOpen && closedOne) {
       closedOne = closeLongestIdle(null);
@@ -117,8 +117,8 @@
 
   void connecting() {
     open++;
-    metrics.serversOpen.set(open);
-    metrics.opened.incrementAndGet();
+    metrics.upstreamsOpen.set(open);
+    metrics.upstreamConnects.incrementAndGet();
   }
 
   void connected(long durationNanos) {
@@ -126,7 +126,7 @@
   }
 
   void connectFailed() {
-    metrics.notOpened.incrementAndGet();
+    metrics.upstreamConnectFailures.incrementAndGet();
   }
 
   /** An open connection was taken over. */
@@ -135,7 +135,7 @@
   }
 
   void reused() {
-    metrics.reused.incrementAndGet();
+    metrics.upstreamReuses.incrementAndGet();
   }
 
   void responded(long durationNanos, boolean first) {
@@ -152,7 +152,7 @@
 
   void closed() {
     open--;
-    metrics.serversOpen.set(open);
+    metrics.upstreamsOpen.set(open);
   }
 
   /** What a new connection costs in time, compared with one that is open. */
--- a/edge/src/main/java/edgegateway/node/metrics/NodeMetrics.java
+++ b/edge/src/main/java/edgegateway/node/metrics/NodeMetrics.java
@@ -140,7 +140,7 @@
     for (int i = 0; byVerdict != null && i < byVerdict.length; i++) {
       line(text, ZONES[i], byVerdict[i]);
     }
-    connections.tell((name, value) -> line(text, "connections." + name, value));
+    connections.forEach((name, value) -> line(text, "connections." + name, value));
     return text.toString();
   }
 
--- a/edge/src/main/java/edgegateway/node/requests/BodyRelay.java
+++ b/edge/src/main/java/edgegateway/node/requests/BodyRelay.java
@@ -34,7 +34,7 @@
   }
 
   /** Takes the bytes over; they go out when the source's read is complete. */
-  public void piece(ByteBuf bytes) {
+  public void forward(ByteBuf bytes) {
     if (over || !bytes.isReadable()) {
       bytes.release();
       return;
--- a/edge/src/main/java/edgegateway/node/upstream/UpstreamAttempt.java
+++ b/edge/src/main/java/edgegateway/node/upstream/UpstreamAttempt.java
@@ -79,18 +79,19 @@
   private long latestStartNanos(RequestClass requestClass) {
     long timesOutAtNanos = sentAtNanos + timeoutNanos;
     boolean mayRepeat =
-        request.mayHaveRunSince != Long.MIN_VALUE
+        request.firstPossibleExecutionNanos != Long.MIN_VALUE
             && requestClass.idempotency() == Idempotency.KEYED;
     if (!mayRepeat) {
       return timesOutAtNanos;
     }
-    long keyForgottenAtNanos = request.mayHaveRunSince + requestClass.idempotencyKeyWindowNanos();
+    long keyForgottenAtNanos =
+        request.firstPossibleExecutionNanos + requestClass.idempotencyKeyWindowNanos();
     return Math.min(timesOutAtNanos, keyForgottenAtNanos - TRANSIT_NANOS);
   }
 
   /** Begins to wait for a connection; its end is reported later, never from within this call. */
   void start() {
-    request.withdrawal = this::withdraw;
+    request.cancelUnsentAttempt = this::withdraw;
     if (upstream == null) {
       noConnection(true);
       return;
@@ -130,10 +131,10 @@
       // Its endpoint terminates; or the event loop stalled, or the timeout comes next.
       end(Outcome.NOT_SENT, 0, null);
       ready.release(System.nanoTime());
-    } else if (clientChecks < MAX_CLIENT_CHECKS && !request.clientSeen()) {
+    } else if (clientChecks < MAX_CLIENT_CHECKS && !request.wouldHaveSeenClientDisconnect()) {
       clientChecks++;
       reserved = ready;
-      request.askClient(this::clientChecked);
+      request.checkClientPresence(this::clientChecked);
     } else {
       ((UpstreamConnectionHandler) ready.transport()).write(this);
     }
@@ -234,16 +235,16 @@
       return;
     }
     ended = true;
-    request.withdrawal = null;
-    if (!outcome.provesNotExecuted() && request.mayHaveRunSince == Long.MIN_VALUE) {
-      request.mayHaveRunSince = sentAtNanos;
+    request.cancelUnsentAttempt = null;
+    if (!outcome.provesNotExecuted() && request.firstPossibleExecutionNanos == Long.MIN_VALUE) {
+      request.firstPossibleExecutionNanos = sentAtNanos;
     }
     if (timeout != null) {
       timeout.cancel(false);
     }
     leaveConnection();
     if (request.upload != null) {
-      request.upload.leave();
+      request.upload.stopForwarding();
     }
     if (!responseForwarded) {
       context
--- a/edge/src/main/java/edgegateway/node/upstream/UpstreamConnectionHandler.java
+++ b/edge/src/main/java/edgegateway/node/upstream/UpstreamConnectionHandler.java
@@ -125,7 +125,7 @@
                 channel.close();
                 next.connectionLost();
               } else {
-                request.upload.passTo(channel, next::writeCompleted, () -> uploadFailed(next));
+                request.upload.forwardTo(channel, next::writeCompleted, () -> uploadFailed(next));
               }
             });
   }
@@ -178,7 +178,7 @@
 
   private void bodyReceived(ByteBuf bytes) {
     if (relay != null) {
-      relay.piece(bytes.retain());
+      relay.forward(bytes.retain());
       return;
     }
     if (!UpstreamResponseClassifier.isSuccess(response)) {
@@ -189,10 +189,10 @@
     if (body == null) {
       long wanted = Math.max(length, INITIAL_BODY_BUFFER_BYTES);
       body = channel.alloc().buffer((int) Math.min(UpstreamPool.MAX_BUFFERED_BODY_BYTES, wanted));
-      bodyAccount = context.bufferedBodies().open(attempt.request().request.customer());
+      bodyAccount = context.bufferedBodies().newBody(attempt.request().request.customer());
     }
     body.writeBytes(bytes);
-    boolean accepted = bodyAccount.hold(body.capacity());
+    boolean accepted = bodyAccount.tryResize(body.capacity());
     // Not by the length that it announces: a faulty response may announce what never comes, and no
     // timeout binds one that is forwarded. Shown by
     // LongBodyTest#anAnswerThatPromisesMoreThanItSendsIsNotPassedOn.
@@ -221,7 +221,7 @@
     }
     forwarded.responseForwarded();
     relay = context.relays().start(channel, client);
-    relay.piece(body);
+    relay.forward(body);
     body = null;
     bodyAccount.release();
   }
@@ -264,7 +264,7 @@
     }
     pooled.responseReceived(System.nanoTime(), reusable);
     if (forwarded) {
-      answered.request().passedAnswer().ended(true);
+      answered.request().streamedResponse().endStream(true);
     }
     Outcome outcome = UpstreamResponseClassifier.outcome(finished);
     double chargedUnits =
@@ -303,7 +303,7 @@
       relay.end();
       relay = null;
       if (broken != null) {
-        broken.request().passedAnswer().ended(false);
+        broken.request().streamedResponse().endStream(false);
       }
     }
     releaseBody();
--- a/edge/src/main/java/edgegateway/node/upstream/UpstreamRequestFactory.java
+++ b/edge/src/main/java/edgegateway/node/upstream/UpstreamRequestFactory.java
@@ -33,8 +33,8 @@
         .set(HttpHeaderNames.HOST, UpstreamHeaders.HOST_VALUE)
         .set(UpstreamHeaders.TRACE_ID, request.request.id())
         .set(UpstreamHeaders.EXPIRES_IN_MILLIS, timeLeftMillis);
-    if (request.key != null) {
-      message.headers().set(UpstreamHeaders.IDEMPOTENCY_KEY, request.key);
+    if (request.idempotencyKey != null) {
+      message.headers().set(UpstreamHeaders.IDEMPOTENCY_KEY, request.idempotencyKey);
     }
     setBodyLength(message, request);
     return message;
@@ -45,10 +45,10 @@
       if (request.body.isReadable()) {
         message.headers().set(HttpHeaderNames.CONTENT_LENGTH, request.body.readableBytes());
       }
-    } else if (request.upload.length() < 0) {
+    } else if (request.upload.contentLength() < 0) {
       HttpUtil.setTransferEncodingChunked(message, true);
     } else {
-      message.headers().set(HttpHeaderNames.CONTENT_LENGTH, request.upload.length());
+      message.headers().set(HttpHeaderNames.CONTENT_LENGTH, request.upload.contentLength());
     }
   }
 }
--- a/edge/src/test/java/edgegateway/node/connections/BufferedBodiesTest.java
+++ b/edge/src/test/java/edgegateway/node/connections/BufferedBodiesTest.java
@@ -17,33 +17,33 @@
   private final BufferedBodies held = new BufferedBodies(counts);
 
   private BufferedBodiesTest() {
-    held.bound(new DescriptorBudget(1, 1, 1, 1, 1, MOST, 1, List.of()));
+    held.applyBudget(new DescriptorBudget(1, 1, 1, 1, 1, MOST, 1, List.of()));
   }
 
   @Test
   void oneCustomerAloneGetsTwoThirdsAndOthersStillSome() {
     int bodies = 0;
-    while (held.open(7).hold(BODY)) {
+    while (held.newBody(7).tryResize(BODY)) {
       bodies++;
     }
     assertEquals(MOST * 2 / 3 / BODY, bodies);
     for (int customer = 100; customer < 104; customer++) {
-      assertTrue(held.open(customer).hold(BODY), "customer " + customer);
+      assertTrue(held.newBody(customer).tryResize(BODY), "customer " + customer);
     }
-    assertEquals(1, counts.bodiesRefused.get());
+    assertEquals(1, counts.bodiesRejected.get());
   }
 
   @Test
   void whatGrowsIsCountedAsItGrows() {
-    BufferedBodies.Body body = held.open(7);
-    assertTrue(body.hold(512));
-    assertTrue(body.hold(4_096));
-    assertEquals(4_096, counts.heldBytes.get());
-    body.keep(MOST * 2);
-    assertFalse(held.open(8).hold(1), "there is less than nothing left");
+    BufferedBodies.Body body = held.newBody(7);
+    assertTrue(body.tryResize(512));
+    assertTrue(body.tryResize(4_096));
+    assertEquals(4_096, counts.bufferedBytes.get());
+    body.resize(MOST * 2);
+    assertFalse(held.newBody(8).tryResize(1), "there is less than nothing left");
     body.release();
     body.release();
-    assertEquals(0, counts.heldBytes.get());
+    assertEquals(0, counts.bufferedBytes.get());
   }
 
   @Test
@@ -53,17 +53,17 @@
       List<BufferedBodies.Body> bodies = new ArrayList<>();
       for (int i = 0; i < 2_000; i++) {
         if (random.nextBoolean() || bodies.isEmpty()) {
-          BufferedBodies.Body body = held.open(random.nextInt(5));
-          body.hold(random.nextInt(BODY));
+          BufferedBodies.Body body = held.newBody(random.nextInt(5));
+          body.tryResize(random.nextInt(BODY));
           bodies.add(body);
         } else {
           bodies.remove(random.nextInt(bodies.size())).release();
         }
-        long now = counts.heldBytes.get();
+        long now = counts.bufferedBytes.get();
         assertTrue(now >= 0 && now <= MOST, "seed " + seed + ": " + now);
       }
       bodies.forEach(BufferedBodies.Body::release);
-      assertEquals(0, counts.heldBytes.get(), "seed " + seed);
+      assertEquals(0, counts.bufferedBytes.get(), "seed " + seed);
     }
   }
 }
--- a/edge/src/test/java/edgegateway/node/connections/ClientConnectionTableTest.java
+++ b/edge/src/test/java/edgegateway/node/connections/ClientConnectionTableTest.java
@@ -33,7 +33,7 @@
 
   /** A connection in memory. */
   private final class Held implements TransportHandle {
-    private final ClientConnectionTable.Entry entry;
+    private final ClientConnection entry;
     private final int peer;
     private long restingSince = now;
     private boolean closed;
@@ -41,13 +41,13 @@
 
     Held(int peer) {
       this.peer = peer;
-      entry = table.accepted(now, address(peer), false, this);
+      entry = table.accept(now, address(peer), false, this);
     }
 
     void serve() {
-      entry.head(now);
-      entry.request();
-      entry.idle(now);
+      entry.headReceived(now);
+      entry.requestReceived();
+      entry.responseSent(now);
       restingSince = now;
     }
 
@@ -71,7 +71,7 @@
   }
 
   private void bound(int clients, int lane) {
-    table.bound(
+    table.applyBudget(
         now, new DescriptorBudget(clients, lane, 10, 10, 4, 1 << 20, 75_000 * MS, List.of()));
   }
 
@@ -79,13 +79,13 @@
     now += ms * MS;
     while (stepWanted) {
       stepWanted = false;
-      table.step(now);
+      table.evictSelected(now);
     }
   }
 
   private Map<String, Long> figures() {
     Map<String, Long> figures = new TreeMap<>();
-    counts.tell(figures::put);
+    counts.forEach(figures::put);
     return figures;
   }
 
@@ -93,9 +93,9 @@
   void whileThereIsRoomNobodyIsBounded() {
     bound(100, 8);
     for (int i = 0; i < 100; i++) {
-      assertFalse(new Held(1).entry.turnedAway());
+      assertFalse(new Held(1).entry.isOverCapacity());
     }
-    assertEquals(100, table.open());
+    assertEquals(100, table.openCount());
     assertTrue(ended.isEmpty());
   }
 
@@ -113,7 +113,7 @@
     greedy.get(0).serve();
     pass(2_000);
     Held newcomer = new Held(3);
-    assertFalse(newcomer.entry.turnedAway());
+    assertFalse(newcomer.entry.isOverCapacity());
     pass(1);
     assertEquals(
         List.of(greedy.get(1)), ended, "not the longest idle of all, nor one that was used since");
@@ -127,12 +127,12 @@
       new Held(1).serve();
     }
     pass(1_999);
-    assertFalse(new Held(2).entry.turnedAway(), "who has fewer is served beyond the bound");
-    assertTrue(new Held(1).entry.turnedAway(), "who has the most is turned away");
+    assertFalse(new Held(2).entry.isOverCapacity(), "who has fewer is served beyond the bound");
+    assertTrue(new Held(1).entry.isOverCapacity(), "who has the most is turned away");
     pass(0);
     assertTrue(ended.isEmpty());
     pass(1);
-    assertFalse(new Held(1).entry.turnedAway());
+    assertFalse(new Held(1).entry.isOverCapacity());
     pass(0);
     assertEquals(2, ended.size());
   }
@@ -146,10 +146,10 @@
     Held second = new Held(1);
     second.serve();
     pass(2_500);
-    assertFalse(new Held(2).entry.turnedAway());
+    assertFalse(new Held(2).entry.isOverCapacity());
     // It was chosen, and its request comes before its turn.
-    first.entry.head(now);
-    first.entry.request();
+    first.entry.headReceived(now);
+    first.entry.requestReceived();
     first.busy = true;
     pass(1);
     assertEquals(List.of(second), ended, "another one gives way");
@@ -161,7 +161,7 @@
     for (int i = 0; i < 20; i++) {
       Held silent = new Held(1);
       if (i % 2 == 0) {
-        silent.entry.heard(now, 0);
+        silent.entry.bytesReceived(now, 0);
       }
     }
     for (int i = 0; i < 40; i++) {
@@ -170,12 +170,12 @@
     int served = 0;
     for (int peer = 2; peer < 6; peer++) {
       Held other = new Held(peer);
-      served += other.entry != null && !other.entry.turnedAway() ? 1 : 0;
+      served += other.entry != null && !other.entry.isOverCapacity() ? 1 : 0;
     }
     assertEquals(4, served);
     pass(2_401);
-    table.look(now);
-    assertEquals(0, table.open(), "all of them have brought nothing");
+    table.enforceTimeouts(now);
+    assertEquals(0, table.openCount(), "all of them have brought nothing");
   }
 
   @Test
@@ -183,23 +183,23 @@
     bound(10, 6);
     for (int i = 0; i < 10; i++) {
       Held held = new Held(1);
-      held.entry.head(now);
-      held.entry.request();
+      held.entry.headReceived(now);
+      held.entry.requestReceived();
       held.busy = true;
     }
     Held away = new Held(1);
-    assertTrue(away.entry.turnedAway());
-    assertTrue(away.entry.shouldEnd());
+    assertTrue(away.entry.isOverCapacity());
+    assertTrue(away.entry.shouldCloseAfterResponse());
     Held second = new Held(1);
     assertNotNull(second.entry);
     pass(1);
     assertNotNull(new Held(1).entry);
     assertEquals(List.of(away), ended, "two thirds of the lane stay for others");
-    second.entry.head(now);
-    second.entry.request();
+    second.entry.headReceived(now);
+    second.entry.requestReceived();
     second.busy = true;
     pass(501);
-    table.look(now);
+    table.enforceTimeouts(now);
     assertEquals(2L, figures().get("timed_out.crowded"));
     assertEquals(3L, figures().get("refused"));
   }
@@ -209,19 +209,19 @@
     bound(100, 8);
     Held silent = new Held(1);
     Held slow = new Held(2);
-    slow.entry.heard(now, 0);
+    slow.entry.bytesReceived(now, 0);
     Held body = new Held(3);
-    body.entry.head(now);
+    body.entry.headReceived(now);
     Held unread = new Held(4);
     unread.serve();
-    unread.entry.writing(now);
+    unread.entry.writeStarted(now);
     Held idle = new Held(5);
     idle.serve();
     Held shaking = new Held(6);
     Held tls = tls(7);
     Held busy = new Held(8);
-    busy.entry.head(now);
-    busy.entry.request();
+    busy.entry.headReceived(now);
+    busy.entry.requestReceived();
     busy.busy = true;
     shaking.serve();
     long began = now;
@@ -229,7 +229,7 @@
     while (now < began + 80_000 * MS) {
       now += 50 * MS;
       Map<String, Long> before = figures();
-      table.look(now);
+      table.enforceTimeouts(now);
       figures()
           .forEach(
               (name, value) -> {
@@ -261,8 +261,7 @@
     Held held = new Held(peer);
     held.entry.closed();
     held.closed = true;
-    ClientConnectionTable.Entry entry =
-        table.accepted(now, address(peer), true, () -> made[0].closed = true);
+    ClientConnection entry = table.accept(now, address(peer), true, () -> made[0].closed = true);
     made[0] = held;
     held.closed = false;
     assertEquals(1L, figures().get("handshaking"));
@@ -274,11 +273,11 @@
   void aSteadyBodyHasAllTheTimeItNeeds() {
     bound(10, 4);
     Held steady = new Held(1);
-    steady.entry.head(now);
+    steady.entry.headReceived(now);
     for (int i = 0; i < 100; i++) {
       pass(100);
-      steady.entry.heard(now, 6_400);
-      table.look(now);
+      steady.entry.bytesReceived(now, 6_400);
+      table.enforceTimeouts(now);
     }
     assertFalse(steady.closed);
   }
@@ -290,20 +289,20 @@
       new Held(i).serve();
     }
     Held coming = new Held(50);
-    coming.entry.heard(now, 0);
-    table.drain(true);
-    table.endIdle();
+    coming.entry.bytesReceived(now, 0);
+    table.setDraining(true);
+    table.closeIdleConnections();
     stepWanted = false;
-    table.step(now);
+    table.evictSelected(now);
     assertEquals(4, ended.size());
     assertTrue(stepWanted);
     pass(0);
     assertEquals(20, ended.size());
     assertFalse(coming.closed);
     Held again = new Held(60);
-    table.drain(false);
+    table.setDraining(false);
     pass(1_000);
-    table.look(now);
+    table.enforceTimeouts(now);
     assertFalse(again.closed);
   }
 
@@ -315,24 +314,24 @@
       Held held = new Held(1);
       held.serve();
       all.add(held);
-      held.entry.head(now);
-      held.entry.request();
+      held.entry.headReceived(now);
+      held.entry.requestReceived();
       held.busy = i < 15;
       if (!held.busy) {
-        held.entry.idle(now);
+        held.entry.responseSent(now);
       }
     }
     pass(2_001);
     bound(10, 2);
     pass(1);
-    assertEquals(15, table.open());
-    assertTrue(all.get(0).entry.shouldEnd(), "its answer says that it ends");
+    assertEquals(15, table.openCount());
+    assertTrue(all.get(0).entry.shouldCloseAfterResponse(), "its answer says that it ends");
     all.get(0).busy = false;
-    all.get(0).entry.idle(now);
+    all.get(0).entry.responseSent(now);
     pass(2_001);
-    table.look(now);
+    table.enforceTimeouts(now);
     pass(1);
-    assertEquals(14, table.open());
+    assertEquals(14, table.openCount());
   }
 
   @Test
@@ -342,22 +341,22 @@
       new Held(1).serve();
     }
     pass(2_100);
-    assertTrue(table.exhausted(now));
-    assertFalse(table.exhausted(now), "told once");
+    assertTrue(table.descriptorsExhausted(now));
+    assertFalse(table.descriptorsExhausted(now), "told once");
     pass(1);
-    assertEquals(32, table.open());
+    assertEquals(32, table.openCount());
     Held first = new Held(2);
     pass(1);
     assertNotNull(first.entry);
-    assertEquals(32, table.open(), "one gives way for it");
+    assertEquals(32, table.openCount(), "one gives way for it");
     // Later the bound goes up again.
     for (int i = 0; i < 10_000 && !stepWanted; i++) {
       now += 200 * MS;
       first.serve();
-      table.look(now);
+      table.enforceTimeouts(now);
       stepWanted = false;
     }
-    assertTrue(table.exhausted(now), "the lack is over, and another is news");
+    assertTrue(table.descriptorsExhausted(now), "the lack is over, and another is news");
   }
 
   /**
@@ -396,18 +395,18 @@
       if (!open.isEmpty()) {
         Held held = open.get(random.nextInt(open.size()));
         switch (random.nextInt(5)) {
-          case 0 -> held.entry.heard(now, 0);
+          case 0 -> held.entry.bytesReceived(now, 0);
           case 1 -> {
             if (!held.busy) {
-              held.entry.head(now);
-              held.entry.request();
+              held.entry.headReceived(now);
+              held.entry.requestReceived();
               held.busy = true;
             }
           }
           case 2, 3 -> {
             if (held.busy) {
               held.busy = false;
-              held.entry.idle(now);
+              held.entry.responseSent(now);
               held.restingSince = now;
             }
           }
@@ -418,14 +417,15 @@
         }
       }
       if (random.nextInt(10) == 0) {
-        table.look(now);
+        table.enforceTimeouts(now);
       }
       if (random.nextInt(1_000) == 0) {
         shrunk = true;
-        table.exhausted(now);
+        table.descriptorsExhausted(now);
       }
-      assertTrue(shrunk || table.open() <= most + lane, "step " + i);
-      assertEquals(open.stream().filter(held -> !held.closed).count(), table.open(), "step " + i);
+      assertTrue(shrunk || table.openCount() <= most + lane, "step " + i);
+      assertEquals(
+          open.stream().filter(held -> !held.closed).count(), table.openCount(), "step " + i);
     }
     for (Held held : List.copyOf(open)) {
       if (!held.closed) {
@@ -433,7 +433,7 @@
         held.close();
       }
     }
-    assertEquals(0, table.open());
+    assertEquals(0, table.openCount());
     for (String name : List.of("open", "idle", "handshaking")) {
       assertEquals(0L, figures().get(name), name);
     }
--- a/edge/src/test/java/edgegateway/node/connections/DescriptorBudgetTest.java
+++ b/edge/src/test/java/edgegateway/node/connections/DescriptorBudgetTest.java
@@ -16,12 +16,12 @@
             DescriptorBudget.of(ConnectionLimits.NONE, sockets, processes, 100);
         int each =
             budget.clients()
-                + budget.lane()
-                + budget.archiveServers()
+                + budget.rejectionSlots()
+                + budget.upstreams()
                 + budget.operators()
-                + DescriptorBudget.RESERVE
-                + DescriptorBudget.COUNTER
-                + DescriptorBudget.DISCOVERY;
+                + DescriptorBudget.RESERVED_DESCRIPTORS
+                + DescriptorBudget.COUNTER_CONNECTIONS
+                + DescriptorBudget.DISCOVERY_CONNECTIONS;
         assertTrue(each * processes <= sockets, sockets + " for " + processes + ": " + budget);
         assertTrue(
             processes > 1 || budget.clients() >= sockets / 2, "fewer clients than ever: " + budget);
@@ -34,9 +34,9 @@
 
   @Test
   void oneArchiveServerGetsItsPartOfTheConnections() {
-    assertEquals(64, DescriptorBudget.of(ConnectionLimits.NONE, 256, 1, 1).perArchiveServer());
-    assertEquals(5, DescriptorBudget.of(ConnectionLimits.NONE, 256, 1, 50).perArchiveServer());
-    assertEquals(4, DescriptorBudget.of(ConnectionLimits.NONE, 256, 1, 200).perArchiveServer());
+    assertEquals(64, DescriptorBudget.of(ConnectionLimits.NONE, 256, 1, 1).perUpstream());
+    assertEquals(5, DescriptorBudget.of(ConnectionLimits.NONE, 256, 1, 50).perUpstream());
+    assertEquals(4, DescriptorBudget.of(ConnectionLimits.NONE, 256, 1, 200).perUpstream());
   }
 
   @Test
@@ -50,13 +50,12 @@
     assertEquals(
         "connections.clients is 5000, more than there is room for: 128 it is",
         budget.clamped().get(0));
-    assertEquals(3_000_000_000L, budget.idle());
+    assertEquals(3_000_000_000L, budget.idleTimeoutNanos());
     DescriptorBudget small =
         DescriptorBudget.of(new ConnectionLimits(10, 5, 2, 1 << 18, 0), 256, 1, 10);
     assertEquals(
         List.of(10, 5, 2, 1 << 18),
-        List.of(
-            small.clients(), small.archiveServers(), small.perArchiveServer(), small.heldBytes()));
+        List.of(small.clients(), small.upstreams(), small.perUpstream(), small.bufferedBytes()));
     assertTrue(small.clamped().isEmpty());
   }
 }
--- a/edge/src/test/java/edgegateway/node/connections/HandshakeQueueTest.java
+++ b/edge/src/test/java/edgegateway/node/connections/HandshakeQueueTest.java
@@ -12,7 +12,7 @@
 
 /** Whose handshake goes on and who waits. */
 class HandshakeQueueTest {
-  private static final class One implements HandshakeQueue.Waiting {
+  private static final class One implements HandshakeQueue.PendingHandshake {
     private int begun;
 
     @Override
@@ -27,15 +27,15 @@
     List<One> all = new ArrayList<>();
     for (int i = 0; i < 40; i++) {
       all.add(new One());
-      assertEquals(i < 34, handshakes.arrived(all.get(i)), "number " + i);
+      assertEquals(i < 34, handshakes.submit(all.get(i)), "number " + i);
     }
-    assertEquals(List.of(2, 32), List.of(handshakes.running(), handshakes.waiting()));
-    handshakes.left(all.get(3));
-    handshakes.left(all.get(0));
-    handshakes.left(all.get(0));
+    assertEquals(List.of(2, 32), List.of(handshakes.runningCount(), handshakes.queuedCount()));
+    handshakes.remove(all.get(3));
+    handshakes.remove(all.get(0));
+    handshakes.remove(all.get(0));
     assertEquals(1, all.get(2).begun);
     assertEquals(0, all.get(3).begun);
-    assertEquals(List.of(2, 30), List.of(handshakes.running(), handshakes.waiting()));
+    assertEquals(List.of(2, 30), List.of(handshakes.runningCount(), handshakes.queuedCount()));
   }
 
   @Test
@@ -48,18 +48,19 @@
       for (int i = 0; i < 2_000; i++) {
         if (random.nextInt(3) > 0) {
           One one = new One();
-          if (handshakes.arrived(one)) {
+          if (handshakes.submit(one)) {
             in.add(one);
           }
         } else if (!in.isEmpty()) {
           One one = in.iterator().next();
           in.remove(one);
-          handshakes.left(one);
+          handshakes.remove(one);
         }
         long begun = in.stream().filter(one -> one.begun == 1).count();
         assertEquals(Math.min(most, in.size()), begun, "seed " + seed);
         assertTrue(in.stream().allMatch(one -> one.begun <= 1), "seed " + seed);
-        assertEquals(in.size(), handshakes.running() + handshakes.waiting(), "seed " + seed);
+        assertEquals(
+            in.size(), handshakes.runningCount() + handshakes.queuedCount(), "seed " + seed);
       }
     }
   }
--- a/edge/src/test/java/edgegateway/node/connections/UpstreamConnectionTableTest.java
+++ b/edge/src/test/java/edgegateway/node/connections/UpstreamConnectionTableTest.java
@@ -96,7 +96,7 @@
     assertSame(second.by, want(target).by);
     assertSame(first.by, want(target).by);
     assertEquals(2, dialed.size());
-    assertEquals(2, counts.reused.get());
+    assertEquals(2, counts.upstreamReuses.get());
   }
 
   @Test
@@ -307,7 +307,7 @@
     assertEquals(List.of(idle), closed);
     dialed.get(1).connected(now);
     assertEquals(2, closed.size());
-    assertEquals(0, counts.serversOpen.get());
+    assertEquals(0, counts.upstreamsOpen.get());
     assertEquals(true, want(old).none);
   }
 
@@ -429,7 +429,7 @@
         events.add(new Event(now + 5 * MS, () -> one.connectIfNeeded(now)));
       }
       later.clear();
-      assertTrue(counts.serversOpen.get() <= all, counts.serversOpen + " of " + all);
+      assertTrue(counts.upstreamsOpen.get() <= all, counts.upstreamsOpen + " of " + all);
       for (Upstream one : targets) {
         assertTrue(one.connectionCount() <= each, one.connectionCount() + " of " + each);
       }
@@ -446,6 +446,6 @@
     for (Want want : wants) {
       assertTrue(want.by != null || want.none != null, "never told");
     }
-    assertEquals(0, counts.serversOpen.get());
+    assertEquals(0, counts.upstreamsOpen.get());
   }
 }
