--- /dev/null
+++ b/edge/src/main/java/edgegateway/node/clients/ClientResponseWriter.java
@@ -0,0 +1,134 @@
+package edgegateway.node.clients;
+
+import edgegateway.node.connections.BufferedBodies;
+import edgegateway.node.metrics.NodeMetrics.RequestEnd;
+import edgegateway.node.requests.ClientRequestHandler;
+import edgegateway.node.requests.InFlightRequest;
+import io.netty.buffer.ByteBuf;
+import io.netty.buffer.Unpooled;
+import io.netty.channel.Channel;
+import io.netty.channel.ChannelFuture;
+import io.netty.handler.codec.http.HttpResponseStatus;
+
+/** Writes the one response of a request to its client. For the event loop's thread. */
+final class ClientResponseWriter implements InFlightRequest.ResponseWriter {
+  private final ClientSession session;
+  private final Channel channel;
+  private final ResponseSender responses;
+  private final ClientPresenceCheck presence;
+  private final ClientRequestHandler handler;
+  private final BufferedBodies bufferedBodies;
+
+  /** Whose response is streamed; null if it is written whole. */
+  private InFlightRequest streamedRequest;
+
+  /** Whether only the connection's close ends the streamed body. */
+  private boolean closeDelimited;
+
+  /** The last write of a streamed response; null until that is made. */
+  private ChannelFuture lastWrite;
+
+  ClientResponseWriter(
+      ClientSession session,
+      Channel channel,
+      ResponseSender responses,
+      ClientPresenceCheck presence,
+      ClientSessionContext context) {
+    this.session = session;
+    this.channel = channel;
+    this.responses = responses;
+    this.presence = presence;
+    handler = context.handler();
+    bufferedBodies = context.bufferedBodies();
+  }
+
+  @Override
+  public void sendResponse(ByteBuf body) {
+    // Buffered until the client has read it.
+    long customer = session.currentRequest().request.customer();
+    BufferedBodies.Body bufferedBytes = bufferedBodies.newBody(customer);
+    bufferedBytes.resize(body.readableBytes());
+    responses
+        .send(HttpResponseStatus.OK, body.retain(), 0)
+        .addListener(done -> bufferedBytes.release());
+  }
+
+  @Override
+  public void sendRejection(long retryAfterNanos) {
+    // Rejected over capacity before it was received, a request is no case of too many requests of
+    // its customer.
+    boolean tooManyRequests = retryAfterNanos > 0 && !session.isReceivingRequest();
+    HttpResponseStatus status =
+        tooManyRequests
+            ? HttpResponseStatus.TOO_MANY_REQUESTS
+            : HttpResponseStatus.SERVICE_UNAVAILABLE;
+    responses.send(status, Unpooled.EMPTY_BUFFER, retryAfterNanos);
+  }
+
+  @Override
+  public void sendFailure() {
+    responses.send(HttpResponseStatus.BAD_GATEWAY, Unpooled.EMPTY_BUFFER, 0);
+  }
+
+  @Override
+  public Channel startStream(long length, Runnable onClientGone) {
+    streamedRequest = session.currentRequest();
+    session.streamStarted(onClientGone);
+    closeDelimited = responses.startStream(length);
+    return channel;
+  }
+
+  @Override
+  public void endStream(boolean complete) {
+    if (!isStreaming()) {
+      return;
+    }
+    InFlightRequest request = streamedRequest;
+    session.takeOnClientGone();
+    if (complete) {
+      lastWrite = responses.endStream();
+      lastWrite.addListener(
+          done -> handler.responseEnded(request, done.isSuccess() ? RequestEnd.PASSED : null));
+      session.responseWritten(lastWrite);
+      return;
+    }
+    handler.responseEnded(request, RequestEnd.BAD_GATEWAY);
+    session.requestAbandoned();
+    if (closeDelimited) {
+      // A close would be the end of a complete body.
+      ConnectionCloser.reset(channel);
+    } else {
+      channel.close();
+    }
+  }
+
+  @Override
+  public boolean wouldHaveSeenDisconnect() {
+    return presence.wouldHaveSeenDisconnect();
+  }
+
+  @Override
+  public void checkClientPresence(Runnable then) {
+    presence.check(then);
+  }
+
+  @Override
+  public void abortUnfinishedResponse() {
+    if (isStreaming()) {
+      Runnable onClientGone = session.takeOnClientGone();
+      session.requestAbandoned();
+      handler.responseEnded(streamedRequest, RequestEnd.BAD_GATEWAY);
+      ConnectionCloser.reset(channel);
+      onClientGone.run();
+    } else if (lastWrite != null && !lastWrite.isDone() && session.isWithoutRequest()) {
+      // The response is complete here, but its client reads it too slowly. A further request behind
+      // it would be lost with the connection. Shown by
+      // LongBodyTest#aWholeAnswerThatIsNotTakenInItsTimeIsCutUnlessAnotherRequestIsBehindIt.
+      ConnectionCloser.reset(channel);
+    }
+  }
+
+  private boolean isStreaming() {
+    return session.isStreaming() && session.currentRequest() == streamedRequest;
+  }
+}
--- a/edge/src/main/java/edgegateway/node/requests/BodyRelay.java
+++ b/edge/src/main/java/edgegateway/node/requests/BodyRelay.java
@@ -11,110 +11,125 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * Passes the pieces of one long body on. Its source is read only while little is on its way to the
- * sink, and all relays together have a bound on that, of which each has an equal share: a slow peer
- * holds up nobody else.
+ * Forwards the pieces of one long body from its source to its sink. The source is read only while
+ * few bytes are in flight to the sink (backpressure). All relays of a node share a bound on these
+ * bytes evenly, so that a slow peer holds up nobody else. For the event loop's thread.
  */
 public final class BodyRelay {
-  /** What a piece takes beside its bytes. */
-  private static final int PIECE = 256;
-
-  private final Group all;
-  private final Channel from;
-  private final Channel to;
-  private int onWay;
-  private boolean reading;
-  private boolean over;
-  private long progress = System.nanoTime();
-
-  private BodyRelay(Group all, Channel from, Channel to) {
-    this.all = all;
-    this.from = from;
-    this.to = to;
+  /** The memory that a piece takes beside its bytes. */
+  private static final int PIECE_OVERHEAD_BYTES = 256;
+
+  private final Group group;
+  private final Channel source;
+  private final Channel sink;
+  private int bytesInFlight;
+
+  /** Whether a read of the source has not completed yet; a relay is started within one. */
+  private boolean reading = true;
+
+  private boolean ended;
+  private long lastProgressNanos = System.nanoTime();
+
+  private BodyRelay(Group group, Channel source, Channel sink) {
+    this.group = group;
+    this.source = source;
+    this.sink = sink;
   }
 
-  /** Takes the bytes over; they go out when the source's read is complete. */
-  public void forward(ByteBuf bytes) {
-    if (over || !bytes.isReadable()) {
-      bytes.release();
+  /** Writes a piece to the sink, and takes it over; it is flushed by {@link #readComplete}. */
+  public void forward(ByteBuf piece) {
+    if (ended || !piece.isReadable()) {
+      piece.release();
       return;
     }
-    int cost = bytes.readableBytes() + PIECE;
-    onWay += cost;
-    progress = System.nanoTime();
-    to.write(new DefaultHttpContent(bytes))
-        .addListener(
-            done -> {
-              onWay -= cost;
-              progress = System.nanoTime();
-              pump();
-            });
+    int pieceBytes = piece.readableBytes() + PIECE_OVERHEAD_BYTES;
+    bytesInFlight += pieceBytes;
+    lastProgressNanos = System.nanoTime();
+    sink.write(new DefaultHttpContent(piece)).addListener(done -> written(pieceBytes));
   }
 
-  /** What was read has been told; more is read when there is room. */
+  private void written(int pieceBytes) {
+    bytesInFlight -= pieceBytes;
+    lastProgressNanos = System.nanoTime();
+    readIfRoom();
+  }
+
+  /** A read of the source is complete: flushes the sink, and reads on if there is room. */
   public void readComplete() {
     reading = false;
-    to.flush();
-    pump();
+    sink.flush();
+    readIfRoom();
   }
 
-  private void pump() {
-    if (!over && !reading && onWay < all.share()) {
+  private void readIfRoom() {
+    if (!ended && !reading && bytesInFlight < group.bytesPerRelay()) {
       reading = true;
-      from.read();
+      source.read();
     }
   }
 
-  /** The body is through, or one of its ends is gone. */
+  /** The body is complete, or its source or sink is gone. May be repeated. */
   public void end() {
-    over = true;
-    all.running.remove(this);
+    ended = true;
+    group.ended(this);
+  }
+
+  private boolean isStalled(long now) {
+    return now - lastProgressNanos > Group.STALL_TIMEOUT_NANOS;
   }
 
   /**
-   * All relays of an edge node, and the bodies that are held whole until they turn out to be long.
+   * Closes the peer that makes no progress: the sink while something is in flight to it, else the
+   * source. As an error, for a close would be the proper end of a body without a length.
    */
-  public static final class Group {
-    /** Of the 32 MB that buffers may take; the rest is for what is held whole and for reads. */
-    private static final int MOST_ON_WAY = 8 << 20;
-
-    private static final int LEAST_SHARE = 8 << 10;
-    private static final int MOST_SHARE = 128 << 10;
+  private void abortStalled() {
+    Channel stalled = bytesInFlight > 0 ? sink : source;
+    stalled.pipeline().fireExceptionCaught(new IOException("a body that goes on no more"));
+  }
 
-    /** A peer that neither takes nor gives anything for so long is given up. */
-    private static final long STALL = TimeUnit.SECONDS.toNanos(8);
+  /** All relays of a node. */
+  public static final class Group {
+    /** Of the 32 MB of buffers; the rest is for bodies that are buffered whole, and for reads. */
+    private static final int MAX_BYTES_IN_FLIGHT = 8 << 20;
 
-    private static final long LOOK_MS = 500;
+    private static final int MIN_BYTES_PER_RELAY = 8 << 10;
+    private static final int MAX_BYTES_PER_RELAY = 128 << 10;
+    private static final long STALL_TIMEOUT_NANOS = TimeUnit.SECONDS.toNanos(8);
+    private static final long STALL_CHECK_INTERVAL_MILLIS = 500;
 
     private final Set<BodyRelay> running = new LinkedHashSet<>();
 
+    /** Begins to look for stalled relays. */
     public Group(EventLoop loop) {
-      loop.scheduleAtFixedRate(this::endStalled, LOOK_MS, LOOK_MS, TimeUnit.MILLISECONDS);
+      loop.scheduleAtFixedRate(
+          this::abortStalled,
+          STALL_CHECK_INTERVAL_MILLIS,
+          STALL_CHECK_INTERVAL_MILLIS,
+          TimeUnit.MILLISECONDS);
     }
 
-    /** Begins to read {@code from} by need. */
-    public BodyRelay start(Channel from, Channel to) {
-      BodyRelay relay = new BodyRelay(this, from, to);
+    /** Starts a relay, within a read of the source; from now on it reads the source on demand. */
+    public BodyRelay start(Channel source, Channel sink) {
+      BodyRelay relay = new BodyRelay(this, source, sink);
       running.add(relay);
-      from.config().setAutoRead(false);
-      // The read in which it begins is still going on.
-      relay.reading = true;
+      source.config().setAutoRead(false);
       return relay;
     }
 
-    private int share() {
-      return Math.max(LEAST_SHARE, Math.min(MOST_SHARE, MOST_ON_WAY / Math.max(1, running.size())));
+    private void ended(BodyRelay relay) {
+      running.remove(relay);
+    }
+
+    private int bytesPerRelay() {
+      int evenPart = MAX_BYTES_IN_FLIGHT / Math.max(1, running.size());
+      return Math.max(MIN_BYTES_PER_RELAY, Math.min(MAX_BYTES_PER_RELAY, evenPart));
     }
 
-    private void endStalled() {
-      long due = System.nanoTime() - STALL;
+    private void abortStalled() {
+      long now = System.nanoTime();
       for (BodyRelay relay : List.copyOf(running)) {
-        if (relay.progress - due < 0) {
-          // With something on its way the sink takes nothing; else the source gives nothing. Not by
-          // a close: to a
-          // body that tells no length that would be its end.
-          Channel stalled = relay.onWay > 0 ? relay.to : relay.from;
-          stalled.pipeline().fireExceptionCaught(new IOException("a body that goes on no more"));
+        if (relay.isStalled(now)) {
+          relay.abortStalled();
         }
       }
     }
--- a/edge/src/main/java/edgegateway/node/requests/InFlightRequest.java
+++ b/edge/src/main/java/edgegateway/node/requests/InFlightRequest.java
@@ -7,154 +7,171 @@
 import io.netty.handler.codec.http.HttpMethod;
 import io.netty.util.concurrent.Future;
 
-/** A request that was taken: what goes on to app servers, and what is still owed to its client. */
+/**
+ * A client's request between its receipt and its response: what is forwarded, how its attempts
+ * stand, and where its one response goes. For the event loop's thread.
+ */
 public final class InFlightRequest {
-  /** Where the one final answer goes; told on the loop only. */
+  /** Bodies up to this length are buffered whole; the rest of a longer one is an upload. */
+  public static final int MAX_BUFFERED_BODY_BYTES = 64 * 1024;
+
+  /** Writes the one response of a request. For the event loop's thread. */
   public interface ResponseWriter {
-    /** Passes on an app server's answer; the buffer stays the caller's. */
+    /** Writes the body of an upstream's successful response; it stays the caller's. */
     void sendResponse(ByteBuf body);
 
     /**
-     * Says that trying again is harmless; {@code retryAfter} nanoseconds from now, 0 for no advice.
+     * Writes that the request was rejected, and that a retry is harmless.
+     *
+     * @param retryAfterNanos when to retry, from now; 0 for no advice
      */
     void sendRejection(long retryAfterNanos);
 
-    /** Says that it failed, with no promise about the effect. */
+    /** Writes that the request failed, with no promise about its effect. */
     void sendFailure();
 
     /**
-     * Begins to pass a long answer on, of so many bytes or -1; its pieces go to the channel. {@code
-     * gone} is run if the client leaves before {@link #endStream}.
+     * Begins a response whose body follows in pieces, until {@link #endStream}.
+     *
+     * @param length of the body in bytes; -1 if it is not known
+     * @param onClientGone run if the client disconnects before the end
+     * @return the client's channel, which takes the pieces
      */
-    Channel startStream(long length, Runnable gone);
+    Channel startStream(long length, Runnable onClientGone);
 
-    /** The pieces are all written, or no more can come. */
-    void endStream(boolean whole);
+    /** Ends the body: all pieces are written, or, if it is not complete, no more can follow. */
+    void endStream(boolean complete);
 
-    /**
-     * Whether its client would have been seen to leave, if it left a tenth of a second ago or
-     * longer.
-     */
+    /** Whether the client would have been seen to leave, if it left 0.1 s ago or longer. */
     boolean wouldHaveSeenDisconnect();
 
     /**
-     * Finds out whether its client is still there; {@code then} is run when that had its time. One
-     * that has left is told to the node before that.
+     * Finds out whether the client is still there. If it left, that is reported to the {@link
+     * ClientRequestHandler} before {@code then} is run; it is run in any case.
      */
     void checkClientPresence(Runnable then);
 
     /**
-     * Its client's time is all but over: a long answer that is not out yet ends so that the client
-     * can tell.
+     * The client's deadline is near: a streamed response that is not written whole is cut off so
+     * that the client can tell.
      */
     void abortUnfinishedResponse();
   }
 
-  /** The rest of a long body, which is still coming in; told on the loop only. */
+  /** The rest of a long body, which is still being received. For the event loop's thread. */
   public interface BodyUpload {
-    /** How long the whole body is; -1 if that is not told. */
+    /** The length of the whole body in bytes; -1 if it is not known. */
     long contentLength();
 
     /**
-     * Passes the rest on; {@code written} is run when its last byte is, {@code gone} if that never
-     * comes.
+     * Forwards the rest to an upstream's channel as it arrives.
+     *
+     * @param onWritten run when the last byte was written
+     * @param onAborted run if the body cannot be forwarded whole
      */
-    void forwardTo(Channel server, Runnable written, Runnable gone);
+    void forwardTo(Channel upstream, Runnable onWritten, Runnable onAborted);
 
-    /** The attempt that it was passed to is over. */
+    /** The attempt that the body was forwarded to is over. */
     void stopForwarding();
 
-    /** Whether the last byte came. */
+    /** Whether the last byte arrived. */
     boolean isComplete();
   }
 
   public final Request request;
   public final HttpMethod method;
   public final String uri;
+
+  /** Null if the request has none. */
   public final String idempotencyKey;
 
-  /** The body, or its beginning where there is an upload. */
+  /** The body, or its beginning if there is an upload. */
   public final ByteBuf body;
 
-  private final BufferedBodies.Body bufferedBytes;
-  private final ResponseWriter responseWriter;
+  /** The rest of a long body; null if the body is complete. */
   public final BodyUpload upload;
+
+  /** How many attempts began. */
   public int attempts;
+
+  /** Whether an attempt is in flight. */
   public boolean attemptInFlight;
 
-  /**
-   * Run to end the attempt that is out, so far as it has not begun to be written; null if there is
-   * none.
-   */
+  /** Cancels the attempt in flight unless it is being written; null if there is none. */
   public Runnable cancelUnsentAttempt;
 
-  /** When the first attempt was chosen that may have run; {@link Long#MIN_VALUE} if none was. */
+  /** When the first attempt was sent that may have executed; {@link Long#MIN_VALUE} for none. */
   public long firstPossibleExecutionNanos = Long.MIN_VALUE;
 
-  /** Whether no attempt follows the one that is out. */
+  /** Whether no attempt may follow the one in flight. */
   public boolean lastAttempt;
 
+  /** Whether the response was claimed. */
   public boolean answered;
 
-  /**
-   * When its client's time is over, on the node's clock; not known before the last byte of its body
-   * came.
-   */
+  /** When the client stops waiting, on the node's clock; not known until its body is complete. */
   public long clientDeadlineNanos;
 
+  /** Ends the request shortly before that; null if it is not known. */
   public Future<?> clientDeadlineTimer;
 
+  private final BufferedBodies.Body bufferedBytes;
+  private final ResponseWriter responseWriter;
+
   /**
-   * Takes over the body and what is told to be held of it; {@code upload} is null if that is whole.
+   * Takes over the body and its buffered bytes, which {@link #release} gives up.
+   *
+   * @param idempotencyKey null for none
+   * @param upload the rest of the body; null if that is complete
    */
   public InFlightRequest(
       Request request,
       HttpMethod method,
       String uri,
-      String key,
+      String idempotencyKey,
       ByteBuf body,
-      BufferedBodies.Body holding,
+      BufferedBodies.Body bufferedBytes,
       BodyUpload upload,
-      ResponseWriter answers) {
+      ResponseWriter responseWriter) {
     this.request = request;
     this.method = method;
     this.uri = uri;
-    this.idempotencyKey = key;
+    this.idempotencyKey = idempotencyKey;
     this.body = body;
-    this.bufferedBytes = holding;
+    this.bufferedBytes = bufferedBytes;
     this.upload = upload;
-    this.responseWriter = answers;
+    this.responseWriter = responseWriter;
   }
 
-  /** An attempt that still waits for its connection is not made any more. */
+  /** Cancels an attempt that still waits for its connection. */
   public void cancelUnsentAttempt() {
     if (cancelUnsentAttempt != null) {
       cancelUnsentAttempt.run();
     }
   }
 
-  /** Lets the body go. */
+  /** Drops the body. */
   public void release() {
     body.release();
     bufferedBytes.release();
   }
 
-  /** Whether its client would have been seen to leave by now. */
+  /** As {@link ResponseWriter#wouldHaveSeenDisconnect}. */
   public boolean wouldHaveSeenClientDisconnect() {
     return responseWriter.wouldHaveSeenDisconnect();
   }
 
-  /** Finds out whether its client is still there, and goes on then. */
+  /** As {@link ResponseWriter#checkClientPresence}. */
   public void checkClientPresence(Runnable then) {
     responseWriter.checkClientPresence(then);
   }
 
-  /** Where the rest of a long answer goes, once that has begun. */
+  /** The writer of a response whose streaming began. */
   public ResponseWriter streamedResponse() {
     return responseWriter;
   }
 
-  /** The answers' side if nothing was answered yet, else null: a request has one final answer. */
+  /** The writer of the one response, for the first caller; null for any further one. */
   public ResponseWriter claimResponse() {
     if (answered) {
       return null;
--- /dev/null
+++ b/edge/src/test/java/edgegateway/node/clients/StrictRequestDecoderTest.java
@@ -0,0 +1,51 @@
+package edgegateway.node.clients;
+
+import static org.junit.jupiter.api.Assertions.assertEquals;
+import static org.junit.jupiter.api.Assertions.assertFalse;
+import static org.junit.jupiter.api.Assertions.assertTrue;
+
+import io.netty.buffer.Unpooled;
+import io.netty.channel.embedded.EmbeddedChannel;
+import io.netty.handler.codec.http.HttpRequest;
+import io.netty.util.ReferenceCountUtil;
+import java.nio.charset.StandardCharsets;
+import org.junit.jupiter.api.Test;
+
+/** Which requests are rejected while they are decoded. */
+class StrictRequestDecoderTest {
+  private static final int MAX_CHUNK_BYTES = 1_024;
+  private final StrictRequestDecoder decoder = new StrictRequestDecoder(MAX_CHUNK_BYTES);
+  private final EmbeddedChannel channel = new EmbeddedChannel(decoder);
+
+  private void read(String text) {
+    channel.writeInbound(Unpooled.copiedBuffer(text, StandardCharsets.US_ASCII));
+  }
+
+  @Test
+  void rejectsARequestWithTwoLengths() {
+    read("POST /api HTTP/1.1\r\nContent-Length: 4\r\nTransfer-Encoding: chunked\r\n\r\n");
+    HttpRequest request = channel.readInbound();
+    assertTrue(request.decoderResult().isFailure());
+    channel.finishAndReleaseAll();
+  }
+
+  @Test
+  void acceptsARequestWithOneLength() {
+    read("POST /api HTTP/1.1\r\nContent-Length: 4\r\n\r\nbook");
+    HttpRequest request = channel.readInbound();
+    assertTrue(request.decoderResult().isSuccess());
+    assertEquals("/api", request.uri());
+    ReferenceCountUtil.release(request);
+    channel.finishAndReleaseAll();
+  }
+
+  @Test
+  void tellsWhetherARequestHasBegun() {
+    assertFalse(decoder.hasUndecodedBytes());
+    read("GET /api HT");
+    assertTrue(decoder.hasUndecodedBytes());
+    read("TP/1.1\r\n\r\n");
+    assertFalse(decoder.hasUndecodedBytes());
+    channel.finishAndReleaseAll();
+  }
+}
--- /dev/null
+++ b/edge/src/test/java/edgegateway/node/connections/ClientCapacityTest.java
@@ -0,0 +1,48 @@
+package edgegateway.node.connections;
+
+import static org.junit.jupiter.api.Assertions.assertEquals;
+import static org.junit.jupiter.api.Assertions.assertFalse;
+import static org.junit.jupiter.api.Assertions.assertTrue;
+
+import java.util.concurrent.TimeUnit;
+import org.junit.jupiter.api.BeforeEach;
+import org.junit.jupiter.api.Test;
+
+/** How the limit on connections follows a lack of descriptors. */
+class ClientCapacityTest {
+  private static final long HOLD_NANOS = TimeUnit.SECONDS.toNanos(10);
+  private final ClientCapacity capacity = new ClientCapacity();
+
+  @BeforeEach
+  void applyBudget() {
+    capacity.setBudgeted(100);
+  }
+
+  @Test
+  void keepsBelowTheNumberAtWhichDescriptorsRanOut() {
+    assertTrue(capacity.descriptorsExhausted(0, 40));
+    assertEquals(32, capacity.connections());
+    assertFalse(capacity.descriptorsExhausted(0, 60), "reported once");
+    assertEquals(32, capacity.connections(), "a limit is not raised by a further lack");
+  }
+
+  @Test
+  void keepsOnePlaceWhateverHappens() {
+    capacity.descriptorsExhausted(0, 3);
+    assertEquals(1, capacity.connections());
+  }
+
+  @Test
+  void recoversByOneAtATimeAfterItsHold() {
+    capacity.descriptorsExhausted(0, 106);
+    capacity.recover(HOLD_NANOS);
+    assertEquals(98, capacity.connections());
+    capacity.recover(HOLD_NANOS + 1);
+    assertEquals(99, capacity.connections());
+    capacity.recover(HOLD_NANOS + 1);
+    assertEquals(100, capacity.connections());
+    assertFalse(capacity.descriptorsExhausted(HOLD_NANOS, 200), "not forgotten yet");
+    capacity.recover(HOLD_NANOS + 1);
+    assertTrue(capacity.descriptorsExhausted(HOLD_NANOS, 200), "forgotten: another is news");
+  }
+}
--- /dev/null
+++ b/edge/src/test/java/edgegateway/node/connections/ClientTimeoutsTest.java
@@ -0,0 +1,111 @@
+package edgegateway.node.connections;
+
+import static org.junit.jupiter.api.Assertions.assertEquals;
+import static org.junit.jupiter.api.Assertions.assertNull;
+
+import edgegateway.node.connections.ConnectionMetrics.CloseReason;
+import java.net.InetSocketAddress;
+import java.util.List;
+import org.junit.jupiter.api.BeforeEach;
+import org.junit.jupiter.api.Test;
+
+/** How long a connection may stay in each state. */
+class ClientTimeoutsTest {
+  private static final long NANOS_PER_MILLI = 1_000_000L;
+  private static final long START = 5_000 * NANOS_PER_MILLI;
+  private final ClientConnectionTable table =
+      new ClientConnectionTable(() -> {}, new ConnectionMetrics());
+  private final ClientTimeouts timeouts = new ClientTimeouts();
+
+  @BeforeEach
+  void applyLimits() {
+    table.applyBudget(START, new DescriptorBudget(2, 3, 1, 1, 1, 1, 1, List.of()));
+    timeouts.setIdleNanos(75_000 * NANOS_PER_MILLI);
+  }
+
+  private ClientConnection accept(boolean tls) {
+    return table.accept(START, new InetSocketAddress("10.0.0.1", 1), tls, () -> {});
+  }
+
+  private CloseReason expiredAfter(ClientConnection connection, long millis) {
+    return timeouts.expired(connection, START + millis * NANOS_PER_MILLI);
+  }
+
+  private void assertExpiresAfter(ClientConnection connection, long millis, CloseReason reason) {
+    assertNull(expiredAfter(connection, millis));
+    assertEquals(reason, expiredAfter(connection, millis + 1));
+  }
+
+  @Test
+  void aHeadIsAwaitedFromTheAcceptOn() {
+    ClientConnection connection = accept(false);
+    assertExpiresAfter(connection, 2_400, CloseReason.HEAD_TIMEOUT);
+    connection.bytesReceived(START + NANOS_PER_MILLI, 10);
+    assertExpiresAfter(connection, 2_400, CloseReason.HEAD_TIMEOUT);
+  }
+
+  @Test
+  void theFirstHeadOverTlsIsAwaitedLonger() {
+    ClientConnection connection = accept(true);
+    assertExpiresAfter(connection, 1_500, CloseReason.HANDSHAKE_TIMEOUT);
+    connection.handshakeCompleted();
+    assertExpiresAfter(connection, 2_800, CloseReason.HEAD_TIMEOUT);
+    connection.responseSent(START);
+    connection.bytesReceived(START, 10);
+    assertExpiresAfter(connection, 2_400, CloseReason.HEAD_TIMEOUT);
+  }
+
+  @Test
+  void aBodyThatArrivesAtItsRateNeverExpires() {
+    ClientConnection connection = accept(false);
+    connection.headReceived(START);
+    connection.bytesReceived(START + 10_000 * NANOS_PER_MILLI, 48 * 10_000);
+    assertNull(expiredAfter(connection, 12_400));
+  }
+
+  @Test
+  void aBodyBehindItsRateExpiresWhenItPauses() {
+    ClientConnection connection = accept(false);
+    connection.headReceived(START);
+    connection.bytesReceived(START + 1_000 * NANOS_PER_MILLI, 48);
+    assertExpiresAfter(connection, 2_500, CloseReason.SLOW_BODY);
+  }
+
+  @Test
+  void aBodyBehindItsRateExpiresWhenItIsTooLate() {
+    ClientConnection connection = accept(false);
+    connection.headReceived(START);
+    connection.bytesReceived(START + 2_900 * NANOS_PER_MILLI, 48);
+    assertExpiresAfter(connection, 3_001, CloseReason.SLOW_BODY);
+  }
+
+  @Test
+  void anIdleConnectionExpiresSoonerInADrain() {
+    ClientConnection connection = accept(false);
+    connection.responseSent(START);
+    assertExpiresAfter(connection, 75_000, CloseReason.IDLE_TIMEOUT);
+    timeouts.setDraining(true);
+    assertExpiresAfter(connection, 600, CloseReason.DRAINED);
+  }
+
+  @Test
+  void aRequestInFlightNeverExpiresButItsUnreadResponseDoes() {
+    ClientConnection connection = accept(false);
+    connection.requestReceived();
+    assertNull(expiredAfter(connection, 1_000_000));
+    connection.writeStarted(START);
+    assertExpiresAfter(connection, 8_000, CloseReason.RESPONSE_NOT_READ);
+    connection.writeCompleted(START);
+    assertNull(expiredAfter(connection, 1_000_000));
+  }
+
+  @Test
+  void aConnectionOverCapacityHasLittleTimeForItsRequest() {
+    accept(false);
+    accept(false);
+    ClientConnection connection = accept(false);
+    assertExpiresAfter(connection, 500, CloseReason.OVER_CAPACITY);
+    connection.requestReceived();
+    assertNull(expiredAfter(connection, 1_000_000));
+  }
+}
