--- a/edge/src/main/java/edgegateway/node/EdgeNode.java
+++ b/edge/src/main/java/edgegateway/node/EdgeNode.java
@@ -228,8 +228,8 @@
                         event(
                             null,
                             now -> zoneEjection.tick(now, figures.discoverySilence() < HEARD_MS)),
-                    ZoneEjectionController.TICK,
-                    ZoneEjectionController.TICK,
+                    ZoneEjectionController.TICK_NANOS,
+                    ZoneEjectionController.TICK_NANOS,
                     TimeUnit.NANOSECONDS);
               }
             })
@@ -267,7 +267,7 @@
                   boolean succeeded = slots.otherTakes();
                   slots.take(false);
                   if (zoneEjection != null) {
-                    zoneEjection.agreement().abstain();
+                    zoneEjection.consensus().stopVoting();
                   }
                   clients.stop(done, succeeded);
                   return succeeded ? policy.exportState(nowNanos()) : null;
@@ -363,7 +363,7 @@
             ZoneEjectionState verdict =
                 zoneEjection == null || zone.byOperator()
                     ? null
-                    : zoneEjection.agreement().verdict(i);
+                    : zoneEjection.consensus().state(i);
             String state =
                 zone.trafficFraction() == 0
                     ? "out"
@@ -377,18 +377,18 @@
                     zone.trafficFraction(),
                     zone.listedEndpoints(),
                     zone.usableEndpoints()));
-            long since = verdict == null ? zone.sinceNanos() : verdict.since();
+            long since = verdict == null ? zone.sinceNanos() : verdict.sinceNanos();
             text.append(
                 since == 0 ? "" : " since_s=" + TimeUnit.NANOSECONDS.toSeconds(now - since));
             text.append(
                 zone.byOperator()
                     ? " why=hand"
-                    : verdict == null || verdict.why() == ZoneEjectionState.Why.NONE
+                    : verdict == null || verdict.decidedBy() == ZoneEjectionState.DecidedBy.NONE
                         ? ""
                         : " why="
-                            + verdict.why().name().toLowerCase(Locale.ROOT)
+                            + verdict.decidedBy().name().toLowerCase(Locale.ROOT)
                             + " witnesses="
-                            + verdict.witnesses()
+                            + verdict.votes()
                             + " relapses="
                             + verdict.relapses());
             text.append('\n');
@@ -479,9 +479,9 @@
     figures.servers(upstreamPool.endpointCount(), policy.avoidedEndpoints().size());
     if (zoneEjection != null) {
       figures.zones(
-          zoneEjection.agreement().zonesAway(),
-          zoneEjection.agreement().calls(),
-          zoneEjection.agreement().trials());
+          zoneEjection.consensus().ejectedZones(),
+          zoneEjection.consensus().voteCalls(),
+          zoneEjection.consensus().probes());
     }
   }
 
@@ -756,12 +756,12 @@
 
   private void counted(long name, Outcome outcome, double total) {
     figures.counted(outcome == Outcome.OK);
-    boolean ballot = zoneEjection != null && ZoneEjectionController.owns(name);
+    boolean ballot = zoneEjection != null && ZoneEjectionController.ownsCounterKey(name);
     event(
         null,
         now -> {
           if (ballot) {
-            zoneEjection.counted(now, name, outcome, total);
+            zoneEjection.counterReplied(now, name, outcome, total);
           } else {
             policy.counterReplied(now, name, outcome, total);
           }
--- a/edge/src/main/java/edgegateway/node/config/NodeConfig.java
+++ b/edge/src/main/java/edgegateway/node/config/NodeConfig.java
@@ -213,9 +213,9 @@
     int most = whole(node, "zones", "most-out-percent", 1, 90);
     int after = whole(node, "zones", "alone-after-ms", 500, 60_000);
     return new ZoneEjectionSettings(
-        ZoneEjectionSettings.Verdicts.valueOf(verdicts.toUpperCase(Locale.ROOT)),
-        most == 0 ? ZoneEjectionSettings.MOST_OUT : most / 100.0,
-        after == 0 ? ZoneEjectionSettings.ALONE_AFTER : after * 1_000_000L);
+        ZoneEjectionSettings.DecisionMode.valueOf(verdicts.toUpperCase(Locale.ROOT)),
+        most == 0 ? ZoneEjectionSettings.DEFAULT_MAX_EJECTED_FRACTION : most / 100.0,
+        after == 0 ? ZoneEjectionSettings.DEFAULT_LOCAL_DECISION_AFTER_NANOS : after * 1_000_000L);
   }
 
   /** An object of this project's own: what it does not know may be a slip, and is told. */
--- a/edge/src/main/java/edgegateway/node/zones/CounterVoteTransport.java
+++ b/edge/src/main/java/edgegateway/node/zones/CounterVoteTransport.java
@@ -8,70 +8,82 @@
 import java.util.SplittableRandom;
 
 /**
- * Votes as amounts on the shared counter: a ballot is a name, a vote adds 1, the total is the
- * tally. A call is never repeated, so a vote counts once or not at all; a name that was flushed
- * begins at 0, so a tally can only be too low.
+ * Votes as amounts on the shared quota counter: the subject of a vote is a key, a vote adds 1 and
+ * the total is the number of votes. No call is repeated, so a vote counts once or not at all; a key
+ * that the counter lost begins at 0 again, so a total can only be too low.
  */
 final class CounterVoteTransport implements ZoneVoteTransport {
-  /** What the counter offers. */
+  /** The counter, as far as it is used here. */
   interface Counter {
-    /** Adds to a name and tells the total later. */
-    void count(long name, double amount, long lifetime);
+    /** Adds an amount to the number of that key; the total comes later. */
+    void add(long key, double amount, long lifetimeNanos);
   }
 
-  /** Names of ballots are negative, those of the module's customers are not. */
-  private static final long MARK = Long.MIN_VALUE;
+  /** Keys of votes are negative; those of customers' quotas are not. */
+  private static final long VOTE_KEY_BIT = Long.MIN_VALUE;
+
+  private static final int HASH_MULTIPLIER = 31;
+
+  /** A key lives for the present window and the difference of the nodes' clocks. */
+  private static final int LIFETIME_WINDOWS = 2;
 
   private final Counter counter;
-  private final long[] zones;
-  private final long lifetime;
-  private final Map<Long, ArrayDeque<ZoneVote>> asked = new HashMap<>();
+  private final long[] zoneHashes;
+  private final long lifetimeNanos;
+
+  /** Subjects of the calls in flight by key, oldest first. */
+  private final Map<Long, ArrayDeque<ZoneVote>> pending = new HashMap<>();
 
   /**
-   * {@code zones} are the settings' names; names live for two windows, the present one and the
-   * nodes' clocks' difference.
+   * A transport for the given zones.
+   *
+   * @param zoneNames names by index; nodes may give a zone different indices
+   * @param windowNanos length of a voting window
    */
-  CounterVoteTransport(Counter counter, List<String> zones, long window) {
+  CounterVoteTransport(Counter counter, List<String> zoneNames, long windowNanos) {
     this.counter = counter;
-    this.zones = zones.stream().mapToLong(CounterVoteTransport::hash).toArray();
-    lifetime = 2 * window;
+    zoneHashes = zoneNames.stream().mapToLong(CounterVoteTransport::hash).toArray();
+    lifetimeNanos = LIFETIME_WINDOWS * windowNanos;
   }
 
-  /** Whether a name of the counter is a ballot's. */
-  static boolean owns(long name) {
-    return name < 0;
+  /** Whether a key of the counter is that of a vote. */
+  static boolean ownsKey(long key) {
+    return key < 0;
   }
 
-  private static long hash(String name) {
+  private static long hash(String text) {
     long hash = 1;
-    for (byte one : name.getBytes(StandardCharsets.UTF_8)) {
-      hash = 31 * hash + one;
+    for (byte one : text.getBytes(StandardCharsets.UTF_8)) {
+      hash = HASH_MULTIPLIER * hash + one;
     }
     return mix(hash);
   }
 
-  private static long mix(long z) {
-    return new SplittableRandom(z).nextLong();
+  /** Spreads values that lie close together over all long values. */
+  private static long mix(long value) {
+    return new SplittableRandom(value).nextLong();
   }
 
-  long name(ZoneVote ballot) {
-    return MARK | mix(mix(zones[ballot.zone()] + ballot.question().ordinal()) + ballot.window());
+  /** Key of a vote's subject: the same at all nodes and in all versions. */
+  long key(ZoneVote vote) {
+    long question = mix(zoneHashes[vote.zone()] + vote.question().ordinal());
+    return VOTE_KEY_BIT | mix(question + vote.window());
   }
 
   @Override
-  public void cast(long now, ZoneVote ballot, boolean mine) {
-    long name = name(ballot);
-    asked.computeIfAbsent(name, any -> new ArrayDeque<>()).add(ballot);
-    counter.count(name, mine ? 1 : 0, lifetime);
+  public void cast(long nowNanos, ZoneVote vote, boolean castsVote) {
+    long key = key(vote);
+    pending.computeIfAbsent(key, any -> new ArrayDeque<>()).add(vote);
+    counter.add(key, castsVote ? 1 : 0, lifetimeNanos);
   }
 
-  /** The ballot of the oldest call of a name that has ended; null if there is none. */
-  ZoneVote ended(long name) {
-    ArrayDeque<ZoneVote> of = asked.get(name);
-    ZoneVote ballot = of == null ? null : of.poll();
-    if (of != null && of.isEmpty()) {
-      asked.remove(name);
+  /** Removes the oldest call of a key, which has ended; null if there is none. */
+  ZoneVote callEnded(long key) {
+    ArrayDeque<ZoneVote> calls = pending.get(key);
+    ZoneVote vote = calls == null ? null : calls.poll();
+    if (calls != null && calls.isEmpty()) {
+      pending.remove(key);
     }
-    return ballot;
+    return vote;
   }
 }
--- a/edge/src/main/java/edgegateway/node/zones/ZoneConsensus.java
+++ b/edge/src/main/java/edgegateway/node/zones/ZoneConsensus.java
@@ -10,276 +10,313 @@
 import java.util.SplittableRandom;
 
 /**
- * Which zones a fleet leaves, and how it comes back to them ({@code docs/design/zones.md}): a plain
- * class on a given clock, evidence and tallies in, courses and trials out. Times are nanoseconds of
- * a wall clock that never runs backwards in one life; one caller at a time.
+ * Which zones the fleet ejects and how they return ({@code docs/design/zones.md}): gets the health
+ * of the zones and the votes of the nodes, and sets ramps and asks for half-open attempts. No I/O;
+ * the clock is given. Times are nanoseconds of the wall clock, which all nodes share and which must
+ * not run backwards in one process. Not thread-safe.
  */
 public final class ZoneConsensus {
   /** What it asks for. */
   public interface Actions {
-    /** From now on a zone's part of the work is so; null: as ever. */
-    void course(int zone, TrafficRamp course);
+    /** Sets the fraction of its usual traffic that a zone gets over time; null for all of it. */
+    void setRamp(int zone, TrafficRamp ramp);
 
-    /** The next request that may be repeated freely goes to a zone that is out. */
-    void trial(int zone);
+    /** Sends the next idempotent request to an ejected zone. */
+    void probe(int zone);
 
-    /** A line for the operators. */
-    void log(String text);
+    /** Writes a log line. */
+    void log(String message);
   }
 
   /**
    * What a node knows of its fleet.
    *
-   * @param me its number, from 0
-   * @param siblings how many nodes there are
-   * @param zones the zones' names
-   * @param begin the part with which a zone begins its way back
-   * @param ramp for how long it grows, nanoseconds, where all its servers are known to be warm
-   * @param coldRamp the same where they are not
+   * @param settings how zones are ejected
+   * @param nodeIndex index of this node, from 0
+   * @param nodeCount number of nodes, at least 1
+   * @param zoneNames names of the zones by index
+   * @param initialFraction fraction of its traffic with which a zone begins to return, 0 to 1
+   * @param rampNanos how long the traffic of a returning zone grows if none of its endpoints is
+   *     known to be in slow start
+   * @param slowStartRampNanos the same if some may be
    */
-  public record Terms(
+  public record FleetSettings(
       ZoneEjectionSettings settings,
-      int me,
-      int siblings,
-      List<String> zones,
-      double begin,
-      long ramp,
-      long coldRamp) {
-    /** More than half of all nodes, present or not: two halves can't both be right. */
+      int nodeIndex,
+      int nodeCount,
+      List<String> zoneNames,
+      double initialFraction,
+      long rampNanos,
+      long slowStartRampNanos) {
+    /** More than half of all nodes, running or not: no two parts of a fleet can both have it. */
     int majority() {
-      return siblings / 2 + 1;
+      return nodeCount / 2 + 1;
     }
   }
 
-  /**
-   * Votes hold for a window; long enough for slow evidence, short against what a zone is out for.
-   */
-  static final long WINDOW = 4_000_000_000L;
+  /** Votes count for a window: long enough for slow evidence, short against an ejection. */
+  static final long VOTE_WINDOW_NANOS = 4_000_000_000L;
 
-  /**
-   * A node asks the carrier at most so often, and all nodes together 250 times a second at most.
-   */
-  private static final long ASK = 250_000_000L;
+  /** A node asks for votes at most so often. */
+  private static final long MIN_ASK_INTERVAL_NANOS = 250_000_000L;
 
-  private static final long ASK_PER_NODE = 4_000_000L;
+  /** All nodes together ask at most 250 times a second. */
+  private static final long ASK_INTERVAL_PER_NODE_NANOS = 4_000_000L;
 
-  /** Three misses, or two where many nodes must agree. */
-  private static final double EXCESS = 2.8;
+  /** From so many nodes on, a majority makes up for less evidence at each. */
+  private static final int LARGE_FLEET_NODES = 24;
 
-  private static final double EXCESS_OF_MANY = 1.8;
-  private static final double ALL_EXCESS = 1.5;
+  /** Failure excess from which a zone is failing: three failures, or two in a large fleet. */
+  private static final double FAILING_EXCESS = 2.8;
 
-  /**
-   * What must have been answered of late in the best other zone, the most of it that missed, and
-   * the most that is in doubt there.
-   */
-  private static final double ELSEWHERE_GOOD = 2;
+  private static final double FAILING_EXCESS_IN_LARGE_FLEET = 1.8;
+
+  /** The same if none of its endpoints responds. */
+  private static final double UNRESPONSIVE_EXCESS = 1.5;
 
-  private static final double ELSEWHERE_PART = 0.2;
-  private static final double ELSEWHERE_EXCESS = 1;
+  /** Failing endpoints that a failing zone has at least, or all if it has fewer. */
+  private static final int MIN_FAILING_ENDPOINTS = 2;
 
-  /** From so many nodes on a majority makes up for what each is less sure of. */
-  private static final int MANY = 24;
+  /** What a healthy zone has: answers of late, at least. */
+  private static final double HEALTHY_MIN_ANSWERS = 2;
 
-  /** Calls without an answer in a row after which the carrier counts as silent. */
-  private static final int SILENT = 3;
+  /** Failed fraction of its attempts of late, at most. */
+  private static final double HEALTHY_MAX_FAILURE_FRACTION = 0.2;
 
-  private final Terms terms;
-  private final ZoneVoteTransport ballots;
-  private final Actions out;
-  private final SplittableRandom chance;
-  private final long born;
+  /** Failure excess, at most. */
+  private static final double HEALTHY_MAX_EXCESS = 1;
+
+  /** Calls without an answer in a row after which the counter counts as unreachable. */
+  private static final int MAX_UNANSWERED_CALLS = 3;
+
+  /** Tolerance of a sum of fractions. */
+  private static final double FRACTION_TOLERANCE = 1e-9;
+
+  private static final int NO_ZONE = -1;
+
+  private final FleetSettings fleet;
+  private final ZoneVoteTransport transport;
+  private final Actions actions;
+  private final SplittableRandom random;
+  private final long startedNanos;
   private final Map<Integer, ZoneStateMachine> machines = new HashMap<>();
-  private Map<Integer, ZoneHealth> evidence = Map.of();
-  private int unanswered;
-  private long calls;
-  private long trials;
-  private boolean panic;
-  private boolean told;
+  private Map<Integer, ZoneHealth> healthByZone = Map.of();
+  private int unansweredCalls;
+  private long voteCalls;
+  private long probes;
+  private boolean ejectionsBlocked;
+  private boolean discoveryCurrent;
   private boolean voting = true;
 
-  /** Begins with all zones in; {@code seed} is its only source of chance. */
-  public ZoneConsensus(Terms terms, ZoneVoteTransport ballots, long seed, long now, Actions out) {
-    this.terms = terms;
-    this.ballots = ballots;
-    this.out = out;
-    chance = new SplittableRandom(seed);
-    born = now;
+  /**
+   * Begins with all zones in use.
+   *
+   * @param seed of the only source of randomness
+   */
+  public ZoneConsensus(
+      FleetSettings fleet, ZoneVoteTransport transport, long seed, long nowNanos, Actions actions) {
+    this.fleet = fleet;
+    this.transport = transport;
+    this.actions = actions;
+    random = new SplittableRandom(seed);
+    startedNanos = nowNanos;
   }
 
   /**
-   * To be called some ten times a second with what the node's attempts met in all zones.
+   * Goes on; to be called some ten times a second.
    *
-   * @param told whether discovery speaks, so that a server that began anew would be known
+   * @param zones health of all zones that have endpoints in the list
+   * @param discoveryCurrent whether discovery answers, so that a restarted endpoint would be known
    */
-  public void tick(long now, List<ZoneHealth> all, boolean told) {
-    this.told = told;
-    evidence = new HashMap<>();
-    all.forEach(one -> evidence.put(one.zone(), one));
-    Set<Integer> accused = new HashSet<>();
-    all.stream().filter(this::bad).forEach(one -> accused.add(one.zone()));
-    double away = away(-1);
-    double more =
-        accused.stream()
-            .filter(zone -> !machine(zone).away())
-            .mapToDouble(zone -> evidence.get(zone).endpointFraction())
+  public void tick(long nowNanos, List<ZoneHealth> zones, boolean discoveryCurrent) {
+    this.discoveryCurrent = discoveryCurrent;
+    healthByZone = new HashMap<>();
+    zones.forEach(health -> healthByZone.put(health.zone(), health));
+    Set<Integer> failing = new HashSet<>();
+    zones.stream().filter(this::isFailing).forEach(health -> failing.add(health.zone()));
+    blockExcessiveEjections(failing);
+    for (ZoneHealth health : zones) {
+      machine(health.zone())
+          .tick(nowNanos, health, failing.contains(health.zone()), hasHealthyPeer(health));
+    }
+  }
+
+  /**
+   * If ejecting all failing zones would leave too few endpoints, none is ejected: that much failing
+   * at once is less likely than wrong evidence.
+   */
+  private void blockExcessiveEjections(Set<Integer> failing) {
+    double ejected = ejectedFraction(NO_ZONE);
+    double further =
+        failing.stream()
+            .filter(zone -> !machine(zone).isEjected())
+            .mapToDouble(zone -> healthByZone.get(zone).endpointFraction())
             .sum();
-    boolean tooMuch = more > 0 && !bearable(away + more);
-    if (tooMuch) {
-      accused.removeIf(zone -> !machine(zone).away());
+    boolean blocked = further > 0 && !withinLimit(ejected + further);
+    if (blocked) {
+      failing.removeIf(zone -> !machine(zone).isEjected());
     }
-    if (tooMuch != panic) {
-      panic = tooMuch;
-      out.log(
-          panic
-              ? "zones: too much would be out, no further zone is accused"
-              : "zones: accusations count again");
+    if (blocked != ejectionsBlocked) {
+      ejectionsBlocked = blocked;
+      actions.log(
+          blocked
+              ? "zone_ejections_blocked reason=max_ejected_fraction"
+              : "zone_ejections_allowed");
     }
-    all.forEach(
-        one ->
-            machine(one.zone()).tick(now, one, accused.contains(one.zone()), goodElsewhere(one)));
   }
 
-  private boolean bad(ZoneHealth of) {
-    boolean much =
-        of.failureExcess() >= (terms.siblings() < MANY ? EXCESS : EXCESS_OF_MANY)
-            && of.failingEndpoints() >= Math.min(2, of.endpoints())
-            && 2 * of.failingEndpoints() >= of.observedEndpoints();
-    // A node that avoids each silent server at once has no more to tell than that none of them
-    // answers.
-    boolean all =
-        of.endpoints() > 1
-            && of.unresponsiveEndpoints() == of.endpoints()
-            && of.failureExcess() >= ALL_EXCESS;
-    return (much || all) && goodElsewhere(of);
+  private boolean isFailing(ZoneHealth health) {
+    double requiredExcess =
+        fleet.nodeCount() < LARGE_FLEET_NODES ? FAILING_EXCESS : FAILING_EXCESS_IN_LARGE_FLEET;
+    boolean mostFail =
+        health.failureExcess() >= requiredExcess
+            && health.failingEndpoints() >= Math.min(MIN_FAILING_ENDPOINTS, health.endpoints())
+            && 2 * health.failingEndpoints() >= health.observedEndpoints();
+    // A node avoids each unresponsive endpoint at once: it will see no more than that all are.
+    boolean noneResponds =
+        health.endpoints() > 1
+            && health.unresponsiveEndpoints() == health.endpoints()
+            && health.failureExcess() >= UNRESPONSIVE_EXCESS;
+    return (mostFail || noneResponds) && hasHealthyPeer(health);
+  }
+
+  /** Without one, this node may be cut off itself, or all zones overloaded. */
+  private boolean hasHealthyPeer(ZoneHealth health) {
+    return healthByZone.values().stream()
+        .anyMatch(other -> other.zone() != health.zone() && isHealthy(other));
   }
 
-  /** Who reaches nobody accuses nobody, and a load too high for all is no zone's fault. */
-  private boolean goodElsewhere(ZoneHealth of) {
-    return evidence.values().stream()
-        .anyMatch(
-            other ->
-                other.zone() != of.zone()
-                    && other.recentAttempts() - other.recentFailures() >= ELSEWHERE_GOOD
-                    && other.recentFailures() <= ELSEWHERE_PART * other.recentAttempts()
-                    && other.failureExcess() <= ELSEWHERE_EXCESS);
+  private static boolean isHealthy(ZoneHealth health) {
+    double answers = health.recentAttempts() - health.recentFailures();
+    return answers >= HEALTHY_MIN_ANSWERS
+        && health.recentFailures() <= HEALTHY_MAX_FAILURE_FRACTION * health.recentAttempts()
+        && health.failureExcess() <= HEALTHY_MAX_EXCESS;
   }
 
-  /** The part of the listed servers in zones that are away, without one zone. */
-  private double away(int without) {
-    return evidence.values().stream()
-        .filter(one -> one.zone() != without && machine(one.zone()).away())
+  /** Fraction of the listed endpoints in ejected zones, without one zone. */
+  private double ejectedFraction(int withoutZone) {
+    return healthByZone.values().stream()
+        .filter(health -> health.zone() != withoutZone && machine(health.zone()).isEjected())
         .mapToDouble(ZoneHealth::endpointFraction)
         .sum();
   }
 
-  private boolean bearable(double away) {
-    return away <= terms.settings().mostOut() + 1e-9;
+  private boolean withinLimit(double ejectedFraction) {
+    return ejectedFraction <= fleet.settings().maxEjectedFraction() + FRACTION_TOLERANCE;
   }
 
-  /** Whether a zone may be left beside those that are away. */
-  boolean mayLeave(int zone) {
-    ZoneHealth of = evidence.get(zone);
-    return of != null && bearable(away(zone) + of.endpointFraction());
+  /** Whether a zone may be ejected beside those that are. */
+  boolean mayEject(int zone) {
+    ZoneHealth health = healthByZone.get(zone);
+    return health != null && withinLimit(ejectedFraction(zone) + health.endpointFraction());
   }
 
   private ZoneStateMachine machine(int zone) {
     return machines.computeIfAbsent(
-        zone, any -> new ZoneStateMachine(zone, this, terms, out, chance.split()));
+        zone, any -> new ZoneStateMachine(zone, this, fleet, actions, random.split()));
   }
 
-  /** How many nodes have voted on a ballot; more than there are is nobody's word. */
-  public void tallied(long now, ZoneVote ballot, double total) {
-    unanswered = 0;
-    int witnesses = (int) Math.rint(total);
-    if (witnesses > terms.siblings()) {
-      out.log(
-          "zones: "
-              + witnesses
-              + " votes by "
-              + terms.siblings()
-              + " nodes on "
-              + terms.zones().get(ballot.zone())
-              + " do not count");
+  /**
+   * The transport told how many nodes cast a vote.
+   *
+   * @param count a whole number; one above the number of nodes is ignored
+   */
+  public void votesCounted(long nowNanos, ZoneVote vote, double count) {
+    unansweredCalls = 0;
+    int votes = (int) Math.rint(count);
+    if (votes <= fleet.nodeCount()) {
+      machine(vote.zone()).votesCounted(nowNanos, vote, votes);
     } else {
-      machine(ballot.zone()).tallied(now, ballot, witnesses);
+      actions.log(
+          "zone_votes_ignored zone="
+              + fleet.zoneNames().get(vote.zone())
+              + " votes="
+              + votes
+              + " nodes="
+              + fleet.nodeCount());
     }
   }
 
-  /** No tally comes for a call. */
-  public void unanswered() {
-    unanswered++;
+  /** A call of the transport ended without an answer. */
+  public void voteUnanswered() {
+    unansweredCalls++;
   }
 
-  /** Whether there is no fleet to hear. */
-  boolean alone() {
-    return terms.settings().verdicts() == ZoneEjectionSettings.Verdicts.ALONE
-        || unanswered >= SILENT;
+  /** Whether this node decides without the others, by its settings or as it cannot reach them. */
+  boolean decidesLocally() {
+    return isAlone() || unansweredCalls >= MAX_UNANSWERED_CALLS;
+  }
+
+  private boolean isAlone() {
+    return fleet.settings().decisionMode() == ZoneEjectionSettings.DecisionMode.ALONE;
   }
 
   /**
-   * Votes once in a window that began in this process's life, and asks for the tally.
+   * Asks for the votes on a question, and votes if this node has not in this window. It casts no
+   * vote in a window that began before this process: another one may have voted for the node.
    *
-   * @param votedIn the window of this question's last vote
+   * @param castsVote whether the question is true for this node
+   * @param votedWindow window of its last vote on this question
    * @return the window of its last vote now
    */
-  long ask(long now, int zone, ZoneVote.Question question, boolean mine, long votedIn) {
-    if (terms.settings().verdicts() == ZoneEjectionSettings.Verdicts.ALONE) {
-      return votedIn;
+  long ask(
+      long nowNanos, int zone, ZoneVote.Question question, boolean castsVote, long votedWindow) {
+    if (isAlone()) {
+      return votedWindow;
     }
-    long window = window(now);
-    boolean votes = mine && voting && votedIn != window && window * WINDOW >= born;
-    calls++;
-    ballots.cast(now, new ZoneVote(zone, question, window), votes);
-    return votes ? window : votedIn;
+    long window = window(nowNanos);
+    boolean votes =
+        castsVote && voting && votedWindow != window && window * VOTE_WINDOW_NANOS >= startedNanos;
+    voteCalls++;
+    transport.cast(nowNanos, new ZoneVote(zone, question, window), votes);
+    return votes ? window : votedWindow;
   }
 
-  /** For how long a zone's part grows on its way back. */
-  long ramp(int zone) {
-    ZoneHealth of = evidence.get(zone);
-    return told && of != null && of.warmingEndpoints() == 0 ? terms.ramp() : terms.coldRamp();
+  /** How long the traffic of a zone grows on its return. */
+  long returnRampNanos(int zone) {
+    ZoneHealth health = healthByZone.get(zone);
+    boolean noneWarming = discoveryCurrent && health != null && health.warmingEndpoints() == 0;
+    return noneWarming ? fleet.rampNanos() : fleet.slowStartRampNanos();
   }
 
-  static long window(long now) {
-    return Math.floorDiv(now, WINDOW);
+  /** Number of the voting window at a time. */
+  static long window(long nowNanos) {
+    return Math.floorDiv(nowNanos, VOTE_WINDOW_NANOS);
   }
 
-  /**
-   * How long a node leaves between two calls about a zone: all nodes together load the carrier
-   * alike, however many they are.
-   */
-  long askEvery() {
-    return Math.max(ASK, terms.siblings() * ASK_PER_NODE);
+  /** Mean time between two calls of this node about a zone. */
+  long askIntervalNanos() {
+    return Math.max(MIN_ASK_INTERVAL_NANOS, fleet.nodeCount() * ASK_INTERVAL_PER_NODE_NANOS);
   }
 
-  /** A request goes to a zone that is out. */
-  void trial(int zone) {
-    trials++;
-    out.trial(zone);
+  /** Sends a half-open attempt to an ejected zone. */
+  void probe(int zone) {
+    probes++;
+    actions.probe(zone);
   }
 
-  /** This node ends, or another process goes on in its place: it has no vote any more. */
-  public void abstain() {
+  /** This node ends, or another process takes over: it casts no votes any more. */
+  public void stopVoting() {
     voting = false;
   }
 
-  /** How a zone stands. */
-  public ZoneEjectionState verdict(int zone) {
-    return machine(zone).verdict();
+  /** State of a zone. */
+  public ZoneEjectionState state(int zone) {
+    return machine(zone).state();
   }
 
-  /** Calls to the carrier since the start. */
-  public long calls() {
-    return calls;
+  /** Calls of the transport since the start. */
+  public long voteCalls() {
+    return voteCalls;
   }
 
-  /** Trials since the start. */
-  public long trials() {
-    return trials;
+  /** Half-open attempts since the start. */
+  public long probes() {
+    return probes;
   }
 
-  /** Zones that are out or on their way. */
-  public long zonesAway() {
-    return machines.values().stream().filter(ZoneStateMachine::away).count();
+  /** Number of zones that are ejected, leaving or returning. */
+  public long ejectedZones() {
+    return machines.values().stream().filter(ZoneStateMachine::isEjected).count();
   }
 }
--- a/edge/src/main/java/edgegateway/node/zones/ZoneEjectionController.java
+++ b/edge/src/main/java/edgegateway/node/zones/ZoneEjectionController.java
@@ -9,115 +9,125 @@
 import java.util.List;
 
 /**
- * Joins the agreement on zones to a node's module and to its shared counter; its host calls it as
- * it calls the module.
+ * Connects the fleet's decisions on zones with a node's policy and with the shared quota counter.
+ * Its host calls it as it calls the policy: on one thread, with the same clock.
  */
 public final class ZoneEjectionController implements ZoneConsensus.Actions {
   /** How often {@link #tick} is to be called, nanoseconds. */
-  public static final long TICK = 100_000_000L;
+  public static final long TICK_NANOS = 100_000_000L;
 
-  /** A returning zone gets no more than this part of what would push a cold server over. */
-  private static final double SAFE = 0.8;
+  /** A returning zone gets at most this fraction of what overloads an endpoint in slow start. */
+  private static final double OVERLOAD_MARGIN = 0.8;
 
-  /**
-   * Discovery tells of a new start within about a second: where all are known to be warm, most of
-   * the ramp lies behind that.
-   */
-  private static final long WARM_RAMP = 2_000_000_000L;
+  /** Twice the time in which discovery tells of a restart: a ramp where it told of none. */
+  private static final long RAMP_NANOS = 2_000_000_000L;
+
+  private static final double MIN_DIVISOR = 1e-9;
 
-  private final GatewayPolicy gateway;
+  private final GatewayPolicy policy;
   private final PolicyActions host;
-  private final CounterVoteTransport ballots;
-  private final ZoneConsensus agreement;
+  private final CounterVoteTransport transport;
+  private final ZoneConsensus consensus;
 
-  /** Of the event that is on. */
-  private long now;
+  /** Time of the present event. */
+  private long nowNanos;
 
-  /** {@code zones} are the zones' names in the settings' order. */
+  /**
+   * A controller that begins with all zones in use. Without a shared counter each node decides by
+   * itself, whatever {@code ejection} says.
+   *
+   * @param zoneNames names of the zones by index
+   */
   public ZoneEjectionController(
-      ZoneEjectionSettings of,
+      ZoneEjectionSettings ejection,
       PolicySettings settings,
-      List<String> zones,
+      List<String> zoneNames,
       long seed,
-      long now,
-      GatewayPolicy gateway,
+      long nowNanos,
+      GatewayPolicy policy,
       PolicyActions host) {
-    this.gateway = gateway;
+    this.policy = policy;
     this.host = host;
-    ballots = new CounterVoteTransport(host::addToCounter, zones, ZoneConsensus.WINDOW);
-    boolean counted = settings.counter().present();
-    ZoneEjectionSettings able =
-        counted
-            ? of
+    transport =
+        new CounterVoteTransport(host::addToCounter, zoneNames, ZoneConsensus.VOTE_WINDOW_NANOS);
+    consensus =
+        new ZoneConsensus(fleet(ejection, settings, zoneNames), transport, seed, nowNanos, this);
+  }
+
+  private static ZoneConsensus.FleetSettings fleet(
+      ZoneEjectionSettings ejection, PolicySettings settings, List<String> zoneNames) {
+    ZoneEjectionSettings possible =
+        settings.counter().present()
+            ? ejection
             : new ZoneEjectionSettings(
-                ZoneEjectionSettings.Verdicts.ALONE, of.mostOut(), of.aloneAfter());
-    agreement =
-        new ZoneConsensus(
-            new ZoneConsensus.Terms(
-                able,
-                settings.nodeIndex(),
-                Math.max(1, settings.nodeCount()),
-                zones,
-                Math.min(1, settings.rules().slowStartInitialFraction()),
-                WARM_RAMP,
-                Math.max(WARM_RAMP, coldRamp(settings.rules()))),
-            ballots,
-            seed,
-            now,
-            this);
+                ZoneEjectionSettings.DecisionMode.ALONE,
+                ejection.maxEjectedFraction(),
+                ejection.localDecisionAfterNanos());
+    return new ZoneConsensus.FleetSettings(
+        possible,
+        settings.nodeIndex(),
+        Math.max(1, settings.nodeCount()),
+        zoneNames,
+        Math.min(1, settings.rules().slowStartInitialFraction()),
+        RAMP_NANOS,
+        Math.max(RAMP_NANOS, slowStartRampNanos(settings.rules())));
   }
 
   /**
-   * The shortest span over which a zone's part may grow evenly from what cold servers can do to
-   * all, though every server began anew at its begin and nobody knows it: the part stays below
-   * {@link #SAFE} of what pushes a server over (design page, returning).
+   * Shortest ramp on which a zone's traffic stays below {@link #OVERLOAD_MARGIN} of what overloads
+   * its endpoints, though all of them restarted when it began and nobody knows.
    */
-  static long coldRamp(PlatformRules rules) {
-    double part =
-        (1 / (SAFE * Math.max(1, rules.overloadFactor())) - rules.slowStartInitialFraction())
-            / Math.max(1e-9, 1 - rules.slowStartInitialFraction());
-    return Math.max(1, (long) (rules.slowStartNanos() * Math.max(0, Math.min(1, part))));
+  static long slowStartRampNanos(PlatformRules rules) {
+    double initial = rules.slowStartInitialFraction();
+    double overload = 1 / (OVERLOAD_MARGIN * Math.max(1, rules.overloadFactor()));
+    double rampFraction = (overload - initial) / Math.max(MIN_DIVISOR, 1 - initial);
+    double bounded = Math.max(0, Math.min(1, rampFraction));
+    return Math.max(1, (long) (rules.slowStartNanos() * bounded));
   }
 
-  /** As an event of the module's; {@code told} is whether discovery speaks. */
-  public void tick(long at, boolean told) {
-    now = at;
-    agreement.tick(now, gateway.zoneHealth(now), told);
+  /**
+   * Goes on; to be called every {@link #TICK_NANOS}.
+   *
+   * @param discoveryCurrent whether discovery answers
+   */
+  public void tick(long nowNanos, boolean discoveryCurrent) {
+    this.nowNanos = nowNanos;
+    consensus.tick(nowNanos, policy.zoneHealth(nowNanos), discoveryCurrent);
   }
 
-  /** Whether a name of the counter is this one's. */
-  public static boolean owns(long name) {
-    return CounterVoteTransport.owns(name);
+  /** Whether a call to the counter with this key was made here, and not by the policy. */
+  public static boolean ownsCounterKey(long key) {
+    return CounterVoteTransport.ownsKey(key);
   }
 
-  /** A call of its own to the counter has ended; as an event of the module's. */
-  public void counted(long at, long name, Outcome outcome, double total) {
-    now = at;
-    ZoneVote ballot = ballots.ended(name);
-    if (ballot != null && outcome == Outcome.OK) {
-      agreement.tallied(now, ballot, total);
-    } else if (ballot != null) {
-      agreement.unanswered();
+  /** A call to the counter with a key that {@link #ownsCounterKey} ended. */
+  public void counterReplied(long nowNanos, long key, Outcome outcome, double total) {
+    this.nowNanos = nowNanos;
+    ZoneVote vote = transport.callEnded(key);
+    if (vote != null && outcome == Outcome.OK) {
+      consensus.votesCounted(nowNanos, vote, total);
+    } else if (vote != null) {
+      consensus.voteUnanswered();
     }
   }
 
-  /** Who decides, for what operators read and for the end of this process. */
-  public ZoneConsensus agreement() {
-    return agreement;
+  /** The decisions, for operators, and for the end of this process. */
+  public ZoneConsensus consensus() {
+    return consensus;
   }
 
   @Override
-  public void course(int zone, TrafficRamp course) {
-    gateway.setZoneRamp(now, zone, course);
+  public void setRamp(int zone, TrafficRamp ramp) {
+    policy.setZoneRamp(nowNanos, zone, ramp);
   }
 
   @Override
-  public void trial(int zone) {
-    gateway.probeZone(now, zone);
+  public void probe(int zone) {
+    policy.probeZone(nowNanos, zone);
   }
 
   @Override
-  public void log(String text) {
-    host.log(text);
+  public void log(String message) {
+    host.log(message);
   }
 }
--- a/edge/src/main/java/edgegateway/node/zones/ZoneEjectionSettings.java
+++ b/edge/src/main/java/edgegateway/node/zones/ZoneEjectionSettings.java
@@ -1,28 +1,30 @@
 package edgegateway.node.zones;
 
 /**
- * How zones are left and come back: the configuration's object {@code zones}.
+ * How the fleet ejects zones: the object {@code zones} of the configuration.
  *
- * @param verdicts who judges
- * @param mostOut the most of the listed archive servers that may be out by verdict, 0 to 1; beyond
- *     it the evidence is taken to be wrong and no further zone is left
- * @param aloneAfter for how long a node must find a zone bad by itself until it leaves it without
- *     the others, nanoseconds
+ * @param decisionMode who decides
+ * @param maxEjectedFraction largest fraction of the listed endpoints, 0 to 1, that may be ejected
+ *     with their zones; beyond it the evidence is taken to be wrong and no further zone is ejected
+ * @param localDecisionAfterNanos how long a node must find a zone failing until it ejects it
+ *     without the others, nanoseconds
  */
-public record ZoneEjectionSettings(Verdicts verdicts, double mostOut, long aloneAfter) {
-  /** Who judges. */
-  public enum Verdicts {
+public record ZoneEjectionSettings(
+    DecisionMode decisionMode, double maxEjectedFraction, long localDecisionAfterNanos) {
+  /** Who decides. The names are those of the configuration's values. */
+  public enum DecisionMode {
     /** Each node by itself. */
     ALONE,
     /**
-     * A majority of all nodes, over the shared counter; each by itself, later, where there is none.
+     * A majority of all nodes, over the shared counter; each node by itself, later, if the counter
+     * does not answer.
      */
     COUNTER
   }
 
-  /** With two zones one may be out; a wrong verdict then halves the capacity and no more. */
-  public static final double MOST_OUT = 0.5;
+  /** With two zones one may be ejected, and a wrong decision halves the capacity and no more. */
+  public static final double DEFAULT_MAX_EJECTED_FRACTION = 0.5;
 
-  /** Three times what a fleet's verdict is meant to need. */
-  public static final long ALONE_AFTER = 3_000_000_000L;
+  /** Default of {@link #localDecisionAfterNanos}. */
+  public static final long DEFAULT_LOCAL_DECISION_AFTER_NANOS = 3_000_000_000L;
 }
--- a/edge/src/main/java/edgegateway/node/zones/ZoneEjectionState.java
+++ b/edge/src/main/java/edgegateway/node/zones/ZoneEjectionState.java
@@ -1,30 +1,31 @@
 package edgegateway.node.zones;
 
 /**
- * How a zone stands by verdict, for people.
+ * State of a zone in the fleet's ejection, as one node sees it.
  *
- * @param why who decided that
- * @param witnesses how many nodes said so when it was decided, as far as this node heard
- * @param since when that began, on the module's clock; 0 for always
- * @param relapses how often it went out again on its way back, of late
+ * @param decidedBy who decided on it
+ * @param votes how many nodes voted for it when it was decided, as far as this node knows
+ * @param sinceNanos when it began, on the policy's clock; 0 if it never changed
+ * @param relapses how often the zone was ejected again soon after its return
  */
-public record ZoneEjectionState(State state, Why why, int witnesses, long since, int relapses) {
-  /** Where a zone stands. */
+public record ZoneEjectionState(
+    State state, DecidedBy decidedBy, int votes, long sinceNanos, int relapses) {
+  /** The states. Operators read the names. */
   public enum State {
-    /** Used as ever. */
+    /** In full use. */
     IN,
-    /** This node accuses it and asks what the others say. */
+    /** In use; this node suspects it and asks for the others' votes. */
     SUSPECT,
-    /** Its part of the work falls to nothing. */
+    /** Its traffic falls to nothing. */
     LEAVING,
-    /** Nothing new goes there but trials. */
+    /** Ejected: it gets half-open attempts only. */
     OUT,
-    /** Its part of the work grows. */
+    /** Its traffic grows. */
     RETURNING
   }
 
-  /** Who decided. */
-  public enum Why {
+  /** Who decided. Operators read the names. */
+  public enum DecidedBy {
     /** Nobody. */
     NONE,
     /** A quorum of the fleet. */
--- a/edge/src/main/java/edgegateway/node/zones/ZoneStateMachine.java
+++ b/edge/src/main/java/edgegateway/node/zones/ZoneStateMachine.java
@@ -1,312 +1,324 @@
 package edgegateway.node.zones;
 
+import edgegateway.node.zones.ZoneEjectionState.DecidedBy;
 import edgegateway.node.zones.ZoneEjectionState.State;
-import edgegateway.node.zones.ZoneEjectionState.Why;
 import edgegateway.node.zones.ZoneVote.Question;
 import edgegateway.policy.api.TrafficRamp;
 import edgegateway.policy.api.ZoneHealth;
 import java.util.Locale;
 import java.util.SplittableRandom;
 
-/** One zone's way out and back, as one node sees it. */
+/**
+ * Ejection and return of one zone, as one node sees it: IN, SUSPECT, LEAVING, OUT, RETURNING, IN.
+ */
 final class ZoneStateMachine {
   private static final long NEVER = Long.MIN_VALUE;
 
-  /** An accusation holds so long after the evidence went: who has left meets nothing more. */
-  private static final long FRESH = 4_000_000_000L;
+  /** How long a suspicion outlives its evidence: a node that avoids the zone sees no more of it. */
+  private static final long SUSPICION_HOLD_NANOS = 4_000_000_000L;
 
-  /** New work falls to nothing over this. */
-  private static final long LEAVE = 500_000_000L;
+  /** A longer gap in the evidence begins a suspicion anew. */
+  private static final long MAX_SUSPICION_GAP_NANOS = 1_000_000_000L;
 
-  /** A zone is out for so long at least, twice as long after each relapse, up to so many times. */
-  private static final long HOLD = 1_000_000_000L;
+  /** Failure excess from which a node asks for votes without casting one. */
+  private static final double ASK_FAILURE_EXCESS = 1.5;
 
-  private static final int MOST_DOUBLINGS = 5;
+  /** New traffic falls to nothing over this time. */
+  private static final long LEAVE_RAMP_NANOS = 500_000_000L;
 
-  /** A relapse counts as one while its zone was back for less than this. */
-  private static final long FORGET = 60_000_000_000L;
+  /** Shortest ejection; twice as long after each relapse. */
+  private static final long MIN_EJECTION_NANOS = 1_000_000_000L;
 
-  /** A longer break in an accusation begins it anew. */
-  private static final long BREAK = 1_000_000_000L;
+  private static final int MAX_EJECTION_DOUBLINGS = 5;
 
-  /** By how many misses outnumber answers where a node asks without accusing. */
-  private static final double SUSPICION = 1.5;
+  /** The shortest ejection is spread from this part of it to this part plus a half. */
+  private static final double MIN_EJECTION_SPREAD = 0.75;
 
-  /**
-   * How many nodes try a zone in a window; how many must find it well; trials that each has to
-   * pass, and between two of them.
-   */
-  private static final int TRIERS = 6;
+  private static final long SPREAD_SEED_MULTIPLIER = 31;
 
-  private static final int WELL = 3;
-  private static final int PASSES = 1;
-  private static final int PASSES_ALONE = 3;
+  /** An ejection so soon after a return is a relapse. */
+  private static final long RELAPSE_WINDOW_NANOS = 60_000_000_000L;
 
-  private static final long TRY_EVERY = 200_000_000L;
+  /** Failures since the return from which a relapse is considered. */
+  private static final int RELAPSE_FAILURES = 3;
 
-  /**
-   * After a trial that failed the next waits for so long, twice as long after each, up to the most.
-   */
-  private static final long TRY_AGAIN = 500_000_000L;
+  /** Nodes that probe an ejected zone in a window. */
+  private static final int PROBING_NODES = 6;
+
+  /** Votes that bring a zone back, or a majority where that is less. */
+  private static final int RETURN_VOTES = 3;
 
-  private static final long MOST_TRY_AGAIN = 2_000_000_000L;
+  /** Answers that a node needs to its half-open attempts, and if it decides by itself. */
+  private static final int REQUIRED_ANSWERS = 1;
 
-  /** Misses since the return that send it back at once. */
-  private static final int RELAPSE = 3;
+  private static final int REQUIRED_ANSWERS_LOCAL = 3;
+
+  /** Calls about votes are spread from a half to one and a half of their interval. */
+  private static final double ASK_SPREAD_START = 0.5;
 
   private final int zone;
-  private final ZoneConsensus agreement;
-  private final ZoneConsensus.Terms terms;
-  private final ZoneConsensus.Actions out;
-  private final SplittableRandom chance;
+  private final ZoneConsensus consensus;
+  private final ZoneConsensus.FleetSettings fleet;
+  private final ZoneConsensus.Actions actions;
+  private final SplittableRandom random;
+  private final HalfOpenProbes probes;
+
   private State state = State.IN;
-  private Why why = Why.NONE;
-  private int witnesses;
+  private DecidedBy decidedBy = DecidedBy.NONE;
+  private int votes;
   private int relapses;
-  private long since;
-  private long accusedAt = NEVER;
-  private long accusedSince;
-  private long askAt;
-  private long heldUntil;
-  private long returnedAt = NEVER;
-  private final long[] votedIn = {NEVER, NEVER};
+  private long sinceNanos;
+
+  private long lastSuspectedNanos = NEVER;
+  private long suspectedSinceNanos;
+  private long nextAskNanos;
+
+  /** Window of this node's last vote on each question. */
+  private final long[] votedWindows = {NEVER, NEVER};
 
-  /** Attempts and misses when trials or the way back began. */
-  private long baseEnded;
+  private long ejectedUntilNanos;
+  private long returnedNanos = NEVER;
+  private long healthyWindow = NEVER;
+  private long returnRampNanos;
 
-  private long baseMissed;
-  private long triedIn = NEVER;
-  private long passedIn = NEVER;
-  private long tryAt;
-  private long ramp;
+  /** Totals of the zone when it began to return; attempts are NEVER until the next tick. */
+  private long attemptsBefore;
 
-  private int failed;
+  private long failuresBefore;
 
   ZoneStateMachine(
       int zone,
-      ZoneConsensus agreement,
-      ZoneConsensus.Terms terms,
-      ZoneConsensus.Actions out,
-      SplittableRandom chance) {
+      ZoneConsensus consensus,
+      ZoneConsensus.FleetSettings fleet,
+      ZoneConsensus.Actions actions,
+      SplittableRandom random) {
     this.zone = zone;
-    this.agreement = agreement;
-    this.terms = terms;
-    this.out = out;
-    this.chance = chance;
+    this.consensus = consensus;
+    this.fleet = fleet;
+    this.actions = actions;
+    this.random = random;
+    probes = new HalfOpenProbes(() -> consensus.probe(zone));
   }
 
-  boolean away() {
+  /** Whether the zone's traffic is reduced. */
+  boolean isEjected() {
     return state == State.LEAVING || state == State.OUT || state == State.RETURNING;
   }
 
-  ZoneEjectionState verdict() {
-    return new ZoneEjectionState(state, why, witnesses, since, relapses);
+  /** The state for operators. */
+  ZoneEjectionState state() {
+    return new ZoneEjectionState(state, decidedBy, votes, sinceNanos, relapses);
   }
 
-  /** {@code comparable} is whether some other zone is well. */
-  void tick(long now, ZoneHealth of, boolean accused, boolean comparable) {
+  /**
+   * Goes on to the next state if it is time.
+   *
+   * @param failing whether this node finds the zone failing
+   * @param comparable whether some other zone is healthy
+   */
+  void tick(long nowNanos, ZoneHealth health, boolean failing, boolean comparable) {
     switch (state) {
-      case IN, SUSPECT -> watch(now, of, accused, comparable);
-      case LEAVING -> {
-        affirm(now, Question.FAILING);
-        if (now - since >= LEAVE) {
-          state = State.OUT;
-          out.course(zone, new TrafficRamp(0, 0, now, 1));
-        }
-      }
-      case OUT -> tryOut(now, of);
-      case RETURNING -> comeBack(now, of, accused);
+      case IN, SUSPECT -> watch(nowNanos, health, failing, comparable);
+      case LEAVING -> leave(nowNanos);
+      case OUT -> probe(nowNanos, health);
+      case RETURNING -> comeBack(nowNanos, health, failing);
     }
   }
 
-  private void watch(long now, ZoneHealth of, boolean accused, boolean comparable) {
-    if (accused) {
-      accusedSince = accusedAt == NEVER || now - accusedAt > BREAK ? now : accusedSince;
-      accusedAt = now;
-      if (state == State.IN) {
-        enter(now, State.SUSPECT, Why.NONE, 0);
-        // Not all in one moment: the carrier's line is short.
-        askAt = now + chance.nextLong(agreement.askEvery());
-      }
-    } else if (state == State.SUSPECT && (now - accusedAt > FRESH || !comparable)) {
-      enter(now, State.IN, Why.NONE, 0);
-      out.log(name() + " is not accused any more");
+  private void watch(long nowNanos, ZoneHealth health, boolean failing, boolean comparable) {
+    if (failing) {
+      suspect(nowNanos);
+    } else if (state == State.SUSPECT
+        && (nowNanos - lastSuspectedNanos > SUSPICION_HOLD_NANOS || !comparable)) {
+      enter(nowNanos, State.IN, DecidedBy.NONE, 0);
+      actions.log("zone_suspicion_cleared zone=" + name());
     }
-    if (state == State.SUSPECT || of.failureExcess() >= SUSPICION && comparable) {
-      ask(now, Question.FAILING, state == State.SUSPECT);
+    if (state == State.SUSPECT || health.failureExcess() >= ASK_FAILURE_EXCESS && comparable) {
+      ask(nowNanos, Question.FAILING, state == State.SUSPECT);
+    }
+    long silentNanos = nowNanos - Math.max(suspectedSinceNanos, health.lastAnswerNanos());
+    if (failing
+        && silentNanos >= fleet.settings().localDecisionAfterNanos()
+        && consensus.mayEject(zone)) {
+      eject(nowNanos, DecidedBy.ALONE, 1);
+    }
+  }
+
+  private void suspect(long nowNanos) {
+    boolean anew =
+        lastSuspectedNanos == NEVER || nowNanos - lastSuspectedNanos > MAX_SUSPICION_GAP_NANOS;
+    suspectedSinceNanos = anew ? nowNanos : suspectedSinceNanos;
+    lastSuspectedNanos = nowNanos;
+    if (state == State.IN) {
+      enter(nowNanos, State.SUSPECT, DecidedBy.NONE, 0);
+      // Spread over time: all nodes at once would find the counter's queue full.
+      nextAskNanos = nowNanos + random.nextLong(consensus.askIntervalNanos());
     }
-    long silent = now - Math.max(accusedSince, of.lastAnswerNanos());
-    if (accused && silent >= terms.settings().aloneAfter() && agreement.mayLeave(zone)) {
-      leave(now, Why.ALONE, 1);
+  }
+
+  private void leave(long nowNanos) {
+    confirm(nowNanos, Question.FAILING);
+    if (nowNanos - sinceNanos >= LEAVE_RAMP_NANOS) {
+      state = State.OUT;
+      actions.setRamp(zone, noTraffic(nowNanos));
     }
   }
 
-  /** Votes once in each window, for those who come to the same view later than this node. */
-  private void affirm(long now, Question question) {
-    if (votedIn[question.ordinal()] != ZoneConsensus.window(now) && why == Why.FLEET) {
-      ask(now, question, true);
+  private static TrafficRamp noTraffic(long nowNanos) {
+    return new TrafficRamp(0, 0, nowNanos, 1);
+  }
+
+  /** Votes once in each window, for nodes that come to the same view later than this one. */
+  private void confirm(long nowNanos, Question question) {
+    boolean voted = votedWindows[question.ordinal()] == ZoneConsensus.window(nowNanos);
+    if (!voted && decidedBy == DecidedBy.FLEET) {
+      ask(nowNanos, question, true);
     }
   }
 
-  private void ask(long now, Question question, boolean mine) {
-    if (now >= askAt) {
-      askAt = now + (long) (agreement.askEvery() * (0.5 + chance.nextDouble()));
-      votedIn[question.ordinal()] =
-          agreement.ask(now, zone, question, mine, votedIn[question.ordinal()]);
+  private void ask(long nowNanos, Question question, boolean castsVote) {
+    if (nowNanos >= nextAskNanos) {
+      double spread = ASK_SPREAD_START + random.nextDouble();
+      nextAskNanos = nowNanos + (long) (consensus.askIntervalNanos() * spread);
+      votedWindows[question.ordinal()] =
+          consensus.ask(nowNanos, zone, question, castsVote, votedWindows[question.ordinal()]);
     }
   }
 
-  /** So many nodes said so on a ballot. */
-  void tallied(long now, ZoneVote ballot, int votes) {
-    // What was said before a zone came back, or went out again, is not about now.
-    boolean old =
+  /** The counter told how many nodes voted so. */
+  void votesCounted(long nowNanos, ZoneVote vote, int count) {
+    // Votes from before the zone's return, or its last ejection, are not about its present state.
+    boolean outdated =
         (state == State.RETURNING || relapses > 0)
-            && ballot.window() <= ZoneConsensus.window(since);
-    if (old) {
+            && vote.window() <= ZoneConsensus.window(sinceNanos);
+    if (outdated) {
       return;
     }
-    if (ballot.question() == Question.FAILING && votes >= terms.majority()) {
-      if (state == State.OUT && why == Why.ALONE) {
-        why = Why.FLEET;
-        witnesses = votes;
-      } else if (state != State.OUT && state != State.LEAVING && agreement.mayLeave(zone)) {
-        leave(now, Why.FLEET, votes);
-      }
-    } else if (ballot.question() == Question.WELL
+    if (vote.question() == Question.FAILING && count >= fleet.majority()) {
+      failingByMajority(nowNanos, count);
+    } else if (vote.question() == Question.HEALTHY
         && state == State.OUT
-        && why == Why.FLEET
-        && votes >= Math.min(WELL, terms.majority())) {
-      beginReturn(now, Why.FLEET, votes);
+        && decidedBy == DecidedBy.FLEET
+        && count >= Math.min(RETURN_VOTES, fleet.majority())) {
+      beginReturn(nowNanos, DecidedBy.FLEET, count);
     }
   }
 
-  private void leave(long now, Why by, int votes) {
-    boolean relapse = state == State.RETURNING;
-    relapses = relapse || returnedAt != NEVER && now - returnedAt < FORGET ? relapses + 1 : 0;
-    long hold = HOLD << Math.min(relapses, MOST_DOUBLINGS);
-    // The same at all nodes, so that they can find it well together; another for each zone and
-    // relapse.
-    heldUntil =
-        now + (long) (hold * (0.75 + new SplittableRandom(zone * 31L + relapses).nextDouble() / 2));
-    triedIn = NEVER;
-    passedIn = NEVER;
-    tryAt = now;
-    failed = 0;
-    accusedAt = NEVER;
-    enter(now, relapse ? State.OUT : State.LEAVING, by, votes);
-    out.course(zone, relapse ? new TrafficRamp(0, 0, now, 1) : new TrafficRamp(1, 0, now, LEAVE));
-    out.log(
-        name()
-            + (relapse ? " relapses" : " is left")
-            + " by "
-            + by.name().toLowerCase(Locale.ROOT)
-            + ", "
-            + votes
-            + " of "
-            + terms.siblings()
-            + " nodes say so, "
-            + relapses
-            + " relapses");
+  private void failingByMajority(long nowNanos, int count) {
+    if (state == State.OUT && decidedBy == DecidedBy.ALONE) {
+      decidedBy = DecidedBy.FLEET;
+      votes = count;
+    } else if (state != State.OUT && state != State.LEAVING && consensus.mayEject(zone)) {
+      eject(nowNanos, DecidedBy.FLEET, count);
+    }
   }
 
-  private void tryOut(long now, ZoneHealth of) {
-    if (now < heldUntil) {
-      affirm(now, Question.FAILING);
-      return;
-    }
-    long window = ZoneConsensus.window(now);
-    boolean alone = why == Why.ALONE || agreement.alone();
-    boolean passed = (alone || elected(window)) && passed(now, of, alone ? PASSES_ALONE : PASSES);
-    // Whoever found it well before and has not heard that others did goes by its own word.
-    if (passed && (alone || passedIn != NEVER && passedIn != window)) {
-      beginReturn(now, Why.ALONE, 1);
-    } else if (!alone) {
-      if (passed && passedIn != window) {
-        passedIn = window;
-        askAt = now;
-      }
-      ask(now, Question.WELL, passed);
-    }
+  private void eject(long nowNanos, DecidedBy by, int count) {
+    boolean returning = state == State.RETURNING;
+    boolean relapse =
+        returning || returnedNanos != NEVER && nowNanos - returnedNanos < RELAPSE_WINDOW_NANOS;
+    relapses = relapse ? relapses + 1 : 0;
+    ejectedUntilNanos = nowNanos + ejectionNanos();
+    probes.reset(nowNanos);
+    healthyWindow = NEVER;
+    lastSuspectedNanos = NEVER;
+    enter(nowNanos, returning ? State.OUT : State.LEAVING, by, count);
+    actions.setRamp(
+        zone, returning ? noTraffic(nowNanos) : new TrafficRamp(1, 0, nowNanos, LEAVE_RAMP_NANOS));
+    actions.log(
+        (returning ? "zone_return_aborted" : "zone_ejected")
+            + decision(by, count)
+            + " nodes="
+            + fleet.nodeCount()
+            + " relapses="
+            + relapses);
   }
 
-  /** In each window some others, so that no single way or node decides. */
-  private boolean elected(long window) {
-    long first = new SplittableRandom(window * 31 + zone).nextLong(terms.siblings());
-    return Math.floorMod(terms.me() - first, terms.siblings()) < TRIERS;
+  /**
+   * Spread by zone and relapse, but the same at all nodes, so that they can find the zone healthy
+   * in the same window.
+   */
+  private long ejectionNanos() {
+    long shortestNanos = MIN_EJECTION_NANOS << Math.min(relapses, MAX_EJECTION_DOUBLINGS);
+    SplittableRandom spread = new SplittableRandom(zone * SPREAD_SEED_MULTIPLIER + relapses);
+    return (long) (shortestNanos * (MIN_EJECTION_SPREAD + spread.nextDouble() / 2));
   }
 
-  /** Sends trials, one after the other; after one that failed they begin anew, later. */
-  private boolean passed(long now, ZoneHealth of, int enough) {
-    long window = ZoneConsensus.window(now);
-    if (triedIn != window) {
-      triedIn = window;
-      tryAt = Math.max(tryAt, now);
-      base(of);
-    }
-    if (of.totalFailures() > baseMissed) {
-      tryAt = now + Math.min(MOST_TRY_AGAIN, TRY_AGAIN << Math.min(failed++, MOST_DOUBLINGS));
-      base(of);
-      return false;
+  private void probe(long nowNanos, ZoneHealth health) {
+    if (nowNanos < ejectedUntilNanos) {
+      confirm(nowNanos, Question.FAILING);
+      return;
     }
-    boolean passed = of.totalAttempts() - baseEnded >= enough;
-    if (!passed && now >= tryAt) {
-      tryAt = now + TRY_EVERY;
-      agreement.trial(zone);
+    long window = ZoneConsensus.window(nowNanos);
+    boolean local = decidedBy == DecidedBy.ALONE || consensus.decidesLocally();
+    int requiredAnswers = local ? REQUIRED_ANSWERS_LOCAL : REQUIRED_ANSWERS;
+    boolean passed =
+        (local || probesIn(window)) && probes.passed(nowNanos, health, requiredAnswers);
+    // A node that found it healthy in an earlier window, and heard of no quorum, decides by itself.
+    boolean foundBefore = healthyWindow != NEVER && healthyWindow != window;
+    if (passed && (local || foundBefore)) {
+      beginReturn(nowNanos, DecidedBy.ALONE, 1);
+    } else if (!local) {
+      if (passed && healthyWindow != window) {
+        healthyWindow = window;
+        nextAskNanos = nowNanos;
+      }
+      ask(nowNanos, Question.HEALTHY, passed);
     }
-    return passed;
   }
 
-  private void base(ZoneHealth of) {
-    baseEnded = of.totalAttempts();
-    baseMissed = of.totalFailures();
+  /** Whether this node probes in a window: others each time, so that no path or node decides. */
+  private boolean probesIn(long window) {
+    long seed = window * SPREAD_SEED_MULTIPLIER + zone;
+    long first = new SplittableRandom(seed).nextLong(fleet.nodeCount());
+    return Math.floorMod(fleet.nodeIndex() - first, fleet.nodeCount()) < PROBING_NODES;
   }
 
-  private void beginReturn(long now, Why by, int votes) {
-    enter(now, State.RETURNING, by, votes);
-    returnedAt = now;
-    baseEnded = NEVER;
-    ramp = agreement.ramp(zone);
-    out.course(zone, new TrafficRamp(terms.begin(), 1, now, ramp));
-    out.log(
-        name()
-            + " comes back by "
-            + by.name().toLowerCase(Locale.ROOT)
-            + ", "
-            + votes
-            + " nodes find it well");
+  private void beginReturn(long nowNanos, DecidedBy by, int count) {
+    enter(nowNanos, State.RETURNING, by, count);
+    returnedNanos = nowNanos;
+    attemptsBefore = NEVER;
+    returnRampNanos = consensus.returnRampNanos(zone);
+    actions.setRamp(zone, new TrafficRamp(fleet.initialFraction(), 1, nowNanos, returnRampNanos));
+    actions.log("zone_returning" + decision(by, count));
   }
 
-  private void comeBack(long now, ZoneHealth of, boolean accused) {
-    if (baseEnded == NEVER) {
-      base(of);
+  private void comeBack(long nowNanos, ZoneHealth health, boolean failing) {
+    if (attemptsBefore == NEVER) {
+      attemptsBefore = health.totalAttempts();
+      failuresBefore = health.totalFailures();
     }
-    long ended = of.totalAttempts() - baseEnded;
-    long missed = of.totalFailures() - baseMissed;
-    boolean again = accused && missed >= RELAPSE && 2 * missed >= ended;
-    if (again) {
-      askAt = now;
-      ask(now, Question.FAILING, true);
-      leave(now, why, 1);
-    } else if (now - since >= ramp) {
-      returnedAt = now;
-      enter(now, State.IN, Why.NONE, 0);
-      out.course(zone, null);
-      out.log(name() + " is back");
-    } else if (missed > 0) {
-      ask(now, Question.FAILING, false);
+    long attempts = health.totalAttempts() - attemptsBefore;
+    long failures = health.totalFailures() - failuresBefore;
+    boolean relapse = failing && failures >= RELAPSE_FAILURES && 2 * failures >= attempts;
+    if (relapse) {
+      nextAskNanos = nowNanos;
+      ask(nowNanos, Question.FAILING, true);
+      eject(nowNanos, decidedBy, 1);
+    } else if (nowNanos - sinceNanos >= returnRampNanos) {
+      returnedNanos = nowNanos;
+      enter(nowNanos, State.IN, DecidedBy.NONE, 0);
+      actions.setRamp(zone, null);
+      actions.log("zone_returned zone=" + name());
+    } else if (failures > 0) {
+      ask(nowNanos, Question.FAILING, false);
     } else {
-      affirm(now, Question.WELL);
+      confirm(nowNanos, Question.HEALTHY);
     }
   }
 
-  private void enter(long now, State next, Why by, int votes) {
+  private void enter(long nowNanos, State next, DecidedBy by, int count) {
     state = next;
-    why = by;
-    witnesses = votes;
-    since = now;
+    decidedBy = by;
+    votes = count;
+    sinceNanos = nowNanos;
+  }
+
+  private String decision(DecidedBy by, int count) {
+    return " zone=" + name() + " by=" + by.name().toLowerCase(Locale.ROOT) + " votes=" + count;
   }
 
   private String name() {
-    return "zone " + terms.zones().get(zone);
+    return fleet.zoneNames().get(zone);
   }
 }
--- a/edge/src/main/java/edgegateway/node/zones/ZoneVote.java
+++ b/edge/src/main/java/edgegateway/node/zones/ZoneVote.java
@@ -1,17 +1,18 @@
 package edgegateway.node.zones;
 
 /**
- * One question about one zone in one span of time; whoever votes does so once.
+ * The subject of a vote: a question about a zone in a window of time. Each node votes on it at most
+ * once.
  *
- * @param zone its number in the settings
- * @param window the number of the span, by the wall clock
+ * @param zone index of the zone
+ * @param window number of the window, see {@link ZoneConsensus#window}
  */
 public record ZoneVote(int zone, Question question, long window) {
-  /** What a vote says. */
+  /** What a vote states. Its ordinal is part of the counter's key: the order must not change. */
   public enum Question {
-    /** My attempts in this zone fail, while others of mine succeed. */
+    /** This node's attempts in the zone fail while others of it succeed. */
     FAILING,
-    /** My trials in this zone, which is out, were answered. */
-    WELL
+    /** This node's half-open attempts in the zone, which is ejected, were answered. */
+    HEALTHY
   }
 }
--- a/edge/src/main/java/edgegateway/node/zones/ZoneVoteTransport.java
+++ b/edge/src/main/java/edgegateway/node/zones/ZoneVoteTransport.java
@@ -1,11 +1,13 @@
 package edgegateway.node.zones;
 
-/** Carries votes between the nodes. Each call may be lost; none may count twice. */
+/** Carries votes between the nodes. A call may be lost, but must never count twice. */
 public interface ZoneVoteTransport {
   /**
-   * Asks how many nodes have voted, and votes first if {@code mine}. The tally, which includes that
-   * vote, comes later by {@link ZoneConsensus#tallied}, or {@link ZoneConsensus#unanswered} says
-   * that it does not.
+   * Asks how many nodes have voted. The count, which includes a vote cast by this call, comes later
+   * by {@link ZoneConsensus#votesCounted}; {@link ZoneConsensus#voteUnanswered} says that it does
+   * not.
+   *
+   * @param castsVote whether this node votes first
    */
-  void cast(long now, ZoneVote ballot, boolean mine);
+  void cast(long nowNanos, ZoneVote vote, boolean castsVote);
 }
--- a/edge/src/test/java/edgegateway/node/zones/FakeZoneFleet.java
+++ b/edge/src/test/java/edgegateway/node/zones/FakeZoneFleet.java
@@ -30,82 +30,82 @@
 
   /** A node: its agreement, and what its attempts came to. */
   final class Node implements ZoneConsensus.Actions {
-    final int me;
-    final SplittableRandom own = random.split();
-    final double[] ended = new double[ZONES.size()];
-    final double[] missed = new double[ZONES.size()];
-    final double[] excess = new double[ZONES.size()];
+    final int index;
+    final SplittableRandom nodeRandom = random.split();
+    final double[] recentAttempts = new double[ZONES.size()];
+    final double[] recentFailures = new double[ZONES.size()];
+    final double[] failureExcess = new double[ZONES.size()];
     final long[] attempts = new long[ZONES.size()];
-    final long[] misses = new long[ZONES.size()];
-    final long[] answered = new long[ZONES.size()];
-    final TrafficRamp[] courses = new TrafficRamp[ZONES.size()];
-    final boolean[] trying = new boolean[ZONES.size()];
+    final long[] failures = new long[ZONES.size()];
+    final long[] lastAnswerNanos = new long[ZONES.size()];
+    final TrafficRamp[] ramps = new TrafficRamp[ZONES.size()];
+    final boolean[] probing = new boolean[ZONES.size()];
     final List<String> log = new ArrayList<>();
 
     /** How far its clock is off. */
-    long off;
+    long clockOffsetNanos;
 
     /** How often a vote of this node counts; a liar accuses whatever it meets. */
-    double weight = 1;
+    double votesPerCast = 1;
 
-    boolean liar;
-    boolean dead;
-    ZoneConsensus agreement;
+    boolean alwaysSuspects;
+    boolean stopped;
+    ZoneConsensus consensus;
 
     Node(int me) {
-      this.me = me;
+      this.index = me;
       start();
     }
 
     void start() {
-      java.util.Arrays.fill(courses, null);
-      agreement =
+      java.util.Arrays.fill(ramps, null);
+      consensus =
           new ZoneConsensus(
-              new ZoneConsensus.Terms(settings, me, size, ZONES, BEGIN, RAMP, 2 * RAMP),
+              new ZoneConsensus.FleetSettings(settings, index, size, ZONES, BEGIN, RAMP, 2 * RAMP),
               this::cast,
-              own.nextLong(),
-              now + off,
+              nodeRandom.nextLong(),
+              now + clockOffsetNanos,
               this);
     }
 
     private void cast(long at, ZoneVote ballot, boolean mine) {
-      calls++;
+      voteCalls++;
       long asked = now;
-      ZoneConsensus of = agreement;
-      boolean reaches = !down && own.nextDouble() >= loss;
+      ZoneConsensus of = consensus;
+      boolean reaches = !counterDown && nodeRandom.nextDouble() >= callLoss;
       if (reaches) {
-        totals.merge(ballot, mine ? weight : 0, Double::sum);
+        totals.merge(ballot, mine ? votesPerCast : 0, Double::sum);
       }
       double total = totals.getOrDefault(ballot, 0.0);
-      boolean answered = reaches && own.nextDouble() >= loss;
+      boolean answered = reaches && nodeRandom.nextDouble() >= callLoss;
       later.add(
           new Later(
               asked + (answered ? 2 : 250) * MS,
               () -> {
-                if (of == agreement && answered) {
-                  agreement.tallied(now + off, ballot, total);
-                } else if (of == agreement) {
-                  agreement.unanswered();
+                if (of == consensus && answered) {
+                  consensus.votesCounted(now + clockOffsetNanos, ballot, total);
+                } else if (of == consensus) {
+                  consensus.voteUnanswered();
                 }
               }));
     }
 
-    double share(int zone) {
-      return courses[zone] == null ? 1 : courses[zone].fractionAt(now + off);
+    double trafficFraction(int zone) {
+      return ramps[zone] == null ? 1 : ramps[zone].fractionAt(now + clockOffsetNanos);
     }
 
     ZoneEjectionState.State state(int zone) {
-      return agreement.verdict(zone).state();
+      return consensus.state(zone).state();
     }
 
     private void attempt(int zone) {
-      boolean miss = own.nextDouble() < health.miss(me, zone);
-      ended[zone]++;
+      boolean miss = nodeRandom.nextDouble() < health.miss(index, zone);
+      recentAttempts[zone]++;
       attempts[zone]++;
-      missed[zone] += miss ? 1 : 0;
-      misses[zone] += miss ? 1 : 0;
-      excess[zone] = Math.max(0, excess[zone] + (miss ? 1 : -1));
-      answered[zone] = miss ? answered[zone] : now + off;
+      recentFailures[zone] += miss ? 1 : 0;
+      failures[zone] += miss ? 1 : 0;
+      failureExcess[zone] = Math.max(0, failureExcess[zone] + (miss ? 1 : -1));
+      lastAnswerNanos[zone] = miss ? lastAnswerNanos[zone] : now + clockOffsetNanos;
       sent[zone]++;
     }
 
@@ -113,26 +113,26 @@
       List<ZoneHealth> all = new ArrayList<>();
       for (int zone = 0; zone < ZONES.size(); zone++) {
         double kept = Math.exp(-span / MEMORY);
-        ended[zone] *= kept;
-        missed[zone] *= kept;
-        excess[zone] *= Math.pow(kept, 0.2);
-        if (own.nextDouble() < rate * share(zone) * span / SECOND) {
+        recentAttempts[zone] *= kept;
+        recentFailures[zone] *= kept;
+        failureExcess[zone] *= Math.pow(kept, 0.2);
+        if (nodeRandom.nextDouble() < rate * trafficFraction(zone) * span / SECOND) {
           attempt(zone);
         }
-        if (trying[zone]) {
-          trying[zone] = false;
+        if (probing[zone]) {
+          probing[zone] = false;
           attempt(zone);
         }
-        int bad = excess[zone] > 1 ? SERVERS : 0;
+        int bad = failureExcess[zone] > 1 ? SERVERS : 0;
         double part = 1.0 / ZONES.size();
         all.add(
-            liar && zone == me % ZONES.size()
+            alwaysSuspects && zone == index % ZONES.size()
                 ? new ZoneHealth(zone, 10, 10, 10, SERVERS, SERVERS, SERVERS, 0, 0, part, 10, 10, 0)
                 : new ZoneHealth(
                     zone,
-                    ended[zone],
-                    missed[zone],
-                    excess[zone],
+                    recentAttempts[zone],
+                    recentFailures[zone],
+                    failureExcess[zone],
                     SERVERS,
                     SERVERS,
                     bad,
@@ -140,21 +140,21 @@
                     0,
                     part,
                     attempts[zone],
-                    misses[zone],
-                    answered[zone]));
+                    failures[zone],
+                    lastAnswerNanos[zone]));
       }
-      agreement.tick(now + off, all, told);
+      consensus.tick(now + clockOffsetNanos, all, discoveryCurrent);
     }
 
     @Override
-    public void course(int zone, TrafficRamp course) {
-      courses[zone] = course;
+    public void setRamp(int zone, TrafficRamp course) {
+      ramps[zone] = course;
     }
 
     @Override
-    public void trial(int zone) {
-      trying[zone] = true;
-      trials++;
+    public void probe(int zone) {
+      probing[zone] = true;
+      probes++;
     }
 
     @Override
@@ -174,23 +174,25 @@
   Health health = (node, zone) -> 0.01;
 
   /** The part of calls lost on the way there, and of answers on the way back. */
-  double loss;
+  double callLoss;
 
   /** Attempts of a node in a zone a second. */
   double rate = 8;
 
-  boolean down;
-  boolean told = true;
+  boolean counterDown;
+  boolean discoveryCurrent = true;
   long now = 1_000 * SECOND;
-  long calls;
-  long trials;
+  long voteCalls;
+  long probes;
 
-  FakeZoneFleet(int size, long seed, ZoneEjectionSettings.Verdicts verdicts) {
+  FakeZoneFleet(int size, long seed, ZoneEjectionSettings.DecisionMode verdicts) {
     this.size = size;
     random = new SplittableRandom(seed);
     settings =
         new ZoneEjectionSettings(
-            verdicts, ZoneEjectionSettings.MOST_OUT, ZoneEjectionSettings.ALONE_AFTER);
+            verdicts,
+            ZoneEjectionSettings.DEFAULT_MAX_EJECTED_FRACTION,
+            ZoneEjectionSettings.DEFAULT_LOCAL_DECISION_AFTER_NANOS);
     for (int i = 0; i < size; i++) {
       nodes.add(new Node(i));
     }
@@ -198,14 +200,14 @@
 
   /** Goes on for a span; {@code always} is asked at each step. */
   void run(long span, Runnable always) {
-    long step = ZoneEjectionController.TICK;
+    long step = ZoneEjectionController.TICK_NANOS;
     long until = now + span;
     while (now < until) {
       now += step;
       while (!later.isEmpty() && later.peek().at() <= now) {
         later.poll().what().run();
       }
-      nodes.stream().filter(node -> !node.dead).forEach(node -> node.tick(step));
+      nodes.stream().filter(node -> !node.stopped).forEach(node -> node.tick(step));
       always.run();
     }
   }
@@ -214,32 +216,32 @@
     run(span, () -> {});
   }
 
-  long living() {
-    return nodes.stream().filter(node -> !node.dead).count();
+  long running() {
+    return nodes.stream().filter(node -> !node.stopped).count();
   }
 
   /** How many living nodes have a zone in this state. */
   long in(int zone, ZoneEjectionState.State state) {
-    return nodes.stream().filter(node -> !node.dead && node.state(zone) == state).count();
+    return nodes.stream().filter(node -> !node.stopped && node.state(zone) == state).count();
   }
 
   /** How many living nodes use a zone as ever, though some may doubt it. */
-  long used(int zone) {
+  long inUse(int zone) {
     return in(zone, ZoneEjectionState.State.IN) + in(zone, ZoneEjectionState.State.SUSPECT);
   }
 
   /** How many living nodes have a zone away by this. */
-  long by(int zone, ZoneEjectionState.Why why) {
+  long decidedBy(int zone, ZoneEjectionState.DecidedBy why) {
     return nodes.stream()
-        .filter(node -> !node.dead && node.agreement.verdict(zone).why() == why)
+        .filter(node -> !node.stopped && node.consensus.state(zone).decidedBy() == why)
         .count();
   }
 
   /** The zone's part of what all living nodes send, on the average. */
-  double share(int zone) {
+  double trafficFraction(int zone) {
     return nodes.stream()
-        .filter(node -> !node.dead)
-        .mapToDouble(node -> node.share(zone))
+        .filter(node -> !node.stopped)
+        .mapToDouble(node -> node.trafficFraction(zone))
         .average()
         .orElse(0);
   }
--- a/edge/src/test/java/edgegateway/node/zones/ZoneConsensusTest.java
+++ b/edge/src/test/java/edgegateway/node/zones/ZoneConsensusTest.java
@@ -8,9 +8,9 @@
 import static org.junit.jupiter.api.Assertions.assertFalse;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import edgegateway.node.zones.ZoneEjectionSettings.Verdicts;
+import edgegateway.node.zones.ZoneEjectionSettings.DecisionMode;
+import edgegateway.node.zones.ZoneEjectionState.DecidedBy;
 import edgegateway.node.zones.ZoneEjectionState.State;
-import edgegateway.node.zones.ZoneEjectionState.Why;
 import edgegateway.policy.api.PlatformRules;
 import edgegateway.policy.api.TrafficRamp;
 import java.util.HashSet;
@@ -39,7 +39,7 @@
   }
 
   private static FakeZoneFleet fleet(int size, long seed) {
-    FakeZoneFleet fleet = new FakeZoneFleet(size, seed, Verdicts.COUNTER);
+    FakeZoneFleet fleet = new FakeZoneFleet(size, seed, DecisionMode.COUNTER);
     fleet.run(10 * SECOND);
     return fleet;
   }
@@ -60,7 +60,7 @@
         State state = node.state(zone);
         away += state == State.IN || state == State.SUSPECT ? 0 : 1;
       }
-      assertTrue(away <= 1, "node " + node.me + " has " + away + " zones away: " + node.log);
+      assertTrue(away <= 1, "node " + node.index + " has " + away + " zones away: " + node.log);
     }
   }
 
@@ -70,7 +70,7 @@
     seeds(
         seed -> {
           FakeZoneFleet fleet = fleet(size, seed);
-          assertTrue(fleet.calls <= 1 + size, "calls on a calm day: " + fleet.calls);
+          assertTrue(fleet.voteCalls <= 1 + size, "calls on a calm day: " + fleet.voteCalls);
           fail(fleet, B);
           fleet.run(3 * SECOND, () -> bounded(fleet));
           assertEquals(
@@ -78,7 +78,8 @@
               fleet.in(B, State.OUT) + fleet.in(B, State.LEAVING),
               "left: " + fleet.nodes.get(0).log);
           assertTrue(
-              fleet.by(B, Why.FLEET) > size * 0.9, "by the fleet: " + fleet.by(B, Why.FLEET));
+              fleet.decidedBy(B, DecidedBy.FLEET) > size * 0.9,
+              "by the fleet: " + fleet.decidedBy(B, DecidedBy.FLEET));
           fleet.run(10 * SECOND, () -> bounded(fleet));
           assertEquals(
               size,
@@ -89,18 +90,18 @@
           fleet.run(
               30 * SECOND,
               () -> {
-                double part = fleet.share(B);
+                double part = fleet.trafficFraction(B);
                 if (part > 0 && Double.isNaN(first[0])) {
                   first[0] = fleet.now;
                 }
                 // The ramp from the moment at which the first node began it bounds what all send
                 // together.
-                double grown = (fleet.now - first[0] + ZoneEjectionController.TICK) / RAMP;
+                double grown = (fleet.now - first[0] + ZoneEjectionController.TICK_NANOS) / RAMP;
                 assertTrue(
                     part <= (Double.isNaN(first[0]) ? 0 : BEGIN + (1 - BEGIN) * grown) + 0.01,
                     "part " + part + " too early");
               });
-          assertEquals(size, fleet.used(B), "not back: " + fleet.nodes.get(0).log);
+          assertEquals(size, fleet.inUse(B), "not back: " + fleet.nodes.get(0).log);
           assertEquals(0, fleet.in(A, State.OUT) + fleet.in(C, State.OUT));
         });
   }
@@ -109,17 +110,17 @@
   void nodesThatAreAloneLeaveLaterAndComeBackByThemselves() {
     seeds(
         seed -> {
-          FakeZoneFleet fleet = new FakeZoneFleet(12, seed, Verdicts.ALONE);
+          FakeZoneFleet fleet = new FakeZoneFleet(12, seed, DecisionMode.ALONE);
           fleet.run(5 * SECOND);
           fail(fleet, B);
           fleet.run(2 * SECOND);
           assertEquals(12, fleet.in(B, State.SUSPECT) + fleet.in(B, State.IN), "left too early");
           fleet.run(6 * SECOND, () -> bounded(fleet));
           assertTrue(fleet.in(B, State.OUT) >= 11, "left: " + fleet.in(B, State.OUT));
-          assertEquals(0, fleet.calls);
+          assertEquals(0, fleet.voteCalls);
           mend(fleet);
           fleet.run(30 * SECOND);
-          assertEquals(12, fleet.used(B), fleet.nodes.get(0).log.toString());
+          assertEquals(12, fleet.inUse(B), fleet.nodes.get(0).log.toString());
         });
   }
 
@@ -132,14 +133,16 @@
     seeds(
         seed -> {
           FakeZoneFleet fleet = fleet(12, seed);
-          fleet.down = true;
+          fleet.counterDown = true;
           fail(fleet, B);
           fleet.run(8 * SECOND);
-          assertTrue(fleet.by(B, Why.ALONE) >= 11, "alone: " + fleet.by(B, Why.ALONE));
-          fleet.down = false;
+          assertTrue(
+              fleet.decidedBy(B, DecidedBy.ALONE) >= 11,
+              "alone: " + fleet.decidedBy(B, DecidedBy.ALONE));
+          fleet.counterDown = false;
           mend(fleet);
           fleet.run(30 * SECOND);
-          assertEquals(12, fleet.used(B), fleet.nodes.get(0).log.toString());
+          assertEquals(12, fleet.inUse(B), fleet.nodes.get(0).log.toString());
         });
   }
 
@@ -148,7 +151,7 @@
     seeds(
         seed -> {
           FakeZoneFleet fleet = fleet(30, seed);
-          fleet.loss = 0.3;
+          fleet.callLoss = 0.3;
           fail(fleet, B);
           fleet.run(9 * SECOND, () -> bounded(fleet));
           assertEquals(
@@ -157,7 +160,7 @@
               fleet.nodes.get(0).log.toString());
           mend(fleet);
           fleet.run(45 * SECOND);
-          assertEquals(30, fleet.used(B), fleet.nodes.get(0).log.toString());
+          assertEquals(30, fleet.inUse(B), fleet.nodes.get(0).log.toString());
         });
   }
 
@@ -173,7 +176,9 @@
           fail(fleet, B);
           fleet.run(8 * SECOND, fleet.totals::clear);
           assertEquals(12, fleet.in(B, State.OUT), fleet.nodes.get(0).log.toString());
-          assertTrue(fleet.by(B, Why.ALONE) >= 6, "alone: " + fleet.by(B, Why.ALONE));
+          assertTrue(
+              fleet.decidedBy(B, DecidedBy.ALONE) >= 6,
+              "alone: " + fleet.decidedBy(B, DecidedBy.ALONE));
         });
   }
 
@@ -184,13 +189,13 @@
         seed -> {
           FakeZoneFleet fleet = fleet(12, seed);
           fleet.health = (node, zone) -> zone == B && node < 6 ? 1 : 0.01;
-          fleet.run(12 * SECOND, () -> assertEquals(0, fleet.by(B, Why.FLEET)));
+          fleet.run(12 * SECOND, () -> assertEquals(0, fleet.decidedBy(B, DecidedBy.FLEET)));
           for (FakeZoneFleet.Node node : fleet.nodes) {
-            assertEquals(node.me < 6, node.state(B) == State.OUT, node.me + ": " + node.log);
+            assertEquals(node.index < 6, node.state(B) == State.OUT, node.index + ": " + node.log);
           }
           mend(fleet);
           fleet.run(30 * SECOND);
-          assertEquals(12, fleet.used(B));
+          assertEquals(12, fleet.inUse(B));
         });
   }
 
@@ -201,9 +206,9 @@
           FakeZoneFleet fleet = fleet(12, seed);
           fleet.health = (node, zone) -> node == 0 ? 1 : 0.01;
           fleet.run(10 * SECOND);
-          assertEquals(0, fleet.nodes.get(0).agreement.calls() / 20, "it asks and asks");
+          assertEquals(0, fleet.nodes.get(0).consensus.voteCalls() / 20, "it asks and asks");
           for (int zone = 0; zone < 3; zone++) {
-            assertEquals(12, fleet.used(zone));
+            assertEquals(12, fleet.inUse(zone));
           }
         });
   }
@@ -240,19 +245,21 @@
         seed -> {
           FakeZoneFleet fleet = fleet(100, seed);
           for (int i = 0; i < 10; i++) {
-            fleet.nodes.get(i * 7).liar = true;
-            fleet.nodes.get(i * 7).weight = 2;
+            fleet.nodes.get(i * 7).alwaysSuspects = true;
+            fleet.nodes.get(i * 7).votesPerCast = 2;
           }
           fleet.run(12 * SECOND);
           for (int zone = 0; zone < 3; zone++) {
-            assertEquals(0, fleet.by(zone, Why.FLEET));
+            assertEquals(0, fleet.decidedBy(zone, DecidedBy.FLEET));
             assertTrue(fleet.in(zone, State.OUT) <= 10, "only by the liars themselves");
           }
-          fleet.nodes.get(0).weight = 1_000;
+          fleet.nodes.get(0).votesPerCast = 1_000;
           fleet.run(12 * SECOND);
           assertEquals(
               0,
-              fleet.by(A, Why.FLEET) + fleet.by(B, Why.FLEET) + fleet.by(C, Why.FLEET),
+              fleet.decidedBy(A, DecidedBy.FLEET)
+                  + fleet.decidedBy(B, DecidedBy.FLEET)
+                  + fleet.decidedBy(C, DecidedBy.FLEET),
               "more votes than nodes");
         });
   }
@@ -264,15 +271,15 @@
   void nodesWithAnOldClockAreOutvotedNotObeyed() {
     seeds(
         seed -> {
-          FakeZoneFleet fleet = new FakeZoneFleet(12, seed, Verdicts.COUNTER);
+          FakeZoneFleet fleet = new FakeZoneFleet(12, seed, DecisionMode.COUNTER);
           for (int i = 0; i < 4; i++) {
-            fleet.nodes.get(i).off = -40 * SECOND;
+            fleet.nodes.get(i).clockOffsetNanos = -40 * SECOND;
             fleet.nodes.get(i).start();
           }
           fleet.run(10 * SECOND);
           fail(fleet, B);
           fleet.run(9 * SECOND);
-          assertEquals(8, fleet.by(B, Why.FLEET), "the eight with a right clock");
+          assertEquals(8, fleet.decidedBy(B, DecidedBy.FLEET), "the eight with a right clock");
           assertEquals(12, fleet.in(B, State.OUT), "the four by themselves");
         });
   }
@@ -288,7 +295,7 @@
               3_900 * MS,
               () ->
                   fleet.nodes.stream()
-                      .filter(node -> node.me < 4 && fleet.now / (500 * MS) % 2 == 0)
+                      .filter(node -> node.index < 4 && fleet.now / (500 * MS) % 2 == 0)
                       .forEach(FakeZoneFleet.Node::start));
           assertTrue(
               fleet.totals.values().stream().allMatch(total -> total <= 4),
@@ -305,11 +312,13 @@
         seed -> {
           FakeZoneFleet fleet = fleet(12, seed);
           // Trials pass, load does not.
-          fleet.health = (node, zone) -> zone == B && fleet.share(B) > 0.1 ? 1 : 0.01;
+          fleet.health = (node, zone) -> zone == B && fleet.trafficFraction(B) > 0.1 ? 1 : 0.01;
           fleet.run(120 * SECOND, () -> bounded(fleet));
           List<Long> left =
               fleet.nodes.get(0).log.stream()
-                  .filter(line -> line.contains(" by ") && !line.contains("comes"))
+                  .filter(
+                      line ->
+                          line.contains(" zone_ejected ") || line.contains(" zone_return_aborted "))
                   .map(line -> Long.parseLong(line.substring(0, line.indexOf(' '))))
                   .toList();
           assertTrue(left.size() >= 4, left.toString());
@@ -337,10 +346,12 @@
             assertTrue(
                 fleet.now < 1_100 * SECOND, "it does not come back: " + fleet.nodes.get(0).log);
           }
-          fleet.down = true;
-          fleet.nodes.stream().filter(node -> node.me % 2 == 0).forEach(FakeZoneFleet.Node::start);
+          fleet.counterDown = true;
+          fleet.nodes.stream()
+              .filter(node -> node.index % 2 == 0)
+              .forEach(FakeZoneFleet.Node::start);
           fleet.run(RAMP + SECOND);
-          assertEquals(12, fleet.used(B));
+          assertEquals(12, fleet.inUse(B));
         });
   }
 
@@ -351,10 +362,10 @@
           FakeZoneFleet fleet = fleet(100, seed);
           fail(fleet, B);
           fleet.run(5 * SECOND);
-          long before = fleet.trials;
+          long before = fleet.probes;
           long sent = fleet.sent[B];
           fleet.run(20 * SECOND);
-          long trials = fleet.trials - before;
+          long trials = fleet.probes - before;
           assertTrue(
               trials > 0 && trials <= 6 * 24, "trials of a hundred nodes in 20 s: " + trials);
           assertTrue(
@@ -368,21 +379,21 @@
     Set<Long> names = new HashSet<>();
     CounterVoteTransport ballots =
         new CounterVoteTransport(
-            (name, amount, lifetime) -> {}, List.of("a", "b"), ZoneConsensus.WINDOW);
+            (name, amount, lifetime) -> {}, List.of("a", "b"), ZoneConsensus.VOTE_WINDOW_NANOS);
     CounterVoteTransport same =
         new CounterVoteTransport(
-            (name, amount, lifetime) -> {}, List.of("a", "b"), ZoneConsensus.WINDOW);
+            (name, amount, lifetime) -> {}, List.of("a", "b"), ZoneConsensus.VOTE_WINDOW_NANOS);
     for (int zone = 0; zone < 2; zone++) {
       for (ZoneVote.Question question : ZoneVote.Question.values()) {
         for (long window = 100; window < 200; window++) {
           ZoneVote ballot = new ZoneVote(zone, question, window);
           assertTrue(
-              CounterVoteTransport.owns(ballots.name(ballot)) && names.add(ballots.name(ballot)));
-          assertEquals(ballots.name(ballot), same.name(ballot));
+              CounterVoteTransport.ownsKey(ballots.key(ballot)) && names.add(ballots.key(ballot)));
+          assertEquals(ballots.key(ballot), same.key(ballot));
         }
       }
     }
-    assertFalse(CounterVoteTransport.owns(0) || CounterVoteTransport.owns(Long.MAX_VALUE));
+    assertFalse(CounterVoteTransport.ownsKey(0) || CounterVoteTransport.ownsKey(Long.MAX_VALUE));
   }
 
   /**
@@ -395,7 +406,8 @@
       for (double times = 1.1; times < 4; times += 0.3) {
         PlatformRules rules = new PlatformRules(0, from, 17 * SECOND, times, SECOND);
         TrafficRamp course =
-            new TrafficRamp(from, 1, 0, Math.max(1, ZoneEjectionController.coldRamp(rules)));
+            new TrafficRamp(
+                from, 1, 0, Math.max(1, ZoneEjectionController.slowStartRampNanos(rules)));
         for (long at = 0; at < 17 * SECOND; at += 100 * MS) {
           double able = from + (1 - from) * Math.min(1, at / (17.0 * SECOND));
           assertTrue(
--- a/testbed/src/main/java/edgegateway/testbed/fleet/NodeConfigWriter.java
+++ b/testbed/src/main/java/edgegateway/testbed/fleet/NodeConfigWriter.java
@@ -94,7 +94,7 @@
     root.set("settings", settings(of, load, node));
     if (load.zones() != null) {
       root.putObject("zones")
-          .put("verdicts", load.zones().verdicts().name().toLowerCase(Locale.ROOT));
+          .put("verdicts", load.zones().decisionMode().name().toLowerCase(Locale.ROOT));
     }
     return JSON.writeValueAsString(root);
   }
--- a/testbed/src/main/java/edgegateway/testbed/scenario/Scenario.java
+++ b/testbed/src/main/java/edgegateway/testbed/scenario/Scenario.java
@@ -155,11 +155,13 @@
   }
 
   /** How edge nodes judge zones. */
-  public record Zones(ZoneEjectionSettings.Verdicts verdicts) {
+  public record Zones(ZoneEjectionSettings.DecisionMode verdicts) {
     /** The same for a node. */
     public ZoneEjectionSettings settings() {
       return new ZoneEjectionSettings(
-          verdicts, ZoneEjectionSettings.MOST_OUT, ZoneEjectionSettings.ALONE_AFTER);
+          verdicts,
+          ZoneEjectionSettings.DEFAULT_MAX_EJECTED_FRACTION,
+          ZoneEjectionSettings.DEFAULT_LOCAL_DECISION_AFTER_NANOS);
     }
   }
 
--- a/testbed/src/main/java/edgegateway/testbed/simulation/SimulatedNode.java
+++ b/testbed/src/main/java/edgegateway/testbed/simulation/SimulatedNode.java
@@ -205,7 +205,7 @@
 
   private void tickZoneEjection() {
     zoneEjection.tick(clock.now(), !discoverySilenced);
-    schedule(ZoneEjectionController.TICK, this::tickZoneEjection);
+    schedule(ZoneEjectionController.TICK_NANOS, this::tickZoneEjection);
   }
 
   /** Happens unless this life has ended by then. */
@@ -245,7 +245,7 @@
   void term() {
     terminating = true;
     if (zoneEjection != null) {
-      zoneEjection.agreement().abstain();
+      zoneEjection.consensus().stopVoting();
     }
     endIfDone();
   }
@@ -584,8 +584,8 @@
     }
     ended[0] = true;
     meter.counterCallEnded(outcome);
-    if (zoneEjection != null && ZoneEjectionController.owns(name)) {
-      zoneEjection.counted(clock.now(), name, outcome, total);
+    if (zoneEjection != null && ZoneEjectionController.ownsCounterKey(name)) {
+      zoneEjection.counterReplied(clock.now(), name, outcome, total);
     } else {
       meter.time(Activity.COUNTED, () -> policy.counterReplied(clock.now(), name, outcome, total));
     }
--- a/testbed/src/test/java/edgegateway/testbed/scenario/ScenarioRunTest.java
+++ b/testbed/src/test/java/edgegateway/testbed/scenario/ScenarioRunTest.java
@@ -64,14 +64,14 @@
     int fleets = 0;
     for (String node : List.of("n0", "n1", "n2")) {
       List<String> log = Files.readAllLines(folder.resolve(node).resolve("log"));
-      double left = time(log, "zone b is left by");
-      double comes = time(log, "zone b comes back by");
+      double left = time(log, "zone_ejected zone=b by=");
+      double comes = time(log, "zone_returning zone=b by=");
       fleets +=
           log.stream()
                   .anyMatch(
                       line ->
-                          line.contains("zone b is left by fleet, 2")
-                              || line.contains("zone b is left by fleet, 3"))
+                          line.contains("zone_ejected zone=b by=fleet votes=2 ")
+                              || line.contains("zone_ejected zone=b by=fleet votes=3 "))
               ? 1
               : 0;
       assertTrue(left > 3 && left < 7, node + " left at " + left);
--- a/testbed/src/test/java/edgegateway/testbed/simulation/FleetSimulationTest.java
+++ b/testbed/src/test/java/edgegateway/testbed/simulation/FleetSimulationTest.java
@@ -85,15 +85,16 @@
       assertEquals(List.of(), result.findings(), "seed " + seed);
       assertTrue(result.goodput() > 0.95, "seed " + seed + ": " + result.goodput());
       assertTrue(
-          log.stream().filter(line -> line.contains("zone b is left by fleet")).count() >= 10,
+          log.stream().filter(line -> line.contains("zone_ejected zone=b by=fleet")).count() >= 10,
           "seed " + seed + ": " + log);
       assertTrue(
-          log.stream().filter(line -> line.contains("zone b is back")).count() >= 10,
+          log.stream().filter(line -> line.contains("zone_returned zone=b")).count() >= 10,
           "seed " + seed + ": " + log);
       assertTrue(
           log.stream()
               .noneMatch(
-                  line -> line.contains("zone a is left") || line.contains("zone c is left")),
+                  line ->
+                      line.contains("zone_ejected zone=a") || line.contains("zone_ejected zone=c")),
           "seed " + seed + ": " + log);
     }
   }
