--- a/testbed/src/test/java/edgegateway/testbed/cli/TestbedCommandTest.java
+++ b/testbed/src/test/java/edgegateway/testbed/cli/TestbedCommandTest.java
@@ -163,7 +163,7 @@
     Files.createDirectories(folder.resolve("n0"));
     Files.write(
         folder.resolve("n0").resolve("log"),
-        List.of("0.000 before", "0.005 server shunned: s4", "0.010 after"));
+        List.of("0.000 before", "0.005 endpoint_ejected id=s4 cause=TIMEOUT", "0.010 after"));
     assertEquals(0, lab("trace", folder.toString(), "r1"), said);
     List<String> lines = said.lines().map(String::trim).toList();
     assertEquals(4, lines.size(), said);
@@ -171,7 +171,7 @@
     assertEquals(
         List.of(
             "0.003 s  Sent server=s4",
-            "0.005 s  n0: server shunned: s4",
+            "0.005 s  n0: endpoint_ejected id=s4 cause=TIMEOUT",
             "0.009 s  Answered status=200"),
         lines.subList(1, 4));
     assertEquals(2, lab("trace", folder.toString(), "r9"));
