--- /dev/null
+++ b/edge/src/main/java/edgegateway/node/EndpointListUpdater.java
@@ -0,0 +1,44 @@
+package edgegateway.node;
+
+import edgegateway.node.config.NodeConfig;
+import edgegateway.node.discovery.EndpointListListener;
+import edgegateway.node.metrics.NodeMetrics;
+import edgegateway.node.upstream.UpstreamPool;
+import edgegateway.policy.api.EndpointListKind;
+
+/** Tells the upstream side and the policy of each endpoint list; for the event loop's thread. */
+final class EndpointListUpdater implements EndpointListListener {
+  private final PolicyEventLoop policyEvents;
+  private final UpstreamPool upstreamPool;
+  private final NodeMetrics metrics;
+  private final Runnable onDescriptorsExhausted;
+
+  EndpointListUpdater(
+      PolicyEventLoop policyEvents,
+      UpstreamPool upstreamPool,
+      NodeMetrics metrics,
+      Runnable onDescriptorsExhausted) {
+    this.policyEvents = policyEvents;
+    this.upstreamPool = upstreamPool;
+    this.metrics = metrics;
+    this.onDescriptorsExhausted = onDescriptorsExhausted;
+  }
+
+  /** Addresses first: the policy may send at once to an endpoint that it hears of. */
+  @Override
+  public void endpointListReceived(NodeConfig.EndpointList list, EndpointListKind kind) {
+    long readNanos = System.nanoTime();
+    upstreamPool.updateEndpoints(list, kind != EndpointListKind.DELTA);
+    policyEvents.run(
+        (policy, now) -> {
+          metrics.worded(System.nanoTime() - readNanos);
+          policy.endpointsUpdated(
+              now, kind, list.entries().stream().map(NodeConfig.EndpointEntry::endpoint).toList());
+        });
+  }
+
+  @Override
+  public void descriptorsExhausted() {
+    onDescriptorsExhausted.run();
+  }
+}
--- a/edge/src/main/java/edgegateway/node/Main.java
+++ b/edge/src/main/java/edgegateway/node/Main.java
@@ -49,7 +49,9 @@
           new EdgeNode(config, folder == null || folder.isEmpty() ? null : Path.of(folder));
       boolean upgrade = node.slots.otherLives();
       if (config.ops() != null) {
-        System.out.println("operators call at " + new OperatorServer(node, config.ops()).address());
+        System.out.println(
+            "operators call at "
+                + new OperatorServer(node.operatorCommands(), config.ops()).address());
       }
       Runtime.getRuntime().addShutdownHook(new Thread(() -> stop(node), "stop"));
       followConfiguration(node, file, text);
@@ -155,7 +157,7 @@
   private static void stop(EdgeNode node) {
     try {
       node.stop().get(1, TimeUnit.MINUTES);
-      System.out.println("drained; " + node.figures.worst());
+      System.out.println("drained; " + node.metrics.worst());
       Runtime.getRuntime().halt(0);
     } catch (Exception e) {
       System.err.println("the drain did not end: " + e);
--- /dev/null
+++ b/edge/src/main/java/edgegateway/node/NodeHealth.java
@@ -0,0 +1,16 @@
+package edgegateway.node;
+
+/** Whether this process takes clients. All methods may be called on any thread. */
+interface NodeHealth {
+  /**
+   * Whether this process takes clients: it was admitted, discovery was heard or silent for so long
+   * that the known list must do, and nothing drains it.
+   */
+  boolean ready();
+
+  /**
+   * What the front is told. It sees one edge node, be that this process or its successor in an
+   * upgrade: while the successor takes clients, the process that ends goes on saying yes.
+   */
+  boolean healthy();
+}
--- /dev/null
+++ b/edge/src/main/java/edgegateway/node/OperatorCommandService.java
@@ -0,0 +1,175 @@
+package edgegateway.node;
+
+import static edgegateway.node.logging.EventLog.field;
+
+import edgegateway.node.clients.ClientHttpServer;
+import edgegateway.node.config.NodeConfig;
+import edgegateway.node.logging.EventLog;
+import edgegateway.node.metrics.NodeMetrics;
+import edgegateway.node.operators.OperatorCommands;
+import edgegateway.node.upstream.UpstreamPool;
+import edgegateway.policy.GatewayPolicy;
+import io.netty.channel.EventLoop;
+import java.io.IOException;
+import java.util.List;
+import java.util.concurrent.Callable;
+import java.util.concurrent.CompletableFuture;
+import java.util.concurrent.TimeUnit;
+import java.util.function.Supplier;
+
+/**
+ * Carries out operators' commands on the event loop; what needs no turn of the loop is answered on
+ * the caller's thread.
+ */
+final class OperatorCommandService implements OperatorCommands {
+  private static final EventLog LOG = EventLog.console();
+
+  private final EventLoop loop;
+  private final PolicyEventLoop policyEvents;
+  private final Supplier<NodeConfig> config;
+  private final NodeHealth health;
+  private final ClientHttpServer clients;
+  private final UpstreamPool upstreamPool;
+  private final OperatorEjections ejections;
+  private final ZoneEjectionService zoneEjection;
+  private final DescriptorBudgetService budget;
+  private final NodeMetrics metrics;
+  private final Runnable updateMetrics;
+  private final Runnable onDescriptorsExhausted;
+
+  OperatorCommandService(
+      EventLoop loop,
+      PolicyEventLoop policyEvents,
+      Supplier<NodeConfig> config,
+      NodeHealth health,
+      ClientHttpServer clients,
+      UpstreamPool upstreamPool,
+      OperatorEjections ejections,
+      ZoneEjectionService zoneEjection,
+      DescriptorBudgetService budget,
+      NodeMetrics metrics,
+      Runnable updateMetrics,
+      Runnable onDescriptorsExhausted) {
+    this.loop = loop;
+    this.policyEvents = policyEvents;
+    this.config = config;
+    this.health = health;
+    this.clients = clients;
+    this.upstreamPool = upstreamPool;
+    this.ejections = ejections;
+    this.zoneEjection = zoneEjection;
+    this.budget = budget;
+    this.metrics = metrics;
+    this.updateMetrics = updateMetrics;
+    this.onDescriptorsExhausted = onDescriptorsExhausted;
+  }
+
+  @Override
+  public boolean ready() {
+    return health.ready();
+  }
+
+  @Override
+  public String metricsText() {
+    return metrics.render();
+  }
+
+  @Override
+  public int maxOperatorConnections() {
+    return budget.current().operators();
+  }
+
+  @Override
+  public void descriptorsExhausted() {
+    onDescriptorsExhausted.run();
+  }
+
+  @Override
+  public CompletableFuture<String> drain(boolean on) {
+    return onLoop(() -> clients.drain(on) ? null : "this process ends");
+  }
+
+  @Override
+  public CompletableFuture<String> setEndpointEjected(String server, boolean ejected) {
+    return onLoop(() -> ejectEndpoint(server, ejected));
+  }
+
+  /** Null, or why it was not done. */
+  private String ejectEndpoint(String server, boolean ejected) throws IOException {
+    boolean[] listed = new boolean[1];
+    if (policyEvents.policy() != null) {
+      policyEvents.run(
+          (policy, now) -> listed[0] = policy.setEndpointEjected(now, server, ejected));
+    }
+    if (!listed[0]) {
+      return "never listed";
+    }
+    if (ejected) {
+      upstreamPool.endpointEjected(server);
+    }
+    ejections.writeEndpoints();
+    updateMetrics.run();
+    return null;
+  }
+
+  @Override
+  public CompletableFuture<String> setZoneEjected(String zone, boolean ejected, long rampSeconds) {
+    return onLoop(() -> ejectZone(zone, ejected, rampSeconds));
+  }
+
+  /** Null, or why it was not done. */
+  private String ejectZone(String zone, boolean ejected, long rampSeconds) throws IOException {
+    int index = config.get().names().zones().indexOf(zone);
+    if (index < 0) {
+      return "no such zone";
+    }
+    long rampNanos =
+        rampSeconds > 0
+            ? TimeUnit.SECONDS.toNanos(rampSeconds)
+            : config.get().settings().rules().slowStartNanos();
+    boolean[] done = new boolean[1];
+    policyEvents.run(
+        (policy, now) ->
+            done[0] = policy != null && policy.setZoneEjected(now, index, ejected, rampNanos));
+    if (!done[0]) {
+      return "no server of another zone could be sent to";
+    }
+    ejections.writeZones();
+    System.out.println(
+        "zone "
+            + zone
+            + (ejected
+                ? " out by hand"
+                : " back by hand over " + TimeUnit.NANOSECONDS.toSeconds(rampNanos) + " s"));
+    updateMetrics.run();
+    return null;
+  }
+
+  @Override
+  public CompletableFuture<String> zoneReport() {
+    return onLoop(
+        () -> {
+          ZoneReport report = new ZoneReport(policyEvents.nowNanos());
+          List<String> names = config.get().names().zones();
+          GatewayPolicy policy = policyEvents.policy();
+          for (int zone = 0; policy != null && zone < names.size(); zone++) {
+            report.add(names.get(zone), policy.zoneStatus(zone), zoneEjection.decision(zone));
+          }
+          return report.toString();
+        });
+  }
+
+  private CompletableFuture<String> onLoop(Callable<String> command) {
+    CompletableFuture<String> done = new CompletableFuture<>();
+    loop.execute(
+        () -> {
+          try {
+            done.complete(command.call());
+          } catch (Exception e) {
+            LOG.warn("operator_command_failed", field("error", e));
+            done.completeExceptionally(e);
+          }
+        });
+    return done;
+  }
+}
--- a/edge/src/test/java/edgegateway/node/ClientDisconnectTest.java
+++ b/edge/src/test/java/edgegateway/node/ClientDisconnectTest.java
@@ -100,8 +100,8 @@
   }
 
   private static void awaitLog(EdgeNode node, String figure) {
-    while (!node.figures.render().contains(figure + "\n")) {
-      assertFalse(Thread.interrupted(), node.figures.render());
+    while (!node.metrics.render().contains(figure + "\n")) {
+      assertFalse(Thread.interrupted(), node.metrics.render());
     }
   }
 
--- a/edge/src/test/java/edgegateway/node/ConnectionsTest.java
+++ b/edge/src/test/java/edgegateway/node/ConnectionsTest.java
@@ -43,7 +43,7 @@
   @TempDir Path folder;
 
   private static long figure(EdgeNode node, String name) {
-    for (String line : node.figures.render().split("\n")) {
+    for (String line : node.metrics.render().split("\n")) {
       if (line.startsWith("app." + name + "=")) {
         return Long.parseLong(line.substring(line.indexOf('=') + 1));
       }
--- a/edge/src/test/java/edgegateway/node/LongBodyTest.java
+++ b/edge/src/test/java/edgegateway/node/LongBodyTest.java
@@ -201,10 +201,10 @@
     say(client.getOutputStream(), lookup("t-1", "HTTP/1.1"));
     assertTrue(head(client.getInputStream()).contains("200"));
     assertTrue(client.getInputStream().readAllBytes().length < BODY.length);
-    while (!node.figures.render().contains("app.handled.lookup.bad_gateway=1")) {
-      assertTrue(!Thread.interrupted(), node.figures.render());
+    while (!node.metrics.render().contains("app.handled.lookup.bad_gateway=1")) {
+      assertTrue(!Thread.interrupted(), node.metrics.render());
     }
-    assertTrue(node.figures.render().contains("app.in_progress=0"));
+    assertTrue(node.metrics.render().contains("app.in_progress=0"));
   }
 
   /** What an answer is begun as, and how its client's request is written. */
@@ -300,13 +300,13 @@
     for (int i = 1; i < 11; i++) {
       assertArrayEquals(BODY, slow.getInputStream().readNBytes(BODY.length), "part " + i);
     }
-    while (!node.figures.render().contains("app.in_progress=0\n")
-        || !node.figures.render().contains("app.connections.archive_servers.open=1\n")) {
-      assertTrue(!Thread.interrupted(), node.figures.render());
+    while (!node.metrics.render().contains("app.in_progress=0\n")
+        || !node.metrics.render().contains("app.connections.archive_servers.open=1\n")) {
+      assertTrue(!Thread.interrupted(), node.metrics.render());
     }
     assertTrue(
-        node.figures.render().contains("app.handled.lookup.bad_gateway=12\n"),
-        node.figures.render());
+        node.metrics.render().contains("app.handled.lookup.bad_gateway=12\n"),
+        node.metrics.render());
   }
 
   /**
@@ -529,8 +529,8 @@
     head(down.getInputStream());
     down.close();
     assertEquals("cut", ended.poll(30, TimeUnit.SECONDS));
-    while (!node.figures.render().contains("app.in_progress=0")) {
-      assertTrue(!Thread.interrupted(), node.figures.render());
+    while (!node.metrics.render().contains("app.in_progress=0")) {
+      assertTrue(!Thread.interrupted(), node.metrics.render());
     }
   }
 
--- a/edge/src/test/java/edgegateway/node/OperatorServerTest.java
+++ b/edge/src/test/java/edgegateway/node/OperatorServerTest.java
@@ -27,7 +27,8 @@
   @TempDir Path folder;
 
   private OperatorServer ops(EdgeNode node) throws Exception {
-    OperatorServer ops = new OperatorServer(node, new InetSocketAddress("127.0.0.1", 0));
+    OperatorServer ops =
+        new OperatorServer(node.operatorCommands(), new InetSocketAddress("127.0.0.1", 0));
     toClose.add(ops);
     return ops;
   }
@@ -117,7 +118,7 @@
     }
     assertTrue(Long.parseLong(vars(ops).get("app.discovery.longest_wait_ms")) < 250);
     assertTrue(
-        node.figures.worst().startsWith("longest standstill of the loop "), node.figures.worst());
+        node.metrics.worst().startsWith("longest standstill of the loop "), node.metrics.worst());
   }
 
   @Test
--- a/edge/src/test/java/edgegateway/node/RaceConditionsTest.java
+++ b/edge/src/test/java/edgegateway/node/RaceConditionsTest.java
@@ -74,8 +74,8 @@
   }
 
   private static void awaitLog(EdgeNode node, String figure) {
-    while (!node.figures.render().contains(figure + "\n")) {
-      assertFalse(Thread.interrupted(), node.figures.render());
+    while (!node.metrics.render().contains(figure + "\n")) {
+      assertFalse(Thread.interrupted(), node.metrics.render());
     }
   }
 
@@ -409,7 +409,7 @@
               answered.add(1);
             });
     EdgeNode node = node(server);
-    node.drain(true).get();
+    node.operatorCommands().drain(true).get();
     for (int round = 0; round < 30; round++) {
       Socket client = new Socket();
       client.setReceiveBufferSize(2_048);
--- a/edge/src/test/java/edgegateway/node/SignalsTest.java
+++ b/edge/src/test/java/edgegateway/node/SignalsTest.java
@@ -134,15 +134,15 @@
               }
             });
     EdgeNode node = start(config());
-    while (node.figures.discoverySilence() < 50) {
+    while (node.metrics.discoverySilence() < 50) {
       assertNull(process.onExit().getNow(null));
     }
     assertTrue(
         Pattern.compile("^app.discovery.silent_ms=\\d+$", Pattern.MULTILINE)
-            .matcher(node.figures.render())
+            .matcher(node.metrics.render())
             .find());
     go.complete(null);
-    while (node.figures.discoverySilence() >= 50) {
+    while (node.metrics.discoverySilence() >= 50) {
       assertNull(process.onExit().getNow(null));
     }
   }
--- a/edge/src/test/java/edgegateway/node/TlsTest.java
+++ b/edge/src/test/java/edgegateway/node/TlsTest.java
@@ -62,7 +62,7 @@
 
   private static long figure(EdgeNode node, String name) {
     return Long.parseLong(
-        node.figures.render().replaceAll("(?s).*app.connections." + name + "=(\\d+).*", "$1"));
+        node.metrics.render().replaceAll("(?s).*app.connections." + name + "=(\\d+).*", "$1"));
   }
 
   private static void await(EdgeNode node, String name, long value) throws InterruptedException {
--- a/testbed/src/main/java/edgegateway/testbed/scale/sockets/HollowNodeMain.java
+++ b/testbed/src/main/java/edgegateway/testbed/scale/sockets/HollowNodeMain.java
@@ -124,7 +124,7 @@
       Map<String, Long> sums = new TreeMap<>();
       Map<String, Long> most = new TreeMap<>();
       for (Hollow one : nodes) {
-        OperatorClient.figures(one.node.metricsText())
+        OperatorClient.figures(one.node.operatorCommands().metricsText())
             .forEach(
                 (name, value) -> {
                   sums.merge(name, value, Long::sum);
