--- a/edge/src/main/java/edgegateway/node/operators/EjectionFile.java
+++ b/edge/src/main/java/edgegateway/node/operators/EjectionFile.java
@@ -15,19 +15,34 @@
 import java.util.Set;
 import java.util.TreeSet;
 
-/** A file that keeps, over an upgrade, which app servers, or which zones, are out by hand. */
+/**
+ * A file that keeps, over an upgrade, which endpoints or which zones operators ejected: a JSON
+ * array of their names. Processes of two versions share it, so its form stays as it is. Not
+ * thread-safe.
+ */
 public final class EjectionFile {
   private static final EventLog LOG = EventLog.console();
+  private static final String SUFFIX = ".json";
+
+  /** Null where nothing outlives the process. */
   private final Path file;
-  private FileTime seen;
 
-  /** {@code folder} is null where nothing outlives the process; {@code name} without its ending. */
+  /** When the file was written that was read or written here last; null if none was. */
+  private FileTime lastSeen;
+
+  /**
+   * Reads and writes nothing yet.
+   *
+   * @param folder null where nothing outlives the process
+   * @param name the file's name without its ending
+   */
   public EjectionFile(Path folder, String name) {
-    file = folder == null ? null : folder.resolve(name + ".json");
+    file = folder == null ? null : folder.resolve(name + SUFFIX);
   }
 
   /**
-   * The ids on file if another process wrote it since it was last read or written here, else null.
+   * The names on file if another process wrote it since it was last read or written here; else
+   * null. A file that cannot be read is logged and ignored until it is written again.
    */
   public Set<String> changed() {
     try {
@@ -35,32 +50,42 @@
         return null;
       }
       FileTime written = Files.getLastModifiedTime(file);
-      if (written.equals(seen)) {
+      if (written.equals(lastSeen)) {
         return null;
       }
-      seen = written;
-      JsonNode read = Json.read(Files.readString(file));
-      if (!read.isArray()) {
-        throw new IOException("not a list");
-      }
-      Set<String> ids = new TreeSet<>();
-      read.forEach(id -> ids.add(id.asText()));
-      return ids;
+      lastSeen = written;
+      return parse(Files.readString(file));
     } catch (IOException | RuntimeException e) {
-      LOG.warn("ejection_file_ignored", field("error", e));
+      LOG.warn("ejection_file_ignored", field("file", file), field("error", e));
       return null;
     }
   }
 
-  /** On return the ids are on file. */
-  public void write(Set<String> ids) throws IOException {
-    if (file != null) {
-      Path draft = file.resolveSibling(file.getFileName() + "." + ProcessHandle.current().pid());
-      ArrayNode list = JsonNodeFactory.instance.arrayNode();
-      ids.forEach(list::add);
-      Files.writeString(draft, list.toString());
-      Files.move(draft, file, StandardCopyOption.ATOMIC_MOVE, StandardCopyOption.REPLACE_EXISTING);
-      seen = Files.getLastModifiedTime(file);
+  private static Set<String> parse(String text) throws IOException {
+    JsonNode list = Json.read(text);
+    if (!list.isArray()) {
+      throw new IOException("not a list");
+    }
+    Set<String> names = new TreeSet<>();
+    for (JsonNode name : list) {
+      names.add(name.asText());
+    }
+    return names;
+  }
+
+  /** On return the names are on file, whole; does nothing where nothing outlives the process. */
+  public void write(Set<String> names) throws IOException {
+    if (file == null) {
+      return;
+    }
+    // A name of its own for each process: both may write at once.
+    Path draft = file.resolveSibling(file.getFileName() + "." + ProcessHandle.current().pid());
+    ArrayNode list = JsonNodeFactory.instance.arrayNode();
+    for (String name : names) {
+      list.add(name);
     }
+    Files.writeString(draft, list.toString());
+    Files.move(draft, file, StandardCopyOption.ATOMIC_MOVE, StandardCopyOption.REPLACE_EXISTING);
+    lastSeen = Files.getLastModifiedTime(file);
   }
 }
--- /dev/null
+++ b/edge/src/test/java/edgegateway/node/upgrade/HandoverFileTest.java
@@ -0,0 +1,71 @@
+package edgegateway.node.upgrade;
+
+import static org.junit.jupiter.api.Assertions.assertArrayEquals;
+import static org.junit.jupiter.api.Assertions.assertEquals;
+import static org.junit.jupiter.api.Assertions.assertNull;
+
+import edgegateway.policy.api.QuotaUsage;
+import edgegateway.policy.api.StateTransfer;
+import java.nio.file.Files;
+import java.nio.file.Path;
+import java.util.HexFormat;
+import java.util.List;
+import org.junit.jupiter.api.Test;
+import org.junit.jupiter.api.io.TempDir;
+
+/** Two versions run at once in an upgrade: what one writes the other has to read. */
+class HandoverFileTest {
+  /** What version f416bee wrote for {@link #STATE}. */
+  private static final byte[] WRITTEN_BY_F416BEE =
+      HexFormat.of()
+          .parseHex(
+              "5eed0001400c000000000000000000023fc999999999999a3fd333333333"
+                  + "33330000000200000000000000070000000100000002fffffffffffffffd"
+                  + "3fe00000000000003ff80000000000004004000000000000400c00000000"
+                  + "000040120000000000004016000000000000401a0000000000000000001c"
+                  + "be991a14ffffffffffffffff000000000000001e00000000692ffc100000"
+                  + "0000000000003fb999999999999a41cdcd65000000000000000000000000"
+                  + "bfd000000000000000000000000000004028000000000000187da8f535e0"
+                  + "6d15");
+
+  private static final StateTransfer STATE =
+      new StateTransfer(
+          3.5,
+          List.of(0.2, 0.3),
+          List.of(
+              new QuotaUsage(7, 1, 2, -3, 0.5, 1.5, 2.5, 3.5, 4.5, 5.5, 6.5, 123_456_789_012L),
+              new QuotaUsage(
+                  -1,
+                  0,
+                  30,
+                  1_764_752_400L,
+                  0,
+                  0.1,
+                  1e9,
+                  0,
+                  -0.25,
+                  0,
+                  12,
+                  1_764_752_400_123_456_789L)));
+
+  @TempDir Path folder;
+
+  @Test
+  void readsWhatTheVersionBeforeWrote() throws Exception {
+    Files.write(folder.resolve("handover"), WRITTEN_BY_F416BEE);
+    assertEquals(STATE, new HandoverFile(folder).read());
+  }
+
+  @Test
+  void writesWhatTheVersionBeforeReads() throws Exception {
+    new HandoverFile(folder).write(STATE);
+    assertArrayEquals(WRITTEN_BY_F416BEE, Files.readAllBytes(folder.resolve("handover")));
+  }
+
+  @Test
+  void nothingIsSharedWithoutAFolder() throws Exception {
+    HandoverFile file = new HandoverFile(null);
+    file.discard();
+    assertNull(file.read());
+  }
+}
