--- a/edge/src/main/java/edgegateway/node/operators/OperatorServer.java
+++ b/edge/src/main/java/edgegateway/node/operators/OperatorServer.java
@@ -16,10 +16,8 @@
 import java.nio.charset.StandardCharsets;
 import java.util.LinkedHashSet;
 import java.util.Set;
-import java.util.concurrent.CompletableFuture;
 import java.util.concurrent.ExecutionException;
 import java.util.concurrent.TimeUnit;
-import java.util.regex.Pattern;
 
 /**
  * Where operators call: a line in, an answer out, and the connection ends. It has a thread of its
@@ -27,28 +25,26 @@
  * commands go to that loop.
  */
 public final class OperatorServer implements AutoCloseable {
-  private static final int MOST_LINE = 512;
-  private static final int CALL_MS = 5_000;
-  private static final Set<String> NAMED = Set.of("set-down", "set-up", "zone-out", "zone-in");
-  private static final Pattern SECONDS = Pattern.compile("[1-9][0-9]{0,3}");
-  private static final String YES = "ACK\n";
-  private static final String NO = "NAK ";
-
-  private final OperatorCommands node;
+  private static final int MAX_LINE_BYTES = 512;
+
+  /** A caller that has not finished its call by then is cut off. */
+  private static final int CALL_TIMEOUT_MILLIS = 5_000;
+
+  private final OperatorCallHandler calls;
   private final EventLoopGroup group =
       new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
 
-  /** Open connections, the oldest first; told on the one loop only. */
+  /** Open connections, the oldest first; for the one loop's thread. */
   private final Set<Channel> callers = new LinkedHashSet<>();
 
   private final ConnectionAcceptor listener;
-  private final int callersAtOnce;
+  private final int maxCallers;
 
-  /** Listens when it returns. */
+  /** Listens when it returns; not for an event loop's thread. */
   public OperatorServer(OperatorCommands node, InetSocketAddress at)
       throws InterruptedException, ExecutionException {
-    this.node = node;
-    callersAtOnce = node.maxOperatorConnections();
+    calls = new OperatorCallHandler(node);
+    maxCallers = node.maxOperatorConnections();
     listener = new ConnectionAcceptor(group.next(), node::descriptorsExhausted);
     listener
         .bind(
@@ -58,13 +54,14 @@
                 channel
                     .pipeline()
                     .addLast(
-                        new LineBasedFrameDecoder(MOST_LINE),
+                        new LineBasedFrameDecoder(MAX_LINE_BYTES),
                         new StringDecoder(StandardCharsets.UTF_8),
                         new StringEncoder(StandardCharsets.UTF_8),
                         new Call()))
         .get();
   }
 
+  /** Where operators call. */
   public InetSocketAddress address() {
     return listener.address();
   }
@@ -74,41 +71,6 @@
     group.shutdownGracefully(0, 1, TimeUnit.SECONDS).syncUninterruptibly();
   }
 
-  /** The answer to a line; commands are carried out before it. */
-  private CompletableFuture<String> answer(String line) {
-    String[] words = line.strip().split("\\s+");
-    if (words[0].equals("zone-in") && words.length == 3 && SECONDS.matcher(words[2]).matches()) {
-      return node.setZoneEjected(words[1], false, Long.parseLong(words[2]))
-          .thenApply(OperatorServer::said);
-    }
-    boolean named = NAMED.contains(words[0]);
-    if (words.length != (named ? 2 : 1)) {
-      return CompletableFuture.completedFuture(
-          NO
-              + (named
-                  ? "one name is wanted, and after zone-in's 1 to 9999 seconds or none\n"
-                  : "no such call\n"));
-    }
-    return switch (words[0]) {
-      case "check" ->
-          CompletableFuture.completedFuture(node.ready() ? YES : NO + "takes no clients now\n");
-      case "vars" -> CompletableFuture.completedFuture(node.metricsText() + "--\n");
-      case "set-down" -> node.setEndpointEjected(words[1], true).thenApply(OperatorServer::said);
-      case "set-up" -> node.setEndpointEjected(words[1], false).thenApply(OperatorServer::said);
-      case "zones" -> node.zoneReport().thenApply(text -> text + "--\n");
-      case "zone-out" -> node.setZoneEjected(words[1], true, 0).thenApply(OperatorServer::said);
-      case "zone-in" -> node.setZoneEjected(words[1], false, 0).thenApply(OperatorServer::said);
-      case "drain-on" -> node.drain(true).thenApply(OperatorServer::said);
-      case "drain-off" -> node.drain(false).thenApply(OperatorServer::said);
-      default -> CompletableFuture.completedFuture(NO + "no such call\n");
-    };
-  }
-
-  /** A command's outcome: null is a yes, else it tells why not. */
-  private static String said(String why) {
-    return why == null ? YES : NO + why + "\n";
-  }
-
   /** One connection: its first line is its only one. */
   private final class Call extends SimpleChannelInboundHandler<String> {
     private boolean called;
@@ -116,18 +78,21 @@
     @Override
     public void channelActive(ChannelHandlerContext context) {
       callers.add(context.channel());
-      if (callers.size() > callersAtOnce) {
+      if (callers.size() > maxCallers) {
         callers.iterator().next().close();
       }
-      context.executor().schedule(() -> context.close(), CALL_MS, TimeUnit.MILLISECONDS);
+      context
+          .executor()
+          .schedule(() -> context.close(), CALL_TIMEOUT_MILLIS, TimeUnit.MILLISECONDS);
     }
 
     @Override
     protected void channelRead0(ChannelHandlerContext context, String line) {
       if (!called) {
         called = true;
-        answer(line)
-            .exceptionally(e -> NO + "failed: " + e.getMessage() + "\n")
+        calls
+            .answer(line)
+            .exceptionally(e -> OperatorCallHandler.refusal("failed: " + e.getMessage()))
             .thenAccept(text -> end(context, text));
       }
     }
@@ -140,7 +105,7 @@
     public void userEventTriggered(ChannelHandlerContext context, Object event) {
       if (event instanceof ChannelInputShutdownEvent && !called) {
         called = true;
-        end(context, NO + "no line\n");
+        end(context, OperatorCallHandler.refusal("no line"));
       }
     }
 
@@ -156,7 +121,7 @@
         context.close();
       } else {
         called = true;
-        end(context, NO + "not a line that can be read\n");
+        end(context, OperatorCallHandler.refusal("not a line that can be read"));
       }
     }
   }
