--- a/edge/src/main/java/edgegateway/node/DescriptorBudgetService.java
+++ b/edge/src/main/java/edgegateway/node/DescriptorBudgetService.java
@@ -48,7 +48,8 @@
   private DescriptorBudget allocate(int processes) {
     NodeConfig now = config.get();
     DescriptorBudget budget =
-        DescriptorBudget.of(now.connections(), now.sockets(), processes, upstreamPool.endpointCount());
+        DescriptorBudget.of(
+            now.connections(), now.sockets(), processes, upstreamPool.endpointCount());
     current = budget;
     clients.bound(budget);
     upstreamPool.applyBudget(budget);
--- a/edge/src/main/java/edgegateway/node/EdgeNode.java
+++ b/edge/src/main/java/edgegateway/node/EdgeNode.java
@@ -1,7 +1,9 @@
 package edgegateway.node;
 
 import edgegateway.node.clients.ClientHttpServer;
+import edgegateway.node.config.InvalidConfigException;
 import edgegateway.node.config.NodeConfig;
+import edgegateway.node.config.NodeConfigParser;
 import edgegateway.node.connections.BufferedBodies;
 import edgegateway.node.connections.ConnectionMetrics;
 import edgegateway.node.connections.DescriptorBudget;
@@ -88,8 +90,8 @@
    */
   public static EdgeNode on(EventLoop loop, String configuration) throws IOException {
     try {
-      return new EdgeNode(NodeConfig.parse(configuration), null, null, loop);
-    } catch (NodeConfig.InvalidConfigException e) {
+      return new EdgeNode(NodeConfigParser.parse(configuration), null, null, loop);
+    } catch (InvalidConfigException e) {
       throw new IllegalArgumentException(e.getMessage(), e);
     }
   }
--- a/edge/src/main/java/edgegateway/node/EndpointListUpdater.java
+++ b/edge/src/main/java/edgegateway/node/EndpointListUpdater.java
@@ -1,10 +1,11 @@
 package edgegateway.node;
 
-import edgegateway.node.config.NodeConfig;
 import edgegateway.node.discovery.EndpointListListener;
 import edgegateway.node.metrics.NodeMetrics;
 import edgegateway.node.upstream.UpstreamPool;
 import edgegateway.policy.api.EndpointListKind;
+import edgegateway.protocol.EndpointEntry;
+import edgegateway.protocol.EndpointList;
 
 /** Tells the upstream side and the policy of each endpoint list; for the event loop's thread. */
 final class EndpointListUpdater implements EndpointListListener {
@@ -26,14 +27,14 @@
 
   /** Addresses first: the policy may send at once to an endpoint that it hears of. */
   @Override
-  public void endpointListReceived(NodeConfig.EndpointList list, EndpointListKind kind) {
+  public void endpointListReceived(EndpointList list, EndpointListKind kind) {
     long readNanos = System.nanoTime();
     upstreamPool.updateEndpoints(list, kind != EndpointListKind.DELTA);
     policyEvents.run(
         (policy, now) -> {
           metrics.worded(System.nanoTime() - readNanos);
           policy.endpointsUpdated(
-              now, kind, list.entries().stream().map(NodeConfig.EndpointEntry::endpoint).toList());
+              now, kind, list.entries().stream().map(EndpointEntry::endpoint).toList());
         });
   }
 
--- a/edge/src/main/java/edgegateway/node/Main.java
+++ b/edge/src/main/java/edgegateway/node/Main.java
@@ -2,7 +2,9 @@
 
 import static edgegateway.node.logging.EventLog.field;
 
+import edgegateway.node.config.InvalidConfigException;
 import edgegateway.node.config.NodeConfig;
+import edgegateway.node.config.NodeConfigParser;
 import edgegateway.node.lifecycle.ClassArchive;
 import edgegateway.node.lifecycle.ConfigFileWatcher;
 import edgegateway.node.lifecycle.SignalDispositions;
@@ -42,8 +44,8 @@
       return;
     }
     try {
-      String text = NodeConfig.text(Path.of(file));
-      NodeConfig config = NodeConfig.parse(text);
+      String text = NodeConfigParser.readText(Path.of(file));
+      NodeConfig config = NodeConfigParser.parse(text);
       String folder = System.getenv("TMPDIR");
       EdgeNode node =
           new EdgeNode(config, folder == null || folder.isEmpty() ? null : Path.of(folder));
@@ -76,7 +78,7 @@
         warmUp(config);
         node.admit();
       }
-    } catch (NodeConfig.InvalidConfigException e) {
+    } catch (InvalidConfigException e) {
       exit(1, e.getMessage());
     } catch (Exception e) {
       exit(1, "cannot start: " + e.getMessage());
@@ -135,9 +137,9 @@
   static synchronized void reload(EdgeNode node, String file) {
     for (int look = 1; look <= LOOKS; look++) {
       try {
-        node.applyConfiguration(NodeConfig.read(Path.of(file)));
+        node.applyConfiguration(NodeConfigParser.read(Path.of(file)));
         return;
-      } catch (NodeConfig.InvalidConfigException e) {
+      } catch (InvalidConfigException e) {
         if (look == 1) {
           System.err.println("the configuration stays as it was: " + e.getMessage());
         }
--- a/edge/src/main/java/edgegateway/node/WarmUp.java
+++ b/edge/src/main/java/edgegateway/node/WarmUp.java
@@ -7,6 +7,8 @@
 import edgegateway.policy.api.Idempotency;
 import edgegateway.policy.api.PolicySettings;
 import edgegateway.policy.api.RequestClass;
+import edgegateway.protocol.EndpointEntry;
+import edgegateway.protocol.EndpointList;
 import io.netty.buffer.ByteBuf;
 import io.netty.buffer.Unpooled;
 import io.netty.channel.embedded.EmbeddedChannel;
@@ -94,9 +96,9 @@
                 s.counter().reportsTrueUnits(),
                 s.counter().maxRequestUnits()),
             s.rules());
-    List<NodeConfig.EndpointEntry> members =
+    List<EndpointEntry> members =
         real.known().entries().stream()
-            .map(NodeConfig.EndpointEntry::endpoint)
+            .map(EndpointEntry::endpoint)
             .map(
                 e ->
                     new Endpoint(
@@ -107,7 +109,7 @@
                         e.machineType(),
                         EndpointState.READY,
                         0))
-            .map(e -> new NodeConfig.EndpointEntry(e, real.listen()))
+            .map(e -> new EndpointEntry(e, real.listen()))
             .toList();
     return new NodeConfig(
         real.listen(),
@@ -119,7 +121,7 @@
         real.connections(),
         null,
         null,
-        new NodeConfig.EndpointList(0, true, members),
+        new EndpointList(0, true, members),
         real.connectTimeout(),
         real.keepAlive(),
         real.names(),
@@ -128,7 +130,7 @@
 
   private void connect() {
     client = new EmbeddedChannel(node.clients.handlers());
-    for (NodeConfig.EndpointEntry member : config.known().entries()) {
+    for (EndpointEntry member : config.known().entries()) {
       EmbeddedChannel server = new EmbeddedChannel(node.upstreamPool.handlers());
       node.upstreamPool.adopt(member.endpoint().id(), server);
       servers.add(server);
--- a/edge/src/main/java/edgegateway/node/discovery/DiscoveryClient.java
+++ b/edge/src/main/java/edgegateway/node/discovery/DiscoveryClient.java
@@ -7,6 +7,8 @@
 import edgegateway.node.logging.EventLog;
 import edgegateway.node.metrics.NodeMetrics;
 import edgegateway.policy.api.EndpointListKind;
+import edgegateway.protocol.EndpointList;
+import edgegateway.protocol.SettingNames;
 import io.netty.bootstrap.Bootstrap;
 import io.netty.channel.Channel;
 import io.netty.channel.ChannelInitializer;
@@ -36,7 +38,7 @@
   private final EndpointListListener listener;
   private final NodeMetrics metrics;
   private final EventLoop loop;
-  private final NodeConfig.SettingNames names;
+  private final SettingNames names;
   private final Bootstrap bootstrap;
   private final WatchScheduler scheduler;
   private final DiscoverySilenceLog silenceLog;
@@ -168,7 +170,7 @@
   }
 
   @Override
-  public void listReceived(WatchScheduler.Watch watch, NodeConfig.EndpointList list) {
+  public void listReceived(WatchScheduler.Watch watch, EndpointList list) {
     long now = System.nanoTime();
     if (scheduler.listReceived(now, watch, list.revision(), list.complete())) {
       eventAccepted();
--- a/edge/src/main/java/edgegateway/node/discovery/WatchEventListener.java
+++ b/edge/src/main/java/edgegateway/node/discovery/WatchEventListener.java
@@ -1,6 +1,6 @@
 package edgegateway.node.discovery;
 
-import edgegateway.node.config.NodeConfig;
+import edgegateway.protocol.EndpointList;
 
 /** Receives the events of watches. All methods are for the event loop's thread. */
 interface WatchEventListener {
@@ -11,5 +11,5 @@
   void keepAliveReceived(WatchScheduler.Watch watch);
 
   /** A complete list, or changes. */
-  void listReceived(WatchScheduler.Watch watch, NodeConfig.EndpointList list);
+  void listReceived(WatchScheduler.Watch watch, EndpointList list);
 }
--- a/edge/src/main/java/edgegateway/node/discovery/WatchHandler.java
+++ b/edge/src/main/java/edgegateway/node/discovery/WatchHandler.java
@@ -2,8 +2,11 @@
 
 import static edgegateway.node.logging.EventLog.field;
 
-import edgegateway.node.config.NodeConfig;
 import edgegateway.node.logging.EventLog;
+import edgegateway.protocol.EndpointList;
+import edgegateway.protocol.EndpointListParser;
+import edgegateway.protocol.InvalidFieldException;
+import edgegateway.protocol.SettingNames;
 import io.netty.buffer.ByteBufUtil;
 import io.netty.channel.ChannelHandlerContext;
 import io.netty.channel.SimpleChannelInboundHandler;
@@ -27,7 +30,7 @@
 
   private final WatchScheduler.Watch watch;
   private final InetSocketAddress address;
-  private final NodeConfig.SettingNames names;
+  private final SettingNames names;
   private final WatchEventListener listener;
   private final JsonObjectSplitter objects =
       new JsonObjectSplitter(
@@ -37,7 +40,7 @@
   WatchHandler(
       WatchScheduler.Watch watch,
       InetSocketAddress address,
-      NodeConfig.SettingNames names,
+      SettingNames names,
       WatchEventListener listener) {
     this.watch = watch;
     this.address = address;
@@ -76,10 +79,10 @@
   }
 
   private void objectReceived(String text) {
-    NodeConfig.EndpointList list;
+    EndpointList list;
     try {
-      list = NodeConfig.roll(text, names);
-    } catch (NodeConfig.InvalidConfigException e) {
+      list = EndpointListParser.parse(text, names);
+    } catch (InvalidFieldException e) {
       throw new DiscoveryException(address, e.getMessage(), e);
     }
     listener.listReceived(watch, list);
--- a/edge/src/main/java/edgegateway/node/upstream/UpstreamPool.java
+++ b/edge/src/main/java/edgegateway/node/upstream/UpstreamPool.java
@@ -12,6 +12,8 @@
 import edgegateway.node.requests.InFlightRequest;
 import edgegateway.policy.api.EndpointState;
 import edgegateway.policy.api.RequestClass;
+import edgegateway.protocol.EndpointEntry;
+import edgegateway.protocol.EndpointList;
 import io.netty.channel.Channel;
 import io.netty.channel.ChannelHandler;
 import io.netty.channel.EventLoop;
@@ -83,9 +85,9 @@
    *
    * @param complete whether endpoints that the list does not name are removed
    */
-  public void updateEndpoints(NodeConfig.EndpointList list, boolean complete) {
+  public void updateEndpoints(EndpointList list, boolean complete) {
     Set<String> named = new HashSet<>();
-    for (NodeConfig.EndpointEntry entry : list.entries()) {
+    for (EndpointEntry entry : list.entries()) {
       named.add(entry.endpoint().id());
       updateEndpoint(entry);
     }
@@ -94,7 +96,7 @@
     }
   }
 
-  private void updateEndpoint(NodeConfig.EndpointEntry entry) {
+  private void updateEndpoint(EndpointEntry entry) {
     String id = entry.endpoint().id();
     ListedEndpoint known = endpoints.get(id);
     boolean removed = entry.endpoint().state() == EndpointState.REMOVED;
@@ -108,7 +110,7 @@
     }
   }
 
-  private void addEndpoint(NodeConfig.EndpointEntry entry) {
+  private void addEndpoint(EndpointEntry entry) {
     long startedAtNanos = entry.endpoint().startedAtNanos();
     boolean slowStart =
         startedAtNanos > 0 && context.listener().nowNanos() - startedAtNanos < slowStartNanos;
--- a/edge/src/main/java/edgegateway/protocol/Json.java
+++ b/edge/src/main/java/edgegateway/protocol/Json.java
@@ -9,7 +9,6 @@
 import com.fasterxml.jackson.databind.node.JsonNodeFactory;
 import com.fasterxml.jackson.databind.node.MissingNode;
 import com.fasterxml.jackson.databind.node.ObjectNode;
-import edgegateway.node.config.NodeConfig;
 import java.io.IOException;
 import java.io.UncheckedIOException;
 
@@ -38,9 +37,14 @@
     }
   }
 
-  /** Takes the items of a list, in their order. */
-  public interface Items {
-    void take(JsonNode item) throws NodeConfig.InvalidConfigException;
+  /**
+   * Takes the items of a list, in their order.
+   *
+   * @param <E> what it throws for an item that cannot be used
+   */
+  public interface ItemHandler<E extends Exception> {
+    /** Takes one item; what it throws ends the reading. */
+    void handle(JsonNode item) throws E;
   }
 
   /**
@@ -48,8 +52,8 @@
    * kept, so that a long list is never a tree as a whole. What is told before a fault in the text
    * is told all the same.
    */
-  public static JsonNode read(String text, String list, Items items)
-      throws JsonProcessingException, NodeConfig.InvalidConfigException {
+  public static <E extends Exception> JsonNode read(String text, String list, ItemHandler<E> items)
+      throws JsonProcessingException, E {
     try (JsonParser parser = FACTORY.createParser(text)) {
       JsonToken first = parser.nextToken();
       if (first != JsonToken.START_OBJECT) {
@@ -59,7 +63,7 @@
       for (String name = parser.nextFieldName(); name != null; name = parser.nextFieldName()) {
         if (parser.nextToken() == JsonToken.START_ARRAY && name.equals(list)) {
           while (!parser.nextToken().isStructEnd()) {
-            items.take(node(parser));
+            items.handle(node(parser));
           }
           object.set(name, NODES.arrayNode());
         } else {
--- a/edge/src/test/java/edgegateway/node/ConnectionsTest.java
+++ b/edge/src/test/java/edgegateway/node/ConnectionsTest.java
@@ -7,7 +7,8 @@
 import static org.junit.jupiter.api.Assertions.assertThrows;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import edgegateway.node.config.NodeConfig;
+import edgegateway.node.config.InvalidConfigException;
+import edgegateway.node.config.NodeConfigParser;
 import io.netty.buffer.PooledByteBufAllocator;
 import io.netty.util.ResourceLeakDetector;
 import java.io.IOException;
@@ -252,7 +253,8 @@
     if (when.equals("upgrade")) {
       next =
           new EdgeNode(
-              NodeConfig.parse(config(members).replace("127.0.0.1:0", "127.0.0.1:" + at.getPort())),
+              NodeConfigParser.parse(
+                  config(members).replace("127.0.0.1:0", "127.0.0.1:" + at.getPort())),
               folder);
       toClose.add(next);
       next.startAsSuccessor();
@@ -611,14 +613,14 @@
     for (Map.Entry<String, String> one : broken.entrySet()) {
       String text = good.replace("\"counter\"", "\"connections\":" + one.getKey() + ",\"counter\"");
       String said =
-          assertThrows(NodeConfig.InvalidConfigException.class, () -> NodeConfig.parse(text))
+          assertThrows(InvalidConfigException.class, () -> NodeConfigParser.parse(text))
               .getMessage();
       assertTrue(said.startsWith(one.getValue()), said);
       assertFalse(said.contains("\n"), said);
     }
     EdgeNode node = bounded("{\"clients\":100000}", peer(m -> m.answer(FakePeer.ok("", "x"))));
     assertEquals(1, node.budget().clamped().size());
-    assertEquals(NodeConfig.parse(good).sockets(), 1_024);
+    assertEquals(NodeConfigParser.parse(good).sockets(), 1_024);
     assertTrue(node.budget().clients() < 1_024);
   }
 
--- a/edge/src/test/java/edgegateway/node/EdgeNodeTest.java
+++ b/edge/src/test/java/edgegateway/node/EdgeNodeTest.java
@@ -7,7 +7,9 @@
 import static org.junit.jupiter.api.Assertions.assertThrows;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
+import edgegateway.node.config.InvalidConfigException;
 import edgegateway.node.config.NodeConfig;
+import edgegateway.node.config.NodeConfigParser;
 import edgegateway.node.counter.CounterClient;
 import io.netty.channel.EventLoop;
 import io.netty.channel.EventLoopGroup;
@@ -68,12 +70,13 @@
   void theWarmUpServesAndReachesNobody() throws Exception {
     FakePeer server = peer(m -> m.answer(FakePeer.ok("", "x")));
     assertTrue(
-        WarmUp.run(NodeConfig.parse(config(member("s-0", server.address(), "Ready", 0)))) > 0);
+        WarmUp.run(NodeConfigParser.parse(config(member("s-0", server.address(), "Ready", 0))))
+            > 0);
     for (FakePeer peer : List.of(server, counter, discovery)) {
       assertTrue(peer.seen.isEmpty());
     }
     assertEquals(
-        0, WarmUp.run(NodeConfig.parse(config())), "without a list there is nobody to serve");
+        0, WarmUp.run(NodeConfigParser.parse(config())), "without a list there is nobody to serve");
   }
 
   /**
@@ -528,7 +531,7 @@
         };
     BlockingQueue<String> told = new LinkedBlockingQueue<>();
     NodeConfig config =
-        NodeConfig.parse(
+        NodeConfigParser.parse(
             config().replace("\"count-wait-ns\": 50000000", "\"count-wait-ns\": 2000000000"));
     try (var group = new CloseableGroup()) {
       EventLoop loop = group.loops.next();
@@ -567,7 +570,7 @@
       FakePeer broken = peer(m -> m.answer(answer));
       BlockingQueue<String> told = new LinkedBlockingQueue<>();
       NodeConfig config =
-          NodeConfig.parse(
+          NodeConfigParser.parse(
               config()
                   .replace(counter.address(), broken.address())
                   .replace("\"count-wait-ns\": 50000000", "\"count-wait-ns\": 30000000000"));
@@ -633,8 +636,7 @@
                 broken.put(good.replaceFirst("\\{", "{\"zones\":" + zones + ","), said));
     for (Map.Entry<String, String> one : broken.entrySet()) {
       String said =
-          assertThrows(
-                  NodeConfig.InvalidConfigException.class, () -> NodeConfig.parse(one.getKey()))
+          assertThrows(InvalidConfigException.class, () -> NodeConfigParser.parse(one.getKey()))
               .getMessage();
       assertTrue(said.startsWith(one.getValue()), said);
       assertFalse(said.contains("\n"), said);
--- a/edge/src/test/java/edgegateway/node/NodeTest.java
+++ b/edge/src/test/java/edgegateway/node/NodeTest.java
@@ -3,7 +3,7 @@
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertNotNull;
 
-import edgegateway.node.config.NodeConfig;
+import edgegateway.node.config.NodeConfigParser;
 import java.io.IOException;
 import java.net.InetSocketAddress;
 import java.net.Socket;
@@ -78,7 +78,7 @@
   }
 
   EdgeNode start(String config, Path folder) throws Exception {
-    EdgeNode node = new EdgeNode(NodeConfig.parse(config), folder);
+    EdgeNode node = new EdgeNode(NodeConfigParser.parse(config), folder);
     toClose.add(node);
     node.start();
     return node;
--- a/edge/src/test/java/edgegateway/node/RaceConditionsTest.java
+++ b/edge/src/test/java/edgegateway/node/RaceConditionsTest.java
@@ -5,7 +5,7 @@
 import static org.junit.jupiter.api.Assertions.assertThrows;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import edgegateway.node.config.NodeConfig;
+import edgegateway.node.config.NodeConfigParser;
 import edgegateway.protocol.Json;
 import io.netty.buffer.Unpooled;
 import io.netty.channel.embedded.EmbeddedChannel;
@@ -330,7 +330,7 @@
     free.close();
     EdgeNode node =
         new EdgeNode(
-            NodeConfig.parse(
+            NodeConfigParser.parse(
                 config(member("s-0", leaves.address(), "Ready", 0))
                     .replace("127.0.0.1:0", "127.0.0.1:" + port)),
             null);
@@ -364,7 +364,7 @@
   @Test
   void aSignalDuringStartupEndsTheProcess() throws Exception {
     discovery = peer(m -> {});
-    EdgeNode node = new EdgeNode(NodeConfig.parse(config()), null);
+    EdgeNode node = new EdgeNode(NodeConfigParser.parse(config()), null);
     toClose.add(node);
     CompletableFuture<Boolean> started =
         CompletableFuture.supplyAsync(
--- a/edge/src/test/java/edgegateway/node/TlsTest.java
+++ b/edge/src/test/java/edgegateway/node/TlsTest.java
@@ -8,7 +8,9 @@
 import static org.junit.jupiter.api.Assertions.assertThrows;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
+import edgegateway.node.config.InvalidConfigException;
 import edgegateway.node.config.NodeConfig;
+import edgegateway.node.config.NodeConfigParser;
 import java.io.IOException;
 import java.net.InetSocketAddress;
 import java.net.Socket;
@@ -242,7 +244,8 @@
             "{\"certificate\":\"/nowhere\",\"key\":\"/nowhere\"}",
             "{\"certificate\":\"" + broken + "\",\"key\":\"" + broken + "\"}")) {
       NodeConfig config =
-          NodeConfig.parse(config().replace("\"counter\"", "\"tls\":" + settings + ",\"counter\""));
+          NodeConfigParser.parse(
+              config().replace("\"counter\"", "\"tls\":" + settings + ",\"counter\""));
       String said = assertThrows(IOException.class, () -> new EdgeNode(config, null)).getMessage();
       assertTrue(said.startsWith("tls.certificate or tls.key cannot be used"), said);
     }
@@ -253,7 +256,7 @@
             "{\"certificate\":\"a\",\"key\":\"b\",\"x\":1}",
             "{\"certificate\":\"a\",\"key\":\"b\",\"handshakes\":0}")) {
       String text = config().replace("\"counter\"", "\"tls\":" + settings + ",\"counter\"");
-      assertThrows(NodeConfig.InvalidConfigException.class, () -> NodeConfig.parse(text));
+      assertThrows(InvalidConfigException.class, () -> NodeConfigParser.parse(text));
     }
   }
 }
--- a/edge/src/test/java/edgegateway/node/UpgradeTest.java
+++ b/edge/src/test/java/edgegateway/node/UpgradeTest.java
@@ -5,7 +5,7 @@
 import static org.junit.jupiter.api.Assertions.assertNull;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import edgegateway.node.config.NodeConfig;
+import edgegateway.node.config.NodeConfigParser;
 import edgegateway.node.upgrade.HandoverFile;
 import edgegateway.policy.api.QuotaUsage;
 import edgegateway.policy.api.StateTransfer;
@@ -44,7 +44,7 @@
     assertFalse(first.slots.otherLives());
     EdgeNode next =
         new EdgeNode(
-            NodeConfig.parse(
+            NodeConfigParser.parse(
                 config(member("s-0", server.address(), "Ready", 0))
                     .replace("127.0.0.1:0", "127.0.0.1:" + first.address().getPort())),
             folder);
--- a/edge/src/test/java/edgegateway/node/discovery/WatchHandlerTest.java
+++ b/edge/src/test/java/edgegateway/node/discovery/WatchHandlerTest.java
@@ -4,7 +4,8 @@
 import static org.junit.jupiter.api.Assertions.assertFalse;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import edgegateway.node.config.NodeConfig;
+import edgegateway.protocol.EndpointList;
+import edgegateway.protocol.SettingNames;
 import io.netty.buffer.ByteBuf;
 import io.netty.buffer.Unpooled;
 import io.netty.channel.embedded.EmbeddedChannel;
@@ -43,14 +44,13 @@
   }
 
   @Override
-  public void listReceived(WatchScheduler.Watch by, NodeConfig.EndpointList list) {
+  public void listReceived(WatchScheduler.Watch by, EndpointList list) {
     events.add("list " + list.revision());
   }
 
   private EmbeddedChannel opened() {
     scheduler.start(0, 5);
-    NodeConfig.SettingNames names =
-        new NodeConfig.SettingNames(List.of(), List.of(), List.of(), List.of());
+    SettingNames names = new SettingNames(List.of(), List.of(), List.of(), List.of());
     return new EmbeddedChannel(
         new HttpClientCodec(),
         new WatchHandler(watch, new InetSocketAddress("127.0.0.1", 1), names, this));
