--- a/deploy/archive.sh
+++ b/deploy/archive.sh
@@ -30,7 +30,7 @@
   GW_CONFIG=$work/config.json java $options -XX:ArchiveClassesAtExit="$made" -jar edge/target/edge-gateway.jar serve \
     > "$work/log" 2>&1 &
   node=$!
-  until grep -q '^serving on' "$work/log"; do
+  until grep -q '^serving address=' "$work/log"; do
     kill -0 "$node" 2> /dev/null || return 1
     sleep 0.1
   done
--- a/edge/src/main/java/edgegateway/node/OperatorCommandService.java
+++ b/edge/src/main/java/edgegateway/node/OperatorCommandService.java
@@ -135,12 +135,15 @@
       return "no server of another zone could be sent to";
     }
     ejections.writeZones();
-    System.out.println(
-        "zone "
-            + zone
-            + (ejected
-                ? " out by hand"
-                : " back by hand over " + TimeUnit.NANOSECONDS.toSeconds(rampNanos) + " s"));
+    if (ejected) {
+      LOG.info("zone_ejected", field("zone", zone), field("by", "operator"));
+    } else {
+      LOG.info(
+          "zone_readmitted",
+          field("zone", zone),
+          field("by", "operator"),
+          field("ramp_s", TimeUnit.NANOSECONDS.toSeconds(rampNanos)));
+    }
     updateMetrics.run();
     return null;
   }
--- a/edge/src/main/java/edgegateway/node/metrics/NodeMetrics.java
+++ b/edge/src/main/java/edgegateway/node/metrics/NodeMetrics.java
@@ -2,149 +2,173 @@
 
 import edgegateway.node.connections.ConnectionMetrics;
 import java.util.List;
-import java.util.Locale;
 import java.util.concurrent.TimeUnit;
 import java.util.concurrent.atomic.AtomicInteger;
 import java.util.concurrent.atomic.AtomicLong;
 import java.util.concurrent.atomic.AtomicLongArray;
 
 /**
- * What operators read of an edge node: counted on its loop, read on any thread, all from 0 with the
- * process.
+ * What operators read of a node: counted on its event loop, read on any thread, all from 0 with the
+ * process. The metrics' names are the operators' (docs/operating.md) and stay as they are.
  */
 public final class NodeMetrics {
   /** How a request ended for its client. */
   public enum RequestEnd {
-    PASSED,
-    DROPPED,
-    BAD_GATEWAY
+    /** It got an archive server's answer. */
+    PASSED("passed"),
+    /** It was rejected. */
+    DROPPED("dropped"),
+    /** It failed. */
+    BAD_GATEWAY("bad_gateway");
+
+    private final String label;
+
+    RequestEnd(String label) {
+      this.label = label;
+    }
   }
 
-  private static final int ENDINGS = RequestEnd.values().length;
-  private static final String[] ZONES = {"zones.away", "zones.calls", "zones.trials"};
+  private static final String PREFIX = "app.";
+  private static final RequestEnd[] ENDS = RequestEnd.values();
+
   private final List<String> classes;
-  private final AtomicLongArray ended;
-  private final AtomicLong tries = new AtomicLong();
+  private final ConnectionMetrics connections;
+
+  /** For each request class, one after the other, a count for each of {@link #ENDS}. */
+  private final AtomicLongArray endedRequests;
+
+  private final AtomicLong attempts = new AtomicLong();
   private final AtomicLong counterCalls = new AtomicLong();
-  private final AtomicLong counterUnanswered = new AtomicLong();
+  private final AtomicLong unansweredCounterCalls = new AtomicLong();
   private final AtomicInteger inProgress = new AtomicInteger();
-  private final AtomicInteger known = new AtomicInteger();
-  private final AtomicInteger skipped = new AtomicInteger();
+  private final AtomicInteger listedEndpoints = new AtomicInteger();
+  private final AtomicInteger avoidedEndpoints = new AtomicInteger();
 
-  private final ConnectionMetrics connections;
-  private volatile long discoveryAt = System.nanoTime();
+  private volatile long discoveryHeardNanos = System.nanoTime();
 
-  /** Written on the loop alone. */
-  private volatile long standstill;
+  /** Written on the event loop alone, as is the next. */
+  private volatile long longestLoopStallNanos;
 
-  private volatile long wordWait;
+  private volatile long longestDiscoveryWaitNanos;
 
-  /** Zones away, calls about zones, trials; null where zones are left by hand alone. */
-  private volatile long[] zones;
+  /** Null where zones are ejected by operators alone. */
+  private volatile ZoneMetrics zones;
 
+  private record ZoneMetrics(long away, long calls, long trials) {}
+
+  /** {@code classes} are the request classes' names, each at its index. */
   public NodeMetrics(List<String> classes, ConnectionMetrics connections) {
     this.classes = classes;
     this.connections = connections;
-    ended = new AtomicLongArray(classes.size() * ENDINGS);
+    endedRequests = new AtomicLongArray(classes.size() * ENDS.length);
   }
 
+  /** A request was taken. */
   public void taken() {
     inProgress.incrementAndGet();
   }
 
-  /** A request has ended; {@code how} is null if its client left before the answer. */
-  public void ended(int requestClass, RequestEnd how) {
+  /** A request has ended; {@code end} is null if its client left before the answer. */
+  public void ended(int requestClass, RequestEnd end) {
     inProgress.decrementAndGet();
-    if (how != null) {
-      ended.incrementAndGet(requestClass * ENDINGS + how.ordinal());
+    if (end != null) {
+      endedRequests.incrementAndGet(index(requestClass, end));
     }
   }
 
-  /** An attempt was written whole to an app server. */
+  private static int index(int requestClass, RequestEnd end) {
+    return requestClass * ENDS.length + end.ordinal();
+  }
+
+  /** An attempt was written whole to an archive server. */
   public void tried() {
-    tries.incrementAndGet();
+    attempts.incrementAndGet();
   }
 
-  /** A call to the counter has ended; {@code answered} unless it was turned away, late or lost. */
+  /** A call to the counter has ended; {@code answered} unless it was rejected, late or lost. */
   public void counted(boolean answered) {
     counterCalls.incrementAndGet();
     if (!answered) {
-      counterUnanswered.incrementAndGet();
+      unansweredCounterCalls.incrementAndGet();
     }
   }
 
-  /** How many servers the list holds, and how many of these are avoided. */
+  /** How many endpoints the list holds, and how many of these are avoided. */
   public void servers(int listed, int avoided) {
-    known.set(listed);
-    skipped.set(avoided);
+    listedEndpoints.set(listed);
+    avoidedEndpoints.set(avoided);
   }
 
   /**
-   * How many zones are out or on their way by verdict, calls to the counter about zones, requests
-   * sent to try one.
+   * How many zones are out or on their way by the fleet's decision, calls to the counter about
+   * zones, requests sent to try one.
    */
   public void zones(long away, long calls, long trials) {
-    zones = new long[] {away, calls, trials};
+    zones = new ZoneMetrics(away, calls, trials);
   }
 
   /** A line of discovery came, or the first one is waited for from now on. */
   public void discoveryHeard() {
-    discoveryAt = System.nanoTime();
+    discoveryHeardNanos = System.nanoTime();
   }
 
   /** For how long nothing was heard of discovery, in milliseconds; a line comes every 2 s. */
   public long discoverySilence() {
-    return TimeUnit.NANOSECONDS.toMillis(System.nanoTime() - discoveryAt);
+    return TimeUnit.NANOSECONDS.toMillis(System.nanoTime() - discoveryHeardNanos);
   }
 
-  /** A timer of the module ran so late, in nanoseconds: so long the loop was at something else. */
-  public void late(long span) {
-    standstill = Math.max(standstill, span);
+  /** A timer of the policy ran this late: for so long the loop was at something else. */
+  public void late(long delayNanos) {
+    longestLoopStallNanos = Math.max(longestLoopStallNanos, delayNanos);
   }
 
-  /** Word of discovery reached the module so long after it was read, in nanoseconds. */
-  public void worded(long span) {
-    wordWait = Math.max(wordWait, span);
+  /** A message of discovery reached the policy this long after it was read. */
+  public void worded(long waitNanos) {
+    longestDiscoveryWaitNanos = Math.max(longestDiscoveryWaitNanos, waitNanos);
   }
 
-  /** The worst of both since the process began, in a line. */
-  public String worst() {
-    return "longest standstill of the loop "
-        + TimeUnit.NANOSECONDS.toMillis(standstill)
-        + " ms, longest wait of discovery's word "
-        + TimeUnit.NANOSECONDS.toMillis(wordWait)
-        + " ms";
+  /** The longest stall of the event loop since the process began, in milliseconds. */
+  public long longestLoopStallMillis() {
+    return TimeUnit.NANOSECONDS.toMillis(longestLoopStallNanos);
+  }
+
+  /**
+   * The longest time that a message of discovery waited until the policy had it, since the process
+   * began, in milliseconds.
+   */
+  public long longestDiscoveryWaitMillis() {
+    return TimeUnit.NANOSECONDS.toMillis(longestDiscoveryWaitNanos);
   }
 
-  /** A figure a line. */
+  /** All metrics, one {@code name=value} a line. */
   public String render() {
     StringBuilder text = new StringBuilder();
     for (int i = 0; i < classes.size(); i++) {
-      for (RequestEnd how : RequestEnd.values()) {
-        line(
-            text,
-            "handled." + classes.get(i) + "." + how.name().toLowerCase(Locale.ROOT),
-            ended.get(i * ENDINGS + how.ordinal()));
+      for (RequestEnd end : ENDS) {
+        appendLine(
+            text, "handled." + classes.get(i) + "." + end.label, endedRequests.get(index(i, end)));
       }
     }
-    line(text, "upstream_tries", tries.get());
-    line(text, "in_progress", inProgress.get());
-    line(text, "known_archive_servers", known.get());
-    line(text, "skipped_archive_servers", skipped.get());
-    line(text, "counter.calls", counterCalls.get());
-    line(text, "counter.unanswered", counterUnanswered.get());
-    line(text, "discovery.silent_ms", discoverySilence());
-    line(text, "discovery.longest_wait_ms", TimeUnit.NANOSECONDS.toMillis(wordWait));
-    line(text, "loop.longest_standstill_ms", TimeUnit.NANOSECONDS.toMillis(standstill));
-    long[] byVerdict = zones;
-    for (int i = 0; byVerdict != null && i < byVerdict.length; i++) {
-      line(text, ZONES[i], byVerdict[i]);
+    appendLine(text, "upstream_tries", attempts.get());
+    appendLine(text, "in_progress", inProgress.get());
+    appendLine(text, "known_archive_servers", listedEndpoints.get());
+    appendLine(text, "skipped_archive_servers", avoidedEndpoints.get());
+    appendLine(text, "counter.calls", counterCalls.get());
+    appendLine(text, "counter.unanswered", unansweredCounterCalls.get());
+    appendLine(text, "discovery.silent_ms", discoverySilence());
+    appendLine(text, "discovery.longest_wait_ms", longestDiscoveryWaitMillis());
+    appendLine(text, "loop.longest_standstill_ms", longestLoopStallMillis());
+    ZoneMetrics currentZones = zones;
+    if (currentZones != null) {
+      appendLine(text, "zones.away", currentZones.away());
+      appendLine(text, "zones.calls", currentZones.calls());
+      appendLine(text, "zones.trials", currentZones.trials());
     }
-    connections.tell((name, value) -> line(text, "connections." + name, value));
+    connections.tell((name, value) -> appendLine(text, "connections." + name, value));
     return text.toString();
   }
 
-  private static void line(StringBuilder text, String name, long value) {
-    text.append("app.").append(name).append('=').append(value).append('\n');
+  private static void appendLine(StringBuilder text, String name, long value) {
+    text.append(PREFIX).append(name).append('=').append(value).append('\n');
   }
 }
--- a/testbed/src/main/java/edgegateway/testbed/fleet/Fleet.java
+++ b/testbed/src/main/java/edgegateway/testbed/fleet/Fleet.java
@@ -73,8 +73,8 @@
 
   private static final InetSocketAddress ANY = new InetSocketAddress("127.0.0.1", 0);
   private static final int LOOPS = 2;
-  private static final String SERVING = "serving on ";
-  private static final String OPERATORS = "operators call at ";
+  private static final String SERVING = "serving address=";
+  private static final String OPERATORS = "operators_listening address=";
   private static final String NEVER = "";
 
   /** A node that does not listen by then never will. */
--- a/testbed/src/main/java/edgegateway/testbed/scale/sockets/RealNodeProcesses.java
+++ b/testbed/src/main/java/edgegateway/testbed/scale/sockets/RealNodeProcesses.java
@@ -28,8 +28,8 @@
  * #close()} or with this process.
  */
 final class RealNodeProcesses implements AutoCloseable {
-  private static final String SERVING = "serving on ";
-  private static final String OPERATORS = "operators call at ";
+  private static final String SERVING = "serving address=";
+  private static final String OPERATORS = "operators_listening address=";
   private static final String ENDED = "";
   private static final Pattern USABLE = Pattern.compile("usable=(\\d+)");
   private static final int HEALTH_MS = 2_000;
