--- a/edge/src/test/java/edgegateway/node/DiscoveryRaceTest.java
+++ b/edge/src/test/java/edgegateway/node/DiscoveryRaceTest.java
@@ -7,7 +7,7 @@
 import static org.junit.jupiter.api.Assertions.assertThrows;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import edgegateway.node.config.NodeConfig;
+import edgegateway.node.config.NodeConfigParser;
 import edgegateway.protocol.Json;
 import java.io.IOException;
 import java.net.InetAddress;
@@ -48,7 +48,7 @@
     int port = freePort();
     EdgeNode node =
         new EdgeNode(
-            NodeConfig.parse(
+            NodeConfigParser.parse(
                 config(member("s-0", leaves.address(), "Ready", 0))
                     .replace("127.0.0.1:0", "127.0.0.1:" + port)),
             null);
--- a/edge/src/test/java/edgegateway/node/EdgeNodeTest.java
+++ b/edge/src/test/java/edgegateway/node/EdgeNodeTest.java
@@ -7,8 +7,11 @@
 import static org.junit.jupiter.api.Assertions.assertThrows;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
+import edgegateway.node.config.InvalidConfigException;
 import edgegateway.node.config.NodeConfig;
+import edgegateway.node.config.NodeConfigParser;
 import edgegateway.node.counter.CounterClient;
+import edgegateway.node.logging.EventLog;
 import io.netty.channel.EventLoop;
 import io.netty.channel.EventLoopGroup;
 import io.netty.channel.MultiThreadIoEventLoopGroup;
@@ -68,12 +71,13 @@
   void theWarmUpServesAndReachesNobody() throws Exception {
     FakePeer server = peer(m -> m.answer(FakePeer.ok("", "x")));
     assertTrue(
-        WarmUp.run(NodeConfig.parse(config(member("s-0", server.address(), "Ready", 0)))) > 0);
+        WarmUp.run(NodeConfigParser.parse(config(member("s-0", server.address(), "Ready", 0))))
+            > 0);
     for (FakePeer peer : List.of(server, counter, discovery)) {
       assertTrue(peer.seen.isEmpty());
     }
     assertEquals(
-        0, WarmUp.run(NodeConfig.parse(config())), "without a list there is nobody to serve");
+        0, WarmUp.run(NodeConfigParser.parse(config())), "without a list there is nobody to serve");
   }
 
   /**
@@ -469,9 +473,8 @@
     String whole = config();
     Path file = Files.createTempFile("node", ".json");
     Files.writeString(file, whole.substring(0, whole.length() / 2));
-    PrintStream before = System.err;
-    System.setErr(
-        new PrintStream(before, true) {
+    PrintStream completesTheFile =
+        new PrintStream(System.err, true) {
           @Override
           public void println(String line) {
             super.println(line);
@@ -481,12 +484,8 @@
               throw new UncheckedIOException(e);
             }
           }
-        });
-    try {
-      Main.reload(node, file.toString());
-    } finally {
-      System.setErr(before);
-    }
+        };
+    new ConfigurationReloader(node, file, new EventLog(System.out, completesTheFile)).reload();
     assertTrue(discovery.next().first().contains("watch=1"));
   }
 
@@ -528,7 +527,7 @@
         };
     BlockingQueue<String> told = new LinkedBlockingQueue<>();
     NodeConfig config =
-        NodeConfig.parse(
+        NodeConfigParser.parse(
             config().replace("\"count-wait-ns\": 50000000", "\"count-wait-ns\": 2000000000"));
     try (var group = new CloseableGroup()) {
       EventLoop loop = group.loops.next();
@@ -567,7 +566,7 @@
       FakePeer broken = peer(m -> m.answer(answer));
       BlockingQueue<String> told = new LinkedBlockingQueue<>();
       NodeConfig config =
-          NodeConfig.parse(
+          NodeConfigParser.parse(
               config()
                   .replace(counter.address(), broken.address())
                   .replace("\"count-wait-ns\": 50000000", "\"count-wait-ns\": 30000000000"));
@@ -633,8 +632,7 @@
                 broken.put(good.replaceFirst("\\{", "{\"zones\":" + zones + ","), said));
     for (Map.Entry<String, String> one : broken.entrySet()) {
       String said =
-          assertThrows(
-                  NodeConfig.InvalidConfigException.class, () -> NodeConfig.parse(one.getKey()))
+          assertThrows(InvalidConfigException.class, () -> NodeConfigParser.parse(one.getKey()))
               .getMessage();
       assertTrue(said.startsWith(one.getValue()), said);
       assertFalse(said.contains("\n"), said);
--- a/edge/src/test/java/edgegateway/node/OperatorServerTest.java
+++ b/edge/src/test/java/edgegateway/node/OperatorServerTest.java
@@ -27,7 +27,8 @@
   @TempDir Path folder;
 
   private OperatorServer ops(EdgeNode node) throws Exception {
-    OperatorServer ops = new OperatorServer(node, new InetSocketAddress("127.0.0.1", 0));
+    OperatorServer ops =
+        new OperatorServer(node.operatorCommands(), new InetSocketAddress("127.0.0.1", 0));
     toClose.add(ops);
     return ops;
   }
@@ -116,8 +117,8 @@
       assertFalse(Thread.interrupted(), vars(ops).toString());
     }
     assertTrue(Long.parseLong(vars(ops).get("app.discovery.longest_wait_ms")) < 250);
-    assertTrue(
-        node.figures.worst().startsWith("longest standstill of the loop "), node.figures.worst());
+    assertTrue(node.metrics.longestLoopStallMillis() >= 200);
+    assertTrue(node.metrics.longestDiscoveryWaitMillis() < 250);
   }
 
   @Test
--- a/edge/src/test/java/edgegateway/node/RaceConditionsTest.java
+++ b/edge/src/test/java/edgegateway/node/RaceConditionsTest.java
@@ -8,7 +8,7 @@
 import static org.junit.jupiter.api.Assertions.assertThrows;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import edgegateway.node.config.NodeConfig;
+import edgegateway.node.config.NodeConfigParser;
 import io.netty.buffer.Unpooled;
 import io.netty.channel.embedded.EmbeddedChannel;
 import java.io.IOException;
@@ -56,8 +56,8 @@
   }
 
   private static void awaitLog(EdgeNode node, String figure) {
-    while (!node.figures.render().contains(figure + "\n")) {
-      assertFalse(Thread.interrupted(), node.figures.render());
+    while (!node.metrics.render().contains(figure + "\n")) {
+      assertFalse(Thread.interrupted(), node.metrics.render());
     }
   }
 
@@ -297,7 +297,7 @@
   @Test
   void aSignalDuringStartupEndsTheProcess() throws Exception {
     discovery = peer(m -> {});
-    EdgeNode node = new EdgeNode(NodeConfig.parse(config()), null);
+    EdgeNode node = new EdgeNode(NodeConfigParser.parse(config()), null);
     toClose.add(node);
     CompletableFuture<Boolean> started =
         CompletableFuture.supplyAsync(
--- a/edge/src/test/java/edgegateway/node/ResponseEndTest.java
+++ b/edge/src/test/java/edgegateway/node/ResponseEndTest.java
@@ -34,7 +34,7 @@
               answered.add(1);
             });
     EdgeNode node = node(server);
-    node.drain(true).get();
+    node.operatorCommands().drain(true).get();
     for (int round = 0; round < 30; round++) {
       Socket client = new Socket();
       client.setReceiveBufferSize(2_048);
--- a/edge/src/test/java/edgegateway/node/clients/ClientSessionTest.java
+++ b/edge/src/test/java/edgegateway/node/clients/ClientSessionTest.java
@@ -6,6 +6,7 @@
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import edgegateway.node.config.NodeConfig;
+import edgegateway.node.config.NodeConfigParser;
 import edgegateway.node.connections.BufferedBodies;
 import edgegateway.node.connections.ClientConnectionTable;
 import edgegateway.node.connections.ConnectionMetrics;
@@ -80,7 +81,7 @@
 
   private EmbeddedChannel newChannel(DescriptorBudget budget) throws Exception {
     NodeConfig config =
-        NodeConfig.parse(
+        NodeConfigParser.parse(
             Files.readString(Path.of("src/test/resources/node.json"))
                 .replace("DISCOVERY", "127.0.0.1:1")
                 .replace("COUNTER", "127.0.0.1:2")
--- a/edge/src/test/java/edgegateway/node/clients/RequestParserTest.java
+++ b/edge/src/test/java/edgegateway/node/clients/RequestParserTest.java
@@ -6,6 +6,7 @@
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import edgegateway.node.config.NodeConfig;
+import edgegateway.node.config.NodeConfigParser;
 import edgegateway.node.connections.BufferedBodies;
 import edgegateway.node.connections.ConnectionMetrics;
 import edgegateway.node.requests.InFlightRequest;
@@ -33,7 +34,7 @@
   }
 
   private static NodeConfig config() throws Exception {
-    return NodeConfig.parse(
+    return NodeConfigParser.parse(
         Files.readString(Path.of("src/test/resources/node.json"))
             .replace("DISCOVERY", "127.0.0.1:1")
             .replace("COUNTER", "127.0.0.1:2")
