--- a/edge/src/main/java/edgegateway/node/clients/ClientResponseWriter.java
+++ b/edge/src/main/java/edgegateway/node/clients/ClientResponseWriter.java
@@ -123,7 +123,7 @@
     } else if (lastWrite != null && !lastWrite.isDone() && session.isWithoutRequest()) {
       // The response is complete here, but its client reads it too slowly. A further request behind
       // it would be lost with the connection. Shown by
-      // LongBodyTest#aWholeAnswerThatIsNotTakenInItsTimeIsCutUnlessAnotherRequestIsBehindIt.
+      // LongBodyTest#aCompleteResponseUnreadAtItsDeadlineIsResetUnlessAnotherRequestIsQueued.
       ConnectionCloser.reset(channel);
     }
   }
--- a/edge/src/main/java/edgegateway/node/clients/ClientSession.java
+++ b/edge/src/main/java/edgegateway/node/clients/ClientSession.java
@@ -155,8 +155,8 @@
 
   /**
    * The client ended its side, or closed: there is no difference yet. What it sent whole is
-   * answered (ConnectionsTest#whoEndsItsSendingGetsItsAnswers); whether it closed is found out by
-   * probes (ConnectionsTest#whoClosesIsGoneAtOnce).
+   * answered (ConnectionsTest#aHalfClosedClientGetsItsResponses); whether it closed is found out by
+   * probes (ConnectionsTest#aClosedClientIsDetectedAtOnce).
    */
   private void inputEnded() {
     boolean uploadPending = upload != null && !upload.isComplete();
--- a/edge/src/main/java/edgegateway/node/clients/ConnectionCloser.java
+++ b/edge/src/main/java/edgegateway/node/clients/ConnectionCloser.java
@@ -47,8 +47,8 @@
    * Resets a connection, so that the client can tell at once that its response is cut off, whatever
    * it has still to read and however the response's end is marked. Past the TLS handler, whose
    * {@code close_notify} would be a proper end. Shown by
-   * LongBodyTest#anAnswerThatIsNotWholeInItsClientsTimeIsCutSoThatTheClientCanTell and
-   * TlsTest#anAnswerOfNoLengthThatIsCutEndsWithNoNotice.
+   * LongBodyTest#aResponseIncompleteAtItsDeadlineIsResetSoThatTheClientCanTell and
+   * TlsTest#aTruncatedResponseWithoutLengthEndsWithoutCloseNotify.
    */
   static void reset(Channel channel) {
     channel.config().setOption(ChannelOption.SO_LINGER, 0);
--- a/edge/src/main/java/edgegateway/node/connections/ConnectionAcceptor.java
+++ b/edge/src/main/java/edgegateway/node/connections/ConnectionAcceptor.java
@@ -186,7 +186,7 @@
 
   /**
    * The backlog is accepted right before the close, which would reset what is still in it. Shown by
-   * ConnectionsTest#aSurgeInADrainLeavesNobodyUnheard.
+   * ConnectionsTest#aSurgeInADrainAnswersEveryClient.
    */
   private void drainBacklogAndClose(long gradualUntil, Runnable onClosed) {
     List<SocketChannel> accepted = new ArrayList<>();
--- a/edge/src/main/java/edgegateway/node/upstream/UpstreamConnectionHandler.java
+++ b/edge/src/main/java/edgegateway/node/upstream/UpstreamConnectionHandler.java
@@ -195,7 +195,7 @@
     boolean accepted = bodyAccount.tryResize(body.capacity());
     // Not by the length that it announces: a faulty response may announce what never comes, and no
     // timeout binds one that is forwarded. Shown by
-    // LongBodyTest#anAnswerThatPromisesMoreThanItSendsIsNotPassedOn.
+    // LongBodyTest#aResponseShorterThanItsLengthIsNotForwarded.
     boolean tooLong = body.readableBytes() > UpstreamPool.MAX_BUFFERED_BODY_BYTES;
     if (body.isReadable() && (!accepted || tooLong)) {
       startForwarding(length);
--- a/edge/src/test/java/edgegateway/node/ClientDisconnectTest.java
+++ b/edge/src/test/java/edgegateway/node/ClientDisconnectTest.java
@@ -29,7 +29,7 @@
 @Timeout(60)
 class ClientDisconnectTest extends NodeTest {
   /** Beyond this an attempt for a client that left is a break. */
-  private static final long BREAK = TimeUnit.MILLISECONDS.toNanos(100);
+  private static final long MAX_DELAY_NANOS = TimeUnit.MILLISECONDS.toNanos(100);
 
   /**
    * What stands behind the beginning of the request: nothing, little, which is read on, or more
@@ -46,21 +46,21 @@
     LONG_BODY,
     CUT_LONG_BODY,
     CHUNKED_BODY,
-    OLD_BODY,
-    OLD_LONG_BODY
+    HTTP_1_0_BODY,
+    HTTP_1_0_LONG_BODY
   }
 
   /** The cases in which something was sent on for a client that had left. */
-  private final List<String> sentOn = new ArrayList<>();
+  private final List<String> forwardedAfterDisconnect = new ArrayList<>();
 
   @AfterEach
-  void nothingWasSentOn() {
-    assertEquals(List.of(), sentOn, "sent on for clients that had left");
+  void nothingWasForwardedAfterADisconnect() {
+    assertEquals(List.of(), forwardedAfterDisconnect, "sent on for clients that had left");
   }
 
   private void note(FakePeer.Message came, String wanted, Reading how, boolean reset) {
     if (came == null || !wanted.equals(came.headers().get("x-trace-id"))) {
-      sentOn.add(how + (reset ? " reset" : " closed"));
+      forwardedAfterDisconnect.add(how + (reset ? " reset" : " closed"));
     }
   }
 
@@ -138,19 +138,20 @@
           head(id, "HTTP/1.1", "Transfer-Encoding: chunked")
               + ("4e20\r\n" + "x".repeat(20_000) + "\r\n").repeat(25)
               + "0\r\n\r\n";
-      case OLD_BODY -> head(id, "HTTP/1.0", "Content-Length: 150000") + "x".repeat(150_000);
-      case OLD_LONG_BODY -> head(id, "HTTP/1.0", "Content-Length: 500000") + "x".repeat(500_000);
+      case HTTP_1_0_BODY -> head(id, "HTTP/1.0", "Content-Length: 150000") + "x".repeat(150_000);
+      case HTTP_1_0_LONG_BODY ->
+          head(id, "HTTP/1.0", "Content-Length: 500000") + "x".repeat(500_000);
     };
   }
 
-  private static long leave(Socket client, boolean reset) throws IOException {
+  private static long disconnect(Socket client, boolean reset) throws IOException {
     client.setSoLinger(reset, 0);
     client.close();
     return System.nanoTime();
   }
 
-  private static void awaitBreak(long left) {
-    while (System.nanoTime() - left <= BREAK) {
+  private static void awaitMaxDelay(long left) {
+    while (System.nanoTime() - left <= MAX_DELAY_NANOS) {
       Thread.onSpinWait();
     }
   }
@@ -174,7 +175,7 @@
         Socket second = client(node);
         ask(second, "t-left", how);
         awaitLog(node, "app.in_progress=2");
-        awaitBreak(leave(second, reset));
+        awaitMaxDelay(disconnect(second, reset));
         go.complete(null);
         assertEquals("held", FakePeer.read(first).body());
         awaitLog(node, "app.in_progress=0");
@@ -216,7 +217,7 @@
         counter.next();
         awaitLog(node, "app.in_progress=1");
         assertTrue(server.seen.isEmpty(), "sent on before the counter answered");
-        awaitBreak(leave(client, reset));
+        awaitMaxDelay(disconnect(client, reset));
         go.complete(null);
         awaitLog(node, "app.in_progress=0");
         Socket next = client(node);
@@ -241,7 +242,7 @@
       Socket first = server.accept();
       assertEquals("t-left", FakePeer.read(first).headers().get("x-trace-id"));
       Set<Integer> full = fill(server);
-      leave(first, true);
+      disconnect(first, true);
       awaitLog(node, "app.connections.archive_servers.opened=2");
       node.loop.submit(() -> {}).get();
       assertFree(node, server, full, client, reset, how);
@@ -274,7 +275,7 @@
       boolean reset,
       Reading how)
       throws Exception {
-    awaitBreak(leave(client, reset));
+    awaitMaxDelay(disconnect(client, reset));
     Socket late;
     do {
       late = server.accept();
@@ -306,7 +307,7 @@
    * both are read in one turn.
    */
   @Test
-  void noAttemptBeginsRightBehindAStandstillInWhichItsClientLeft() throws Exception {
+  void noAttemptBeginsRightAfterAnEventLoopStallInWhichItsClientLeft() throws Exception {
     for (boolean reset : new boolean[] {false, true}) {
       List<CompletableFuture<Void>> goes = new ArrayList<>();
       FakePeer server =
@@ -335,7 +336,7 @@
               still.join();
             });
         begun.join();
-        long left = leave(second, reset);
+        long left = disconnect(second, reset);
         CompletableFuture<Void> go;
         do {
           synchronized (goes) {
@@ -343,7 +344,7 @@
           }
         } while (go == null);
         go.complete(null);
-        awaitBreak(left);
+        awaitMaxDelay(left);
         still.complete(null);
         assertEquals("held", FakePeer.read(first).body());
         awaitLog(node, "app.in_progress=0");
@@ -358,7 +359,7 @@
 
   /** Who is there is served, however it is read, and is asked no more often than a client takes. */
   @Test
-  void whoIsStillThereIsServedThoughItIsNotRead() throws Exception {
+  void aClientThatIsPresentIsServedThoughItIsNotRead() throws Exception {
     for (Reading how :
         List.of(
             Reading.ON,
@@ -382,7 +383,7 @@
       Socket second = client(node);
       ask(second, "t-2", how);
       awaitLog(node, "app.in_progress=2");
-      awaitBreak(System.nanoTime());
+      awaitMaxDelay(System.nanoTime());
       go.complete(null);
       assertEquals("held", FakePeer.read(first).body());
       int lines = 0;
@@ -398,7 +399,7 @@
 
   /** A peer of HTTP/1.0 can't be asked: it gets a refusal, and nothing begins for it. */
   @Test
-  void anOldClientThatIsNotReadIsRefusedRatherThanSentOnBlindly() throws Exception {
+  void anHttp10ClientThatIsNotReadIsRejectedRatherThanForwardedBlindly() throws Exception {
     CompletableFuture<Void> go = new CompletableFuture<>();
     FakePeer server =
         peer(
@@ -411,9 +412,9 @@
     order(first, "t-1");
     server.next();
     Socket second = client(node);
-    ask(second, "t-2", Reading.OLD_LONG_BODY);
+    ask(second, "t-2", Reading.HTTP_1_0_LONG_BODY);
     awaitLog(node, "app.in_progress=2");
-    awaitBreak(System.nanoTime());
+    awaitMaxDelay(System.nanoTime());
     go.complete(null);
     assertEquals("held", FakePeer.read(first).body());
     assertEquals("503", status(FakePeer.read(second)));
--- a/edge/src/test/java/edgegateway/node/ConnectionsTest.java
+++ b/edge/src/test/java/edgegateway/node/ConnectionsTest.java
@@ -109,7 +109,7 @@
 
   /** Silent connections once took every place, or the place of whoever had been there longest. */
   @Test
-  void silentClientsGiveWayToOthersAndKeepNobodyOut() throws Exception {
+  void silentClientsAreEvictedForOthers() throws Exception {
     FakePeer server = peer(m -> m.answer(FakePeer.ok("", "x")));
     EdgeNode node = bounded("{\"clients\":16}", server);
     Socket lone = from(2, node);
@@ -163,7 +163,7 @@
   }
 
   @Test
-  void withoutAPlaceARequestIsRefusedAndHealthStillTold() throws Exception {
+  void overCapacityRequestsAreRejectedAndHealthChecksAnswered() throws Exception {
     CompletableFuture<Void> go = new CompletableFuture<>();
     FakePeer server =
         peer(
@@ -215,17 +215,17 @@
 
   /** Thousands at once: what was in hand is answered, and each newcomer is heard. */
   @Test
-  void aSurgeLeavesWhatIsInHandAndNobodyUnheard() throws Exception {
+  void aSurgeLosesNoRequestInFlightAndAnswersEveryClient() throws Exception {
     surge("calm");
   }
 
   @Test
-  void aSurgeInADrainLeavesNobodyUnheard() throws Exception {
+  void aSurgeInADrainAnswersEveryClient() throws Exception {
     surge("drain");
   }
 
   @Test
-  void aSurgeInAnUpgradeLeavesNobodyUnheard() throws Exception {
+  void aSurgeInAnUpgradeAnswersEveryClient() throws Exception {
     surge("upgrade");
   }
 
@@ -307,7 +307,7 @@
    * A client that ends its sending waits for its answer; one that is gone costs nobody more work.
    */
   @Test
-  void whoEndsItsSendingGetsItsAnswers() throws Exception {
+  void aHalfClosedClientGetsItsResponses() throws Exception {
     CompletableFuture<Void> go = new CompletableFuture<>();
     FakePeer server =
         peer(
@@ -352,7 +352,7 @@
   }
 
   @Test
-  void whoClosesIsGoneAtOnce() throws Exception {
+  void aClosedClientIsDetectedAtOnce() throws Exception {
     FakePeer server = peer(m -> {});
     EdgeNode node = node(server);
     Socket client = client(node);
@@ -416,7 +416,7 @@
   }
 
   @Test
-  void whoNeverReadsIsGivenUp() throws Exception {
+  void aClientThatNeverReadsIsTimedOut() throws Exception {
     byte[] body = new byte[65_000];
     FakePeer server =
         peer(m -> m.answer(FakePeer.ok("", new String(body, StandardCharsets.US_ASCII))));
@@ -434,7 +434,7 @@
   }
 
   @Test
-  void noCustomersBodiesCrowdOutAnothers() throws Exception {
+  void noCustomersBufferedBodiesExcludeAnothers() throws Exception {
     FakePeer server = peer(m -> m.answer(FakePeer.ok("", "x")));
     EdgeNode node = bounded("{\"held-bytes\":400000}", server);
     List<Socket> greedy = new ArrayList<>();
@@ -473,7 +473,7 @@
    * lost.
    */
   @Test
-  void answersThatFindNoRoomArePassedOnInPieces() throws Exception {
+  void responsesOverTheBufferCapacityAreStreamed() throws Exception {
     String body = "y".repeat(60_000);
     FakePeer server = peer(m -> m.answer(FakePeer.ok("", body)));
     EdgeNode node = bounded("{\"held-bytes\":131072}", server);
@@ -493,7 +493,7 @@
    * used no more.
    */
   @Test
-  void aSilentServersConnectionIsNotUsedAgain() throws Exception {
+  void aConnectionToAnUnresponsiveUpstreamIsNotReused() throws Exception {
     FakePeer silent =
         peer(
             m -> {
@@ -513,7 +513,7 @@
 
   /** One at its limit refuses further connections: requests go by those it has. */
   @Test
-  void aServerAtItsLimitServesByWhatItHas() throws Exception {
+  void anUpstreamAtItsConnectionLimitServesOnOpenConnections() throws Exception {
     ServerSocket listening = new ServerSocket(0, 1, InetAddress.getLoopbackAddress());
     toClose.add(listening);
     CompletableFuture<Void> closed = new CompletableFuture<>();
@@ -816,6 +816,8 @@
       }
       await(node, "connections.open", 0);
       await(node, "in_progress", 0);
+      // The last connection left the table in a task that releases its bytes a moment later.
+      node.loop.submit(() -> {}).get();
       for (String name :
           List.of("connections.idle", "connections.handshaking", "connections.held_bytes")) {
         assertEquals(0, figure(node, name), name);
--- a/edge/src/test/java/edgegateway/node/LongBodyTest.java
+++ b/edge/src/test/java/edgegateway/node/LongBodyTest.java
@@ -125,7 +125,7 @@
   }
 
   @Test
-  void aLongAnswerComesWholeInEachForm() throws Exception {
+  void aLongResponseIsForwardedWholeInEachFraming() throws Exception {
     byte[] chunked = chunked(BODY);
     for (String form :
         new String[] {
@@ -166,7 +166,7 @@
    * part of it.
    */
   @Test
-  void anAnswerThatPromisesMoreThanItSendsIsNotPassedOn() throws Exception {
+  void aResponseShorterThanItsLengthIsNotForwarded() throws Exception {
     String at =
         server(
             socket -> {
@@ -228,7 +228,7 @@
    * neither an end nor a break: for 8 s, or for good.
    */
   @Test
-  void anAnswerThatIsNotWholeInItsClientsTimeIsCutSoThatTheClientCanTell() throws Exception {
+  void aResponseIncompleteAtItsDeadlineIsResetSoThatTheClientCanTell() throws Exception {
     byte[] piece = new byte[20_000];
     FakePeer server =
         peer(
@@ -350,7 +350,7 @@
    * request would be lost.
    */
   @Test
-  void aWholeAnswerThatIsNotTakenInItsTimeIsCutUnlessAnotherRequestIsBehindIt() throws Exception {
+  void aCompleteResponseUnreadAtItsDeadlineIsResetUnlessAnotherRequestIsQueued() throws Exception {
     for (boolean behind : new boolean[] {false, true}) {
       EdgeNode node = start(hasty(member("s-0", "127.0.0.1:1", "Ready", 0)));
       EmbeddedChannel client =
@@ -403,7 +403,7 @@
 
   /** A client that does not read must not have the whole answer wait in memory. */
   @Test
-  void aSlowReaderHoldsItsServerBack() throws Exception {
+  void aSlowReaderSlowsItsUpstream() throws Exception {
     CompletableFuture<Integer> stuck = new CompletableFuture<>();
     String at =
         server(
@@ -429,7 +429,7 @@
   }
 
   @Test
-  void aLongRequestGoesOnWholeInEachForm() throws Exception {
+  void aLongRequestIsForwardedWholeInEachFraming() throws Exception {
     BlockingQueue<byte[]> came = new LinkedBlockingQueue<>();
     String at =
         server(
@@ -469,7 +469,7 @@
 
   /** A part of it was let go, so that no second server may get what would not be whole. */
   @Test
-  void aLongRequestThatWasPassedOnIsNotSentAgain() throws Exception {
+  void aForwardedLongRequestIsNotRetried() throws Exception {
     BlockingQueue<String> heads = new LinkedBlockingQueue<>();
     Script cut =
         socket -> {
@@ -549,7 +549,7 @@
 
   /** A second request on a connection that stops half-way once kept its place for good. */
   @Test
-  void whoStopsHalfWayThroughALaterRequestIsCutOff() throws Exception {
+  void aClientThatStallsInALaterRequestIsTimedOut() throws Exception {
     EdgeNode node = node(peer(m -> m.answer(FakePeer.ok("", "x"))));
     for (String part :
         new String[] {"GET /api HT", "POST /api HTTP/1.1\r\nContent-Length: 9\r\n\r\nha"}) {
--- a/edge/src/test/java/edgegateway/node/TlsTest.java
+++ b/edge/src/test/java/edgegateway/node/TlsTest.java
@@ -113,7 +113,7 @@
   }
 
   @Test
-  void aLongAnswerComesWhole() throws Exception {
+  void aLongResponseIsForwardedWhole() throws Exception {
     byte[] body = new byte[400_000];
     FakePeer server =
         peer(m -> m.answer(FakePeer.ok("", new String(body, StandardCharsets.US_ASCII))));
@@ -124,7 +124,7 @@
 
   /** A body of no length once ended with the notice, which is the end of a whole one. */
   @Test
-  void anAnswerOfNoLengthThatIsCutEndsWithNoNotice() throws Exception {
+  void aTruncatedResponseWithoutLengthEndsWithoutCloseNotify() throws Exception {
     FakePeer server =
         peer(m -> m.answer("HTTP/1.1 200 OK\r\nConnection: close\r\n\r\n" + "x".repeat(200_000)));
     EdgeNode node =
@@ -148,7 +148,7 @@
    * connection.
    */
   @Test
-  void whoCanNotShakeHandsCostsOneConnection() throws Exception {
+  void aFailedHandshakeCostsOneConnection() throws Exception {
     EdgeNode node = secured(2, peer(m -> m.answer(FakePeer.ok("", "x"))));
     SSLSocket well = connect(node);
     assertEquals("200", ask(well, "t-1"));
@@ -189,7 +189,7 @@
   }
 
   @Test
-  void moreThanMayRunAtOnceWaitTheirTurn() throws Exception {
+  void handshakesOverTheLimitAreQueued() throws Exception {
     EdgeNode node = secured(1, peer(m -> m.answer(FakePeer.ok("", "x"))));
     List<CompletableFuture<String>> all = new ArrayList<>();
     for (int i = 0; i < 12; i++) {
@@ -211,7 +211,7 @@
   }
 
   @Test
-  void whoEndsItsSendingGetsItsAnswer() throws Exception {
+  void aHalfClosedClientGetsItsResponse() throws Exception {
     CompletableFuture<Void> go = new CompletableFuture<>();
     FakePeer server =
         peer(
@@ -234,7 +234,7 @@
   }
 
   @Test
-  void whatCanNotBeUsedIsNamed() throws Exception {
+  void unusableCertificatesAreNamed() throws Exception {
     Path broken = folder.resolve("broken.pem");
     Files.writeString(broken, "-----BEGIN CERTIFICATE-----\nnonsense\n-----END CERTIFICATE-----\n");
     for (String settings :
--- a/edge/src/test/java/edgegateway/node/connections/BufferedBodiesTest.java
+++ b/edge/src/test/java/edgegateway/node/connections/BufferedBodiesTest.java
@@ -21,7 +21,7 @@
   }
 
   @Test
-  void oneCustomerAloneGetsTwoThirdsAndOthersStillSome() {
+  void oneCustomerGetsTwoThirdsAndOthersStillSome() {
     int bodies = 0;
     while (held.newBody(7).tryResize(BODY)) {
       bodies++;
@@ -34,7 +34,7 @@
   }
 
   @Test
-  void whatGrowsIsCountedAsItGrows() {
+  void aGrowingBodyIsCountedAsItGrows() {
     BufferedBodies.Body body = held.newBody(7);
     assertTrue(body.tryResize(512));
     assertTrue(body.tryResize(4_096));
@@ -47,7 +47,7 @@
   }
 
   @Test
-  void manySeeds() {
+  void capacityHoldsForManySeeds() {
     for (long seed = 1; seed <= 200; seed++) {
       SplittableRandom random = new SplittableRandom(seed);
       List<BufferedBodies.Body> bodies = new ArrayList<>();
--- a/edge/src/test/java/edgegateway/node/connections/ClientConnectionTableTest.java
+++ b/edge/src/test/java/edgegateway/node/connections/ClientConnectionTableTest.java
@@ -18,28 +18,28 @@
 /** The table of clients' connections, on a clock of its own. */
 class ClientConnectionTableTest {
   private static final long MS = 1_000_000L;
-  private final ConnectionMetrics counts = new ConnectionMetrics();
-  private final List<Held> ended = new ArrayList<>();
-  private boolean stepWanted;
+  private final ConnectionMetrics metrics = new ConnectionMetrics();
+  private final List<FakeClient> ended = new ArrayList<>();
+  private boolean evictionsScheduled;
   private long evictions;
   private final ClientConnectionTable table =
       new ClientConnectionTable(
           () -> {
-            assertFalse(stepWanted, "a step is wanted already");
-            stepWanted = true;
+            assertFalse(evictionsScheduled, "a step is wanted already");
+            evictionsScheduled = true;
           },
-          counts);
+          metrics);
   private long now = 5_000_000 * MS;
 
   /** A connection in memory. */
-  private final class Held implements TransportHandle {
+  private final class FakeClient implements TransportHandle {
     private final ClientConnection entry;
     private final int peer;
     private long restingSince = now;
     private boolean closed;
     private boolean busy;
 
-    Held(int peer) {
+    FakeClient(int peer) {
       this.peer = peer;
       entry = table.accept(now, address(peer), false, this);
     }
@@ -57,7 +57,7 @@
       assertFalse(closed, "closed twice");
       closed = true;
       ended.add(this);
-      if (figures().get("evicted") > evictions) {
+      if (metricValues().get("evicted") > evictions) {
         evictions++;
         assertTrue(
             now - restingSince >= 2_000 * MS, "evicted after " + (now - restingSince) / MS + " ms");
@@ -70,83 +70,84 @@
     return new InetSocketAddress("10.0." + peer / 256 + "." + peer % 256, 1000);
   }
 
-  private void bound(int clients, int lane) {
+  private void applyBudget(int clients, int lane) {
     table.applyBudget(
         now, new DescriptorBudget(clients, lane, 10, 10, 4, 1 << 20, 75_000 * MS, List.of()));
   }
 
   private void pass(long ms) {
     now += ms * MS;
-    while (stepWanted) {
-      stepWanted = false;
+    while (evictionsScheduled) {
+      evictionsScheduled = false;
       table.evictSelected(now);
     }
   }
 
-  private Map<String, Long> figures() {
+  private Map<String, Long> metricValues() {
     Map<String, Long> figures = new TreeMap<>();
-    counts.forEach(figures::put);
+    metrics.forEach(figures::put);
     return figures;
   }
 
   @Test
-  void whileThereIsRoomNobodyIsBounded() {
-    bound(100, 8);
+  void connectionsWithinCapacityAreAllAccepted() {
+    applyBudget(100, 8);
     for (int i = 0; i < 100; i++) {
-      assertFalse(new Held(1).entry.isOverCapacity());
+      assertFalse(new FakeClient(1).entry.isOverCapacity());
     }
     assertEquals(100, table.openCount());
     assertTrue(ended.isEmpty());
   }
 
   @Test
-  void thePeerWithTheMostGivesUpItsLongestIdle() {
-    bound(10, 4);
-    List<Held> greedy = new ArrayList<>();
-    Held lone = new Held(2);
+  void thePeerWithTheMostConnectionsLosesItsLongestIdle() {
+    applyBudget(10, 4);
+    List<FakeClient> greedy = new ArrayList<>();
+    FakeClient lone = new FakeClient(2);
     lone.serve();
     for (int i = 0; i < 9; i++) {
       pass(1);
-      greedy.add(new Held(1));
+      greedy.add(new FakeClient(1));
       greedy.get(i).serve();
     }
     greedy.get(0).serve();
     pass(2_000);
-    Held newcomer = new Held(3);
+    FakeClient newcomer = new FakeClient(3);
     assertFalse(newcomer.entry.isOverCapacity());
     pass(1);
     assertEquals(
         List.of(greedy.get(1)), ended, "not the longest idle of all, nor one that was used since");
-    assertEquals(1L, figures().get("evicted"));
+    assertEquals(1L, metricValues().get("evicted"));
   }
 
   @Test
-  void nothingIsClosedBeforeItHasBeenIdleForTwoSeconds() {
-    bound(10, 4);
+  void noConnectionIsEvictedBeforeTwoSecondsIdle() {
+    applyBudget(10, 4);
     for (int i = 0; i < 10; i++) {
-      new Held(1).serve();
+      new FakeClient(1).serve();
     }
     pass(1_999);
-    assertFalse(new Held(2).entry.isOverCapacity(), "who has fewer is served beyond the bound");
-    assertTrue(new Held(1).entry.isOverCapacity(), "who has the most is turned away");
+    assertFalse(
+        new FakeClient(2).entry.isOverCapacity(), "who has fewer is served beyond the bound");
+    assertTrue(new FakeClient(1).entry.isOverCapacity(), "who has the most is turned away");
     pass(0);
     assertTrue(ended.isEmpty());
     pass(1);
-    assertFalse(new Held(1).entry.isOverCapacity());
+    assertFalse(new FakeClient(1).entry.isOverCapacity());
     pass(0);
     assertEquals(2, ended.size());
   }
 
   @Test
   void aRequestThatCrossesAnEvictionIsKept() {
-    bound(2, 2);
-    Held first = new Held(1);
+    applyBudget(2, 2);
+    FakeClient first = new FakeClient(1);
     first.serve();
     pass(1);
-    Held second = new Held(1);
+    FakeClient second = new FakeClient(1);
     second.serve();
     pass(2_500);
-    assertFalse(new Held(2).entry.isOverCapacity());
+    assertFalse(new FakeClient(2).entry.isOverCapacity());
     // It was chosen, and its request comes before its turn.
     first.entry.headReceived(now);
     first.entry.requestReceived();
@@ -156,20 +157,20 @@
   }
 
   @Test
-  void silentAndSlowNewcomersCanNotKeepOthersOut() {
-    bound(20, 8);
+  void silentAndSlowClientsCannotExcludeOthers() {
+    applyBudget(20, 8);
     for (int i = 0; i < 20; i++) {
-      Held silent = new Held(1);
+      FakeClient silent = new FakeClient(1);
       if (i % 2 == 0) {
         silent.entry.bytesReceived(now, 0);
       }
     }
     for (int i = 0; i < 40; i++) {
-      new Held(1);
+      new FakeClient(1);
     }
     int served = 0;
     for (int peer = 2; peer < 6; peer++) {
-      Held other = new Held(peer);
+      FakeClient other = new FakeClient(peer);
       served += other.entry != null && !other.entry.isOverCapacity() ? 1 : 0;
     }
     assertEquals(4, served);
@@ -179,47 +180,47 @@
   }
 
   @Test
-  void oneFrontHasAllPlacesAndIsTurnedAwayBeyond() {
-    bound(10, 6);
+  void onePeerMayUseAllPlacesAndIsRejectedBeyond() {
+    applyBudget(10, 6);
     for (int i = 0; i < 10; i++) {
-      Held held = new Held(1);
+      FakeClient held = new FakeClient(1);
       held.entry.headReceived(now);
       held.entry.requestReceived();
       held.busy = true;
     }
-    Held away = new Held(1);
+    FakeClient away = new FakeClient(1);
     assertTrue(away.entry.isOverCapacity());
     assertTrue(away.entry.shouldCloseAfterResponse());
-    Held second = new Held(1);
+    FakeClient second = new FakeClient(1);
     assertNotNull(second.entry);
     pass(1);
-    assertNotNull(new Held(1).entry);
+    assertNotNull(new FakeClient(1).entry);
     assertEquals(List.of(away), ended, "two thirds of the lane stay for others");
     second.entry.headReceived(now);
     second.entry.requestReceived();
     second.busy = true;
     pass(501);
     table.enforceTimeouts(now);
-    assertEquals(2L, figures().get("timed_out.crowded"));
-    assertEquals(3L, figures().get("refused"));
+    assertEquals(2L, metricValues().get("timed_out.crowded"));
+    assertEquals(3L, metricValues().get("refused"));
   }
 
   @Test
-  void timesAreKept() {
-    bound(100, 8);
-    Held silent = new Held(1);
-    Held slow = new Held(2);
+  void eachStateTimesOutInItsTime() {
+    applyBudget(100, 8);
+    FakeClient silent = new FakeClient(1);
+    FakeClient slow = new FakeClient(2);
     slow.entry.bytesReceived(now, 0);
-    Held body = new Held(3);
+    FakeClient body = new FakeClient(3);
     body.entry.headReceived(now);
-    Held unread = new Held(4);
+    FakeClient unread = new FakeClient(4);
     unread.serve();
     unread.entry.writeStarted(now);
-    Held idle = new Held(5);
+    FakeClient idle = new FakeClient(5);
     idle.serve();
-    Held shaking = new Held(6);
-    Held tls = tls(7);
-    Held busy = new Held(8);
+    FakeClient shaking = new FakeClient(6);
+    FakeClient tls = tls(7);
+    FakeClient busy = new FakeClient(8);
     busy.entry.headReceived(now);
     busy.entry.requestReceived();
     busy.busy = true;
@@ -228,9 +229,9 @@
     Map<String, Long> at = new HashMap<>();
     while (now < began + 80_000 * MS) {
       now += 50 * MS;
-      Map<String, Long> before = figures();
+      Map<String, Long> before = metricValues();
       table.enforceTimeouts(now);
-      figures()
+      metricValues()
           .forEach(
               (name, value) -> {
                 if (value > before.get(name) && name.startsWith("timed")) {
@@ -256,23 +257,23 @@
         at);
   }
 
-  private Held tls(int peer) {
-    Held[] made = new Held[1];
-    Held held = new Held(peer);
+  private FakeClient tls(int peer) {
+    FakeClient[] made = new FakeClient[1];
+    FakeClient held = new FakeClient(peer);
     held.entry.closed();
     held.closed = true;
     ClientConnection entry = table.accept(now, address(peer), true, () -> made[0].closed = true);
     made[0] = held;
     held.closed = false;
-    assertEquals(1L, figures().get("handshaking"));
+    assertEquals(1L, metricValues().get("handshaking"));
     assertNotNull(entry);
     return held;
   }
 
   @Test
-  void aSteadyBodyHasAllTheTimeItNeeds() {
-    bound(10, 4);
-    Held steady = new Held(1);
+  void aBodyAtItsRateNeverTimesOut() {
+    applyBudget(10, 4);
+    FakeClient steady = new FakeClient(1);
     steady.entry.headReceived(now);
     for (int i = 0; i < 100; i++) {
       pass(100);
@@ -283,23 +284,23 @@
   }
 
   @Test
-  void aDrainEndsThoseBetweenRequestsSomeAtATime() {
-    bound(100, 8);
+  void aDrainClosesIdleConnectionsSomeAtATime() {
+    applyBudget(100, 8);
     for (int i = 0; i < 20; i++) {
-      new Held(i).serve();
+      new FakeClient(i).serve();
     }
-    Held coming = new Held(50);
+    FakeClient coming = new FakeClient(50);
     coming.entry.bytesReceived(now, 0);
     table.setDraining(true);
     table.closeIdleConnections();
-    stepWanted = false;
+    evictionsScheduled = false;
     table.evictSelected(now);
     assertEquals(4, ended.size());
-    assertTrue(stepWanted);
+    assertTrue(evictionsScheduled);
     pass(0);
     assertEquals(20, ended.size());
     assertFalse(coming.closed);
-    Held again = new Held(60);
+    FakeClient again = new FakeClient(60);
     table.setDraining(false);
     pass(1_000);
     table.enforceTimeouts(now);
@@ -307,11 +308,11 @@
   }
 
   @Test
-  void aSmallerBoundIsReachedAsConnectionsBecomeIdle() {
-    bound(20, 4);
-    List<Held> all = new ArrayList<>();
+  void aSmallerBudgetIsReachedAsConnectionsBecomeIdle() {
+    applyBudget(20, 4);
+    List<FakeClient> all = new ArrayList<>();
     for (int i = 0; i < 20; i++) {
-      Held held = new Held(1);
+      FakeClient held = new FakeClient(1);
       held.serve();
       all.add(held);
       held.entry.headReceived(now);
@@ -322,7 +323,7 @@
       }
     }
     pass(2_001);
-    bound(10, 2);
+    applyBudget(10, 2);
     pass(1);
     assertEquals(15, table.openCount());
     assertTrue(all.get(0).entry.shouldCloseAfterResponse(), "its answer says that it ends");
@@ -335,26 +336,26 @@
   }
 
   @Test
-  void withoutDescriptorsTheTableKeepsBelowWhatItHad() {
-    bound(100, 8);
+  void exhaustedDescriptorsLowerTheCapacityForAWhile() {
+    applyBudget(100, 8);
     for (int i = 0; i < 40; i++) {
-      new Held(1).serve();
+      new FakeClient(1).serve();
     }
     pass(2_100);
     assertTrue(table.descriptorsExhausted(now));
     assertFalse(table.descriptorsExhausted(now), "told once");
     pass(1);
     assertEquals(32, table.openCount());
-    Held first = new Held(2);
+    FakeClient first = new FakeClient(2);
     pass(1);
     assertNotNull(first.entry);
     assertEquals(32, table.openCount(), "one gives way for it");
     // Later the bound goes up again.
-    for (int i = 0; i < 10_000 && !stepWanted; i++) {
+    for (int i = 0; i < 10_000 && !evictionsScheduled; i++) {
       now += 200 * MS;
       first.serve();
       table.enforceTimeouts(now);
-      stepWanted = false;
+      evictionsScheduled = false;
     }
     assertTrue(table.descriptorsExhausted(now), "the lack is over, and another is news");
   }
@@ -364,7 +365,7 @@
    * left.
    */
   @Test
-  void manySeeds() {
+  void invariantsHoldForManySeeds() {
     for (long seed = 1; seed <= 200; seed++) {
       try {
         new ClientConnectionTableTest().play(seed);
@@ -378,22 +379,22 @@
     SplittableRandom random = new SplittableRandom(seed);
     int most = random.nextInt(4, 40);
     int lane = random.nextInt(2, 8);
-    bound(most, lane);
-    List<Held> open = new ArrayList<>();
+    applyBudget(most, lane);
+    List<FakeClient> open = new ArrayList<>();
     boolean shrunk = false;
     for (int i = 0; i < 3_000; i++) {
       pass(random.nextInt(20) == 0 ? random.nextInt(1_500) : random.nextInt(30));
       // Some peers come far more often than others.
       int peer = (int) (10 * Math.pow(random.nextDouble(), 3));
       if (random.nextInt(3) > 0) {
-        Held held = new Held(peer);
+        FakeClient held = new FakeClient(peer);
         if (held.entry != null) {
           open.add(held);
         }
       }
       open.removeIf(held -> held.closed);
       if (!open.isEmpty()) {
-        Held held = open.get(random.nextInt(open.size()));
+        FakeClient held = open.get(random.nextInt(open.size()));
         switch (random.nextInt(5)) {
           case 0 -> held.entry.bytesReceived(now, 0);
           case 1 -> {
@@ -427,7 +428,7 @@
       assertEquals(
           open.stream().filter(held -> !held.closed).count(), table.openCount(), "step " + i);
     }
-    for (Held held : List.copyOf(open)) {
+    for (FakeClient held : List.copyOf(open)) {
       if (!held.closed) {
         held.busy = false;
         held.close();
@@ -435,7 +436,7 @@
     }
     assertEquals(0, table.openCount());
     for (String name : List.of("open", "idle", "handshaking")) {
-      assertEquals(0L, figures().get(name), name);
+      assertEquals(0L, metricValues().get(name), name);
     }
   }
 }
--- a/edge/src/test/java/edgegateway/node/connections/DescriptorBudgetTest.java
+++ b/edge/src/test/java/edgegateway/node/connections/DescriptorBudgetTest.java
@@ -9,7 +9,7 @@
 /** How descriptors are shared out. */
 class DescriptorBudgetTest {
   @Test
-  void allProcessesTogetherKeepToTheDescriptors() {
+  void allProcessesTogetherStayWithinTheDescriptors() {
     for (int sockets = 256; sockets <= 4_096; sockets += 16) {
       for (int processes = 1; processes <= 2; processes++) {
         DescriptorBudget budget =
@@ -33,14 +33,14 @@
   }
 
   @Test
-  void oneArchiveServerGetsItsPartOfTheConnections() {
+  void oneUpstreamGetsItsPartOfTheConnections() {
     assertEquals(64, DescriptorBudget.of(ConnectionLimits.NONE, 256, 1, 1).perUpstream());
     assertEquals(5, DescriptorBudget.of(ConnectionLimits.NONE, 256, 1, 50).perUpstream());
     assertEquals(4, DescriptorBudget.of(ConnectionLimits.NONE, 256, 1, 200).perUpstream());
   }
 
   @Test
-  void whatIsSetHigherThanThereIsIsClampedAndTold() {
+  void limitsOverTheBudgetAreClampedAndReported() {
     DescriptorBudget budget =
         DescriptorBudget.of(
             new ConnectionLimits(5_000, 5_000, 5_000, 1 << 30, 3_000_000_000L), 256, 1, 10);
--- a/edge/src/test/java/edgegateway/node/connections/HandshakeQueueTest.java
+++ b/edge/src/test/java/edgegateway/node/connections/HandshakeQueueTest.java
@@ -22,7 +22,7 @@
   }
 
   @Test
-  void soManyRunAndSoManyWaitAndNoMore() {
+  void handshakesOverTheLimitAreQueuedAndThenRejected() {
     HandshakeQueue handshakes = new HandshakeQueue(2);
     List<One> all = new ArrayList<>();
     for (int i = 0; i < 40; i++) {
@@ -39,7 +39,7 @@
   }
 
   @Test
-  void manySeeds() {
+  void limitsHoldForManySeeds() {
     for (long seed = 1; seed <= 100; seed++) {
       SplittableRandom random = new SplittableRandom(seed);
       int most = random.nextInt(1, 6);
