--- a/edge/src/main/java/edgegateway/node/upstream/UpstreamConnectionHandler.java
+++ b/edge/src/main/java/edgegateway/node/upstream/UpstreamConnectionHandler.java
@@ -295,7 +295,7 @@
 
   /**
    * The connection broke, or its response can't be read: what has come of it is no complete
-   * response. Shown by RaceConditionsTest#aResponseCutAtAnyByteIsNoResponse.
+   * response. Shown by ResponseEndTest#aResponseCutAtAnyByteIsNoResponse.
    */
   private void fail() {
     UpstreamAttempt broken = attempt;
--- a/edge/src/test/java/edgegateway/node/RaceConditionsTest.java
+++ b/edge/src/test/java/edgegateway/node/RaceConditionsTest.java
@@ -1,12 +1,14 @@
 package edgegateway.node;
 
+import static edgegateway.node.DiscoveryMessages.WATCH;
+import static edgegateway.node.DiscoveryMessages.chunk;
+import static edgegateway.node.DiscoveryMessages.list;
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
 import static org.junit.jupiter.api.Assertions.assertThrows;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import edgegateway.node.config.NodeConfig;
-import edgegateway.protocol.Json;
 import io.netty.buffer.Unpooled;
 import io.netty.channel.embedded.EmbeddedChannel;
 import java.io.IOException;
@@ -23,7 +25,6 @@
 import java.util.concurrent.CompletableFuture;
 import java.util.concurrent.LinkedBlockingQueue;
 import java.util.concurrent.TimeUnit;
-import java.util.concurrent.TimeoutException;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
 
@@ -33,27 +34,8 @@
  */
 @Timeout(60)
 class RaceConditionsTest extends NodeTest {
-  private static final String WATCH = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n";
-
-  private static String list(long revision, boolean whole, String... members) {
-    return "{\"revision\":"
-        + revision
-        + ",\"complete\":"
-        + whole
-        + ",\"members\":["
-        + String.join(",", members)
-        + "]}\n";
-  }
-
-  private static String chunk(String text) {
-    return Integer.toHexString(text.getBytes(StandardCharsets.UTF_8).length)
-        + "\r\n"
-        + text
-        + "\r\n";
-  }
-
-  /** Discovery that tells these, each when it is put here. */
-  private BlockingQueue<String> telling() throws IOException {
+  /** Discovery that sends these, each when it is put here. */
+  private BlockingQueue<String> discoverySending() throws IOException {
     BlockingQueue<String> lines = new LinkedBlockingQueue<>();
     discovery =
         peer(
@@ -67,7 +49,7 @@
   }
 
   /** One connection to each archive server: the next attempt at one has to wait. */
-  private EdgeNode narrow(String... members) throws Exception {
+  private EdgeNode nodeWithOneConnectionPerEndpoint(String... members) throws Exception {
     return start(
         config(members)
             .replace("\"counter\"", "\"connections\":{\"per-archive-server\":1},\"counter\""));
@@ -91,11 +73,11 @@
   /** Chosen before the change, it once went out when a connection was free, however long after. */
   @Test
   void anAttemptWaitingForATerminatingEndpointGoesElsewhere() throws Exception {
-    BlockingQueue<String> lines = telling();
+    BlockingQueue<String> lines = discoverySending();
     CompletableFuture<Void> go = new CompletableFuture<>();
     FakePeer leaves = held(go);
     FakePeer stays = peer(m -> m.answer(FakePeer.ok("", "other")));
-    EdgeNode node = narrow(member("s-0", leaves.address(), "Ready", 0));
+    EdgeNode node = nodeWithOneConnectionPerEndpoint(member("s-0", leaves.address(), "Ready", 0));
     Socket first = client(node);
     order(first, "t-1");
     leaves.next();
@@ -130,7 +112,7 @@
   void aWaitingAttemptIsNotSentForADisconnectedClient() throws Exception {
     CompletableFuture<Void> go = new CompletableFuture<>();
     FakePeer server = held(go);
-    EdgeNode node = narrow(member("s-0", server.address(), "Ready", 0));
+    EdgeNode node = nodeWithOneConnectionPerEndpoint(member("s-0", server.address(), "Ready", 0));
     Socket first = client(node);
     order(first, "t-1");
     server.next();
@@ -161,14 +143,14 @@
   void anHttp10ClientThatHalfClosesGetsTheResponseInFlightAndNoFurtherAttempt() throws Exception {
     CompletableFuture<Void> go = new CompletableFuture<>();
     FakePeer server = held(go);
-    EdgeNode node = narrow(member("s-0", server.address(), "Ready", 0));
+    EdgeNode node = nodeWithOneConnectionPerEndpoint(member("s-0", server.address(), "Ready", 0));
     Socket first = client(node);
-    oldOrder(first, "t-1");
+    orderByHttp10(first, "t-1");
     server.next();
     first.shutdownOutput();
     awaitLog(node, "app.connections.half_closed=1");
     Socket second = client(node);
-    oldOrder(second, "t-2");
+    orderByHttp10(second, "t-2");
     awaitLog(node, "app.in_progress=2");
     second.shutdownOutput();
     assertEquals("503", status(FakePeer.read(second)));
@@ -187,9 +169,9 @@
               go.join();
               m.answer("HTTP/1.1 500 No\r\nContent-Length: 0\r\n\r\n");
             });
-    EdgeNode node = narrow(member("s-0", server.address(), "Ready", 0));
+    EdgeNode node = nodeWithOneConnectionPerEndpoint(member("s-0", server.address(), "Ready", 0));
     Socket client = client(node);
-    oldOrder(client, "t-1");
+    orderByHttp10(client, "t-1");
     server.next();
     client.shutdownOutput();
     awaitLog(node, "app.connections.half_closed=1");
@@ -198,7 +180,7 @@
     assertTrue(server.seen.isEmpty());
   }
 
-  private static void oldOrder(Socket to, String id) throws IOException {
+  private static void orderByHttp10(Socket to, String id) throws IOException {
     StringBuilder text = new StringBuilder("POST /api HTTP/1.0\r\n");
     headers(id, "order", "20000")
         .forEach((name, value) -> text.append(name).append(": ").append(value).append("\r\n"));
@@ -267,21 +249,14 @@
             config(
                 member("s-0", "127.0.0.1:1", "Ready", 0),
                 member("s-1", "127.0.0.1:2", "Ready", 0)));
-    List<Boolean> others = new ArrayList<>();
+    List<Boolean> otherWasOpen = new ArrayList<>();
     EmbeddedChannel[] servers = new EmbeddedChannel[2];
     node.loop
         .submit(
             () -> {
               for (int i = 0; i < 2; i++) {
                 int other = 1 - i;
-                servers[i] =
-                    new EmbeddedChannel(node.upstreamPool.handlers()) {
-                      @Override
-                      public void handleOutboundMessage(Object message) {
-                        others.add(servers[other].isActive());
-                        super.handleOutboundMessage(message);
-                      }
-                    };
+                servers[i] = server(node, () -> otherWasOpen.add(servers[other].isActive()));
               }
               node.upstreamPool.adopt("s-0", servers[0]);
               node.upstreamPool.adopt("s-1", servers[1]);
@@ -300,61 +275,19 @@
         .get();
     assertEquals(
         List.of(true, false),
-        others.stream().distinct().toList(),
+        otherWasOpen.stream().distinct().toList(),
         "the second attempt began before the first was ended");
   }
 
-  /**
-   * The list as last had may name a server that was told to leave since: the process is told from
-   * its first moment.
-   */
-  @Test
-  void noClientIsServedByTheCachedListBeforeDiscoveryResponds() throws Exception {
-    CompletableFuture<Void> go = new CompletableFuture<>();
-    FakePeer leaves = peer(m -> m.answer(FakePeer.ok("", "leaves")));
-    FakePeer stays = peer(m -> m.answer(FakePeer.ok("", "stays")));
-    String told =
-        list(
-            6,
-            true,
-            member("s-0", leaves.address(), "Terminating", 0),
-            member("s-1", stays.address(), "Ready", 0));
-    discovery =
-        peer(
-            m -> {
-              go.join();
-              m.answer(WATCH + chunk(told));
-            });
-    ServerSocket free = new ServerSocket(0, 1, InetAddress.getLoopbackAddress());
-    int port = free.getLocalPort();
-    free.close();
-    EdgeNode node =
-        new EdgeNode(
-            NodeConfig.parse(
-                config(member("s-0", leaves.address(), "Ready", 0))
-                    .replace("127.0.0.1:0", "127.0.0.1:" + port)),
-            null);
-    toClose.add(node);
-    CompletableFuture<Void> started =
-        CompletableFuture.runAsync(
-            () -> {
-              try {
-                node.start();
-              } catch (Exception e) {
-                throw new IllegalStateException(e);
-              }
-            });
-    discovery.next();
-    assertThrows(
-        TimeoutException.class,
-        () -> started.get(200, TimeUnit.MILLISECONDS),
-        "it has begun to serve");
-    assertThrows(IOException.class, () -> new Socket("127.0.0.1", port).close());
-    go.complete(null);
-    started.get();
-    Socket client = client(node);
-    order(client, "t-1");
-    assertEquals("stays", FakePeer.read(client).body());
+  /** A connection in memory that tells when something is written to it. */
+  private static EmbeddedChannel server(EdgeNode node, Runnable onWrite) {
+    return new EmbeddedChannel(node.upstreamPool.handlers()) {
+      @Override
+      public void handleOutboundMessage(Object message) {
+        onWrite.run();
+        super.handleOutboundMessage(message);
+      }
+    };
   }
 
   /**
@@ -390,172 +323,4 @@
     new ProcessBuilder("kill", "-TERM", Long.toString(process.pid())).start().waitFor();
     assertEquals(0, process.waitFor());
   }
-
-  /**
-   * A close over what the client sent in that moment once took back what it had not read of its
-   * answer.
-   */
-  @Test
-  void aResponseIsCompleteThoughMoreArrivesDuringTheClose() throws Exception {
-    // All of it is with the system at once, and little of it with the client.
-    String body = "x".repeat(8_000);
-    BlockingQueue<CompletableFuture<Void>> goes = new LinkedBlockingQueue<>();
-    BlockingQueue<Integer> answered = new LinkedBlockingQueue<>();
-    FakePeer server =
-        peer(
-            m -> {
-              goes.take().join();
-              m.answer(FakePeer.ok("", body));
-              answered.add(1);
-            });
-    EdgeNode node = node(server);
-    node.drain(true).get();
-    for (int round = 0; round < 30; round++) {
-      Socket client = new Socket();
-      client.setReceiveBufferSize(2_048);
-      client.connect(node.address());
-      client.setSoTimeout(20_000);
-      toClose.add(client);
-      order(client, "t-" + round);
-      assertEquals("t-" + round, server.next().headers().get("x-trace-id"));
-      CompletableFuture<Void> busy = new CompletableFuture<>();
-      CompletableFuture<Void> go = new CompletableFuture<>();
-      node.loop.execute(busy::join);
-      // Both wait at the sockets when the loop goes on: the answer and what comes behind the
-      // request.
-      goes.add(go);
-      go.complete(null);
-      answered.take();
-      client.getOutputStream().write("GET /api HTTP/1.1\r\nHost".getBytes(StandardCharsets.UTF_8));
-      busy.complete(null);
-      String all = new String(client.getInputStream().readAllBytes(), StandardCharsets.UTF_8);
-      assertTrue(
-          all.startsWith("HTTP/1.1 200") && all.endsWith(body),
-          "round " + round + ": cut after " + all.length() + " bytes");
-      client.close();
-    }
-    assertTrue(server.seen.isEmpty(), "what came after the last answer was sent on");
-  }
-
-  /** Its end was the node's own doing, and no end of the answer. */
-  @Test
-  void aStalledResponseWithoutLengthIsNotForwardedAsComplete() throws Exception {
-    FakePeer server =
-        peer(m -> m.answer("HTTP/1.1 200 OK\r\nConnection: close\r\n\r\n" + "x".repeat(200_000)));
-    EdgeNode node = node(server);
-    Socket client = client(node);
-    write(client, "GET /api", headers("t-1", "lookup", "50000"), "");
-    String all = new String(client.getInputStream().readAllBytes(), StandardCharsets.UTF_8);
-    assertTrue(all.contains("chunked"), all.substring(0, 200));
-    assertFalse(all.endsWith("0\r\n\r\n"), "a part was passed on as the whole");
-  }
-
-  /**
-   * Whatever its form: a close before its end, or a reset anywhere, is no end, and an unsafe
-   * request is not sent again.
-   */
-  @Test
-  void aResponseCutAtAnyByteIsNoResponse() throws Exception {
-    List<String> forms =
-        List.of(
-            "HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\nbody",
-            "HTTP/1.1 200 OK\r\nConnection: close\r\n\r\nbody",
-            "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n4\r\nbody\r\n0\r\n\r\n");
-    BlockingQueue<String> parts = new LinkedBlockingQueue<>();
-    BlockingQueue<Boolean> resets = new LinkedBlockingQueue<>();
-    FakePeer server =
-        peer(
-            m -> {
-              m.answer(parts.take());
-              m.socket().setSoLinger(resets.take(), 0);
-              m.socket().close();
-            });
-    EdgeNode node = node(server);
-    Socket client = client(node);
-    for (String form : forms) {
-      int head = form.indexOf("\r\n\r\n") + 4;
-      for (int cut = 0; cut <= form.length(); cut++) {
-        for (boolean reset : new boolean[] {false, true}) {
-          // A body of no length ends with its connection, and a reset may come before or behind
-          // what it resets.
-          boolean whole = !reset && cut == form.length();
-          boolean part =
-              !reset && form.contains("Connection") && cut >= head && cut < form.length();
-          if (part || reset && cut == form.length()) {
-            continue;
-          }
-          parts.add(form.substring(0, cut));
-          resets.add(reset);
-          String id = "t-" + forms.indexOf(form) + "-" + cut + reset;
-          write(client, "POST /api", headers(id, "strict", "20000"), "book");
-          FakePeer.Message answer = FakePeer.read(client);
-          assertEquals(whole ? "200" : "502", status(answer), id);
-          assertEquals(whole ? "body" : "", answer.body(), id);
-          assertEquals(id, server.next().headers().get("x-trace-id"));
-          assertTrue(server.seen.isEmpty(), "sent again: " + id);
-          // It is closed behind a whole answer: what is written before that is seen ends as a
-          // reset, unread.
-          ConnectionsTest.await(node, "connections.archive_servers.open", 0);
-        }
-      }
-    }
-  }
-
-  /**
-   * Lists of any layout, cut anywhere; a watch that hangs, and one that ends in the midst of a
-   * list, bind nobody.
-   */
-  @Test
-  void listsMayBeIndentedAndSplitAndWatchesMayHang() throws Exception {
-    FakePeer server = peer(m -> m.answer(FakePeer.ok("", "first")));
-    FakePeer second = peer(m -> m.answer(FakePeer.ok("", "second")));
-    BlockingQueue<Integer> calls = new LinkedBlockingQueue<>(List.of(0, 1, 2));
-    String whole =
-        Json.read(list(6, true, member("s-0", server.address(), "Ready", 0))).toPrettyString()
-            + "\n";
-    String change =
-        Json.read(
-                list(
-                    7,
-                    false,
-                    member("s-0", server.address(), "Terminating", 0),
-                    member("s-1", second.address(), "Ready", 0)))
-            .toPrettyString()
-            .replace("\n", "\r\n");
-    CompletableFuture<Void> go = new CompletableFuture<>();
-    discovery =
-        peer(
-            m -> {
-              Integer call = calls.poll();
-              if (call != null && call == 0) {
-                return;
-              }
-              m.answer(WATCH);
-              if (call != null && call == 1) {
-                m.answer(chunk(whole.substring(0, whole.length() / 2)));
-                m.socket().close();
-                return;
-              }
-              for (byte next : whole.getBytes(StandardCharsets.UTF_8)) {
-                m.answer(chunk(String.valueOf((char) next)));
-              }
-              go.join();
-              for (byte next : change.getBytes(StandardCharsets.UTF_8)) {
-                m.answer(chunk(String.valueOf((char) next)));
-              }
-            });
-    EdgeNode node = start(config());
-    Socket client = client(node);
-    String body;
-    do {
-      order(client, "t-" + System.nanoTime());
-      body = FakePeer.read(client).body();
-    } while (!body.equals("first"));
-    go.complete(null);
-    do {
-      order(client, "t-" + System.nanoTime());
-      body = FakePeer.read(client).body();
-    } while (!body.equals("second"));
-    assertTrue(calls.isEmpty());
-  }
 }
