--- a/edge/src/main/java/edgegateway/node/upstream/UpstreamConnectionHandler.java
+++ b/edge/src/main/java/edgegateway/node/upstream/UpstreamConnectionHandler.java
@@ -5,14 +5,12 @@
 import edgegateway.node.connections.TransportHandle;
 import edgegateway.node.connections.UpstreamConnection;
 import edgegateway.node.requests.BodyRelay;
-import edgegateway.node.requests.InFlightRequest;
 import edgegateway.policy.api.Outcome;
 import io.netty.buffer.ByteBuf;
 import io.netty.buffer.Unpooled;
 import io.netty.channel.Channel;
 import io.netty.channel.ChannelHandlerContext;
 import io.netty.channel.SimpleChannelInboundHandler;
-import io.netty.handler.codec.http.DefaultHttpContent;
 import io.netty.handler.codec.http.HttpContent;
 import io.netty.handler.codec.http.HttpObject;
 import io.netty.handler.codec.http.HttpResponse;
@@ -92,48 +90,7 @@
   void write(UpstreamAttempt next) {
     attempt = next;
     next.connectionAssigned(this);
-    if (next.request().upload == null) {
-      writeWithBody(next);
-    } else {
-      writeWithUpload(next);
-    }
-  }
-
-  private void writeWithBody(UpstreamAttempt next) {
-    channel
-        .writeAndFlush(UpstreamRequestFactory.create(next.request(), next.timeLeftNanos()))
-        .addListener(
-            done -> {
-              if (done.isSuccess()) {
-                next.writeCompleted();
-              } else {
-                channel.close();
-                next.connectionLost();
-              }
-            });
-  }
-
-  /** Writes what came of a long body, and has the rest written as it comes. */
-  private void writeWithUpload(UpstreamAttempt next) {
-    InFlightRequest request = next.request();
-    channel.write(UpstreamRequestFactory.create(request, next.timeLeftNanos()));
-    channel
-        .writeAndFlush(new DefaultHttpContent(request.body.retainedDuplicate()))
-        .addListener(
-            done -> {
-              if (next.hasEnded() || !done.isSuccess()) {
-                channel.close();
-                next.connectionLost();
-              } else {
-                request.upload.forwardTo(channel, next::writeCompleted, () -> uploadFailed(next));
-              }
-            });
-  }
-
-  private void uploadFailed(UpstreamAttempt failed) {
-    failed.uploadFailed();
-    channel.close();
-    failed.connectionLost();
+    UpstreamRequestWriter.write(channel, next);
   }
 
   @Override
--- /dev/null
+++ b/edge/src/test/java/edgegateway/node/upstream/UpstreamConnectionHandlerTest.java
@@ -0,0 +1,271 @@
+package edgegateway.node.upstream;
+
+import static org.junit.jupiter.api.Assertions.assertEquals;
+import static org.junit.jupiter.api.Assertions.assertFalse;
+import static org.junit.jupiter.api.Assertions.assertNull;
+import static org.junit.jupiter.api.Assertions.assertTrue;
+
+import edgegateway.node.connections.BufferedBodies;
+import edgegateway.node.connections.ConnectionMetrics;
+import edgegateway.node.connections.DescriptorBudget;
+import edgegateway.node.connections.StrictHttpResponseDecoder;
+import edgegateway.node.connections.Upstream;
+import edgegateway.node.connections.UpstreamConnection;
+import edgegateway.node.connections.UpstreamConnectionTable;
+import edgegateway.node.connections.UpstreamTransport;
+import edgegateway.node.metrics.NodeMetrics;
+import edgegateway.node.requests.AttemptListener;
+import edgegateway.node.requests.BodyRelay;
+import edgegateway.node.requests.InFlightRequest;
+import edgegateway.policy.api.Idempotency;
+import edgegateway.policy.api.Outcome;
+import edgegateway.policy.api.Request;
+import edgegateway.policy.api.RequestClass;
+import io.netty.buffer.ByteBuf;
+import io.netty.buffer.Unpooled;
+import io.netty.channel.Channel;
+import io.netty.channel.embedded.EmbeddedChannel;
+import io.netty.handler.codec.http.HttpMethod;
+import io.netty.handler.codec.http.HttpRequestEncoder;
+import io.netty.util.ReferenceCountUtil;
+import java.nio.charset.StandardCharsets;
+import java.util.ArrayList;
+import java.util.List;
+import java.util.concurrent.TimeUnit;
+import org.junit.jupiter.api.Test;
+
+/** One connection and its attempts, without a socket. */
+class UpstreamConnectionHandlerTest implements AttemptListener, UpstreamTransport {
+  private static final long TIMEOUT_NANOS = TimeUnit.SECONDS.toNanos(20);
+  private final List<String> ends = new ArrayList<>();
+  private boolean openAtEnd;
+  private final EmbeddedChannel channel = new EmbeddedChannel();
+  private final ConnectionMetrics connectionMetrics = new ConnectionMetrics();
+  private final BufferedBodies bufferedBodies = new BufferedBodies(connectionMetrics);
+  private final UpstreamContext context =
+      new UpstreamContext(
+          this,
+          channel.eventLoop(),
+          new NodeMetrics(List.of("lookup"), connectionMetrics),
+          bufferedBodies,
+          new BodyRelay.Group(channel.eventLoop()));
+  private final Upstream upstream =
+      new UpstreamConnectionTable(this, connectionMetrics, 1, TimeUnit.SECONDS.toNanos(15))
+          .addUpstream("server", false);
+
+  UpstreamConnectionHandlerTest() {
+    bufferedBodies.applyBudget(new DescriptorBudget(1, 1, 9, 9, 1, 1 << 20, 1, List.of()));
+    StrictHttpResponseDecoder decoder = new StrictHttpResponseDecoder();
+    UpstreamConnectionHandler handler = new UpstreamConnectionHandler(context, decoder);
+    channel.pipeline().addLast(new HttpRequestEncoder(), decoder, handler);
+    handler.established(upstream.adopt(System.nanoTime()));
+  }
+
+  @Override
+  public void connect(UpstreamConnection connection) {
+    connection.attachTransport(() -> {});
+  }
+
+  @Override
+  public void scheduleConnect(Upstream waiting, long delayNanos) {}
+
+  @Override
+  public long nowNanos() {
+    return System.nanoTime();
+  }
+
+  @Override
+  public void attemptEnded(
+      InFlightRequest request,
+      Outcome outcome,
+      long durationNanos,
+      String server,
+      double trueUnits,
+      ByteBuf body) {
+    String text = body == null ? "" : " " + body.toString(StandardCharsets.US_ASCII);
+    ends.add(request.request.id() + " " + outcome + " " + trueUnits + text);
+    openAtEnd = channel.isActive();
+  }
+
+  @Override
+  public Channel responseStarted(
+      InFlightRequest request,
+      long length,
+      long durationNanos,
+      String server,
+      Runnable onClientGone) {
+    ends.add(request.request.id() + " forwarded " + length);
+    return null;
+  }
+
+  /** Begins an attempt of an idempotent request; its client need not be checked. */
+  private InFlightRequest send(String id) {
+    RequestClass lookup = new RequestClass(1, 1, Idempotency.IDEMPOTENT, null, 0, 0, 1);
+    InFlightRequest request =
+        new InFlightRequest(
+            new Request(id, 0, 0, 7, 0, 1, 1, 0, false),
+            HttpMethod.POST,
+            "/api",
+            "key-" + id,
+            Unpooled.copiedBuffer("book", StandardCharsets.US_ASCII),
+            bufferedBodies.newBody(7),
+            null,
+            new PresentClient());
+    new UpstreamAttempt(context, request, lookup, "s-0", TIMEOUT_NANOS, upstream).start();
+    return request;
+  }
+
+  private String written() {
+    StringBuilder text = new StringBuilder();
+    for (ByteBuf part = channel.readOutbound(); part != null; part = channel.readOutbound()) {
+      text.append(part.toString(StandardCharsets.US_ASCII));
+      ReferenceCountUtil.release(part);
+    }
+    return text.toString();
+  }
+
+  private void read(String text) {
+    channel.writeInbound(Unpooled.copiedBuffer(text, StandardCharsets.US_ASCII));
+  }
+
+  private static String ok(String body) {
+    return "HTTP/1.1 200 OK\r\nX-Units-Charged: 2\r\nContent-Length: "
+        + body.length()
+        + "\r\n\r\n"
+        + body;
+  }
+
+  @Test
+  void theRequestCarriesTheAttemptsHeadersAndItsBody() {
+    send("t-1");
+    String sent = written();
+    assertTrue(sent.startsWith("POST /api HTTP/1.1\r\n"), sent);
+    assertTrue(sent.endsWith("\r\n\r\nbook"), sent);
+    assertTrue(sent.contains("host: app.svc\r\n"), sent);
+    assertTrue(sent.contains("X-Trace-Id: t-1\r\n"), sent);
+    assertTrue(sent.contains("Idempotency-Key: key-t-1\r\n"), sent);
+    assertTrue(sent.contains("content-length: 4\r\n"), sent);
+    assertTrue(sent.matches("(?s).*X-Expires-In-Ms: (19\\d{3}|20000)\r\n.*"), sent);
+  }
+
+  @Test
+  void aCompleteResponseEndsTheAttemptAndTheConnectionIsReused() {
+    send("t-1");
+    read(ok("body"));
+    assertEquals(List.of("t-1 OK 2.0 body"), ends);
+    written();
+    send("t-2");
+    assertTrue(written().contains("X-Trace-Id: t-2"));
+    read("HTTP/1.1 503 No\r\nX-Never-Ran: 1\r\nContent-Length: 0\r\n\r\n");
+    assertEquals("t-2 REJECTED 0.0 ", ends.get(1));
+    assertTrue(channel.isActive());
+  }
+
+  @Test
+  void bytesAfterAResponseInTheSameReadEndTheReuseOfItsConnection() {
+    send("t-1");
+    read(ok("body") + ok("stray"));
+    assertEquals(List.of("t-1 OK 2.0 body"), ends);
+    assertFalse(channel.isActive());
+  }
+
+  @Test
+  void bytesOnAnIdleConnectionCloseIt() {
+    read("H");
+    assertFalse(channel.isActive());
+    assertEquals(List.of(), ends);
+  }
+
+  @Test
+  void anInformationalResponseIsSkipped() {
+    send("t-1");
+    read("HTTP/1.1 100 Continue\r\n\r\n");
+    assertEquals(List.of(), ends);
+    read(ok("body"));
+    assertEquals(List.of("t-1 OK 2.0 body"), ends);
+  }
+
+  @Test
+  void aResponseThatCannotBeReadIsAReset() {
+    send("t-1");
+    read("nonsense\r\n\r\n");
+    assertEquals(List.of("t-1 RESET 0.0"), ends);
+    assertFalse(channel.isActive());
+  }
+
+  @Test
+  void aResponseThatIsCutIsAReset() {
+    send("t-1");
+    read(ok("body").replace("body", "bo"));
+    channel.close();
+    assertEquals(List.of("t-1 RESET 0.0"), ends);
+  }
+
+  @Test
+  void aTimeoutClosesTheConnectionBeforeTheAttemptEnds() {
+    send("t-1");
+    openAtEnd = true;
+    channel.advanceTimeBy(TIMEOUT_NANOS / 2, TimeUnit.NANOSECONDS);
+    channel.runScheduledPendingTasks();
+    assertEquals(List.of(), ends);
+    channel.advanceTimeBy(TIMEOUT_NANOS / 2, TimeUnit.NANOSECONDS);
+    channel.runScheduledPendingTasks();
+    // A socket reports its end later, and the outcome is TIMEOUT; a channel in memory reports it
+    // from within the close.
+    assertEquals(List.of("t-1 RESET 0.0"), ends);
+    assertFalse(openAtEnd);
+  }
+
+  @Test
+  void aWaitingAttemptThatIsWithdrawnIsNotSent() {
+    send("t-1");
+    InFlightRequest waiting = send("t-2");
+    written();
+    waiting.cancelUnsentAttempt();
+    assertEquals(List.of("t-2 NOT_SENT 0.0"), ends);
+    read(ok("body"));
+    assertEquals("", written());
+    assertNull(waiting.cancelUnsentAttempt);
+  }
+
+  @Test
+  void anAttemptWhoseClientIsGoneWhenALongResponseStartsIsCancelled() {
+    send("t-1");
+    read("HTTP/1.1 200 OK\r\nContent-Length: 100000\r\n\r\n" + "x".repeat(70_000));
+    assertEquals(List.of("t-1 forwarded 100000", "t-1 CANCELLED 0.0"), ends);
+    assertFalse(channel.isActive());
+  }
+
+  /** A client that is known to be there and takes no response. */
+  private static final class PresentClient implements InFlightRequest.ResponseWriter {
+    @Override
+    public void sendResponse(ByteBuf body) {}
+
+    @Override
+    public void sendRejection(long retryAfterNanos) {}
+
+    @Override
+    public void sendFailure() {}
+
+    @Override
+    public Channel startStream(long length, Runnable onClientGone) {
+      return null;
+    }
+
+    @Override
+    public void endStream(boolean complete) {}
+
+    @Override
+    public boolean wouldHaveSeenDisconnect() {
+      return true;
+    }
+
+    @Override
+    public void checkClientPresence(Runnable then) {
+      then.run();
+    }
+
+    @Override
+    public void abortUnfinishedResponse() {}
+  }
+}
