--- a/edge/src/test/java/edgegateway/node/zones/FakeZoneFleet.java
+++ b/edge/src/test/java/edgegateway/node/zones/FakeZoneFleet.java
@@ -10,7 +10,7 @@
 import java.util.SplittableRandom;
 
 /**
- * Many agreements on one clock with a counter between them; what their attempts meet is made up.
+ * A fleet of {@link ZoneConsensus} on one clock, with a counter between them and made-up health.
  */
 final class FakeZoneFleet {
   static final long MS = 1_000_000L;
@@ -19,16 +19,16 @@
   static final long RAMP = 6 * SECOND;
   static final double BEGIN = 0.24;
   private static final int SERVERS = 4;
-  private static final double MEMORY = 1e9;
+  private static final double HEALTH_DECAY_NANOS = 1e9;
 
-  /** How likely an attempt misses. */
+  /** How likely an attempt fails. */
   interface Health {
-    double miss(int node, int zone);
+    double failureProbability(int node, int zone);
   }
 
-  private record Later(long at, Runnable what) {}
+  private record ScheduledTask(long at, Runnable task) {}
 
-  /** A node: its agreement, and what its attempts came to. */
+  /** A node: its consensus, and how its attempts fared. */
   final class Node implements ZoneConsensus.Actions {
     final int index;
     final SplittableRandom nodeRandom = random.split();
@@ -42,13 +42,15 @@
     final boolean[] probing = new boolean[ZONES.size()];
     final List<String> log = new ArrayList<>();
 
-    /** How far its clock is off. */
+    /** Difference of its clock from the true one. */
     long clockOffsetNanos;
 
-    /** How often a vote of this node counts; a liar accuses whatever it meets. */
+    /** What a vote of this node adds to the counter. */
     double votesPerCast = 1;
 
+    /** Whether it finds a zone failing whatever it sees. */
     boolean alwaysSuspects;
+
     boolean stopped;
     ZoneConsensus consensus;
 
@@ -68,22 +70,22 @@
               this);
     }
 
-    private void cast(long at, ZoneVote ballot, boolean mine) {
+    private void cast(long at, ZoneVote vote, boolean castsVote) {
       voteCalls++;
       long asked = now;
       ZoneConsensus of = consensus;
       boolean reaches = !counterDown && nodeRandom.nextDouble() >= callLoss;
       if (reaches) {
-        totals.merge(ballot, mine ? votesPerCast : 0, Double::sum);
+        totals.merge(vote, castsVote ? votesPerCast : 0, Double::sum);
       }
-      double total = totals.getOrDefault(ballot, 0.0);
+      double total = totals.getOrDefault(vote, 0.0);
       boolean answered = reaches && nodeRandom.nextDouble() >= callLoss;
-      later.add(
-          new Later(
+      scheduled.add(
+          new ScheduledTask(
               asked + (answered ? 2 : 250) * MS,
               () -> {
                 if (of == consensus && answered) {
-                  consensus.votesCounted(now + clockOffsetNanos, ballot, total);
+                  consensus.votesCounted(now + clockOffsetNanos, vote, total);
                 } else if (of == consensus) {
                   consensus.voteUnanswered();
                 }
@@ -99,20 +101,20 @@
     }
 
     private void attempt(int zone) {
-      boolean miss = nodeRandom.nextDouble() < health.miss(index, zone);
+      boolean failed = nodeRandom.nextDouble() < health.failureProbability(index, zone);
       recentAttempts[zone]++;
       attempts[zone]++;
-      recentFailures[zone] += miss ? 1 : 0;
-      failures[zone] += miss ? 1 : 0;
-      failureExcess[zone] = Math.max(0, failureExcess[zone] + (miss ? 1 : -1));
-      lastAnswerNanos[zone] = miss ? lastAnswerNanos[zone] : now + clockOffsetNanos;
+      recentFailures[zone] += failed ? 1 : 0;
+      failures[zone] += failed ? 1 : 0;
+      failureExcess[zone] = Math.max(0, failureExcess[zone] + (failed ? 1 : -1));
+      lastAnswerNanos[zone] = failed ? lastAnswerNanos[zone] : now + clockOffsetNanos;
       sent[zone]++;
     }
 
     private void tick(long span) {
       List<ZoneHealth> all = new ArrayList<>();
       for (int zone = 0; zone < ZONES.size(); zone++) {
-        double kept = Math.exp(-span / MEMORY);
+        double kept = Math.exp(-span / HEALTH_DECAY_NANOS);
         recentAttempts[zone] *= kept;
         recentFailures[zone] *= kept;
         failureExcess[zone] *= Math.pow(kept, 0.2);
@@ -123,7 +125,7 @@
           probing[zone] = false;
           attempt(zone);
         }
-        int bad = failureExcess[zone] > 1 ? SERVERS : 0;
+        int failingEndpoints = failureExcess[zone] > 1 ? SERVERS : 0;
         double part = 1.0 / ZONES.size();
         all.add(
             alwaysSuspects && zone == index % ZONES.size()
@@ -135,7 +137,7 @@
                     failureExcess[zone],
                     SERVERS,
                     SERVERS,
-                    bad,
+                    failingEndpoints,
                     0,
                     0,
                     part,
@@ -169,14 +171,14 @@
   final Map<ZoneVote, Double> totals = new HashMap<>();
   final long[] sent = new long[ZONES.size()];
   final ZoneEjectionSettings settings;
-  private final PriorityQueue<Later> later =
-      new PriorityQueue<>(java.util.Comparator.comparingLong(Later::at));
+  private final PriorityQueue<ScheduledTask> scheduled =
+      new PriorityQueue<>(java.util.Comparator.comparingLong(ScheduledTask::at));
   Health health = (node, zone) -> 0.01;
 
-  /** The part of calls lost on the way there, and of answers on the way back. */
+  /** Fraction of calls lost on the way to the counter, and of answers on the way back. */
   double callLoss;
 
-  /** Attempts of a node in a zone a second. */
+  /** Attempts per second of a node in a zone. */
   double rate = 8;
 
   boolean counterDown;
@@ -198,17 +200,17 @@
     }
   }
 
-  /** Goes on for a span; {@code always} is asked at each step. */
-  void run(long span, Runnable always) {
+  /** Runs for a time; {@code check} is run after each step. */
+  void run(long span, Runnable check) {
     long step = ZoneEjectionController.TICK_NANOS;
     long until = now + span;
     while (now < until) {
       now += step;
-      while (!later.isEmpty() && later.peek().at() <= now) {
-        later.poll().what().run();
+      while (!scheduled.isEmpty() && scheduled.peek().at() <= now) {
+        scheduled.poll().task().run();
       }
       nodes.stream().filter(node -> !node.stopped).forEach(node -> node.tick(step));
-      always.run();
+      check.run();
     }
   }
 
@@ -220,24 +222,24 @@
     return nodes.stream().filter(node -> !node.stopped).count();
   }
 
-  /** How many living nodes have a zone in this state. */
+  /** How many running nodes have a zone in this state. */
   long in(int zone, ZoneEjectionState.State state) {
     return nodes.stream().filter(node -> !node.stopped && node.state(zone) == state).count();
   }
 
-  /** How many living nodes use a zone as ever, though some may doubt it. */
+  /** How many running nodes use a zone in full, though some may suspect it. */
   long inUse(int zone) {
     return in(zone, ZoneEjectionState.State.IN) + in(zone, ZoneEjectionState.State.SUSPECT);
   }
 
-  /** How many living nodes have a zone away by this. */
+  /** For how many running nodes the state of a zone was decided so. */
   long decidedBy(int zone, ZoneEjectionState.DecidedBy why) {
     return nodes.stream()
         .filter(node -> !node.stopped && node.consensus.state(zone).decidedBy() == why)
         .count();
   }
 
-  /** The zone's part of what all living nodes send, on the average. */
+  /** Mean fraction of its usual traffic that running nodes send to a zone. */
   double trafficFraction(int zone) {
     return nodes.stream()
         .filter(node -> !node.stopped)
--- a/edge/src/test/java/edgegateway/node/zones/ZoneConsensusTest.java
+++ b/edge/src/test/java/edgegateway/node/zones/ZoneConsensusTest.java
@@ -21,7 +21,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** Whole fleets of agreements on a given clock, over many seeds; a failure tells its seed. */
+/** Whole fleets on a given clock, over many seeds; a failure names its seed. */
 class ZoneConsensusTest {
   private static final int SEEDS = 30;
   private static final int A = 0;
@@ -52,7 +52,7 @@
     fleet.health = (node, zone) -> 0.01;
   }
 
-  /** No node ever has more away than the settings allow. */
+  /** No node ever has more zones ejected than the settings allow. */
   private static void bounded(FakeZoneFleet fleet) {
     for (FakeZoneFleet.Node node : fleet.nodes) {
       long away = 0;
@@ -66,7 +66,7 @@
 
   @ParameterizedTest
   @ValueSource(ints = {3, 12, 100})
-  void aZoneThatIsLostIsLeftByAllWithinThreeSecondsAndComesBack(int size) {
+  void aLostZoneIsEjectedByAllWithinThreeSecondsAndReturns(int size) {
     seeds(
         seed -> {
           FakeZoneFleet fleet = fleet(size, seed);
@@ -107,7 +107,7 @@
   }
 
   @Test
-  void nodesThatAreAloneLeaveLaterAndComeBackByThemselves() {
+  void nodesThatDecideAloneEjectLaterAndReturnByThemselves() {
     seeds(
         seed -> {
           FakeZoneFleet fleet = new FakeZoneFleet(12, seed, DecisionMode.ALONE);
@@ -125,11 +125,11 @@
   }
 
   /**
-   * A counter that says nothing: the node's own word counts, more slowly; when it is heard again,
-   * the fleet's.
+   * A counter that does not answer: each node decides by itself, more slowly; when it answers
+   * again, the fleet does.
    */
   @Test
-  void withoutACounterEachNodeLeavesByItself() {
+  void withoutACounterEachNodeDecidesByItself() {
     seeds(
         seed -> {
           FakeZoneFleet fleet = fleet(12, seed);
@@ -165,8 +165,8 @@
   }
 
   /**
-   * The total falls to nothing ten times a second: no verdict, and nothing worse than each node's
-   * own.
+   * The counter loses its totals ten times a second: no decision of the fleet, and nothing worse
+   * than each node's own.
    */
   @Test
   void aTotalThatIsFlushedAgainAndAgainOnlyDelays() {
@@ -182,9 +182,11 @@
         });
   }
 
-  /** The way is bad, not the zone: those who are cut off leave by themselves, the others stay. */
+  /**
+   * The network is cut, not the zone: nodes that are cut off eject it by themselves, others not.
+   */
   @Test
-  void aZoneCutFromHalfOfTheNodesIsNoVerdict() {
+  void aZoneCutFromHalfOfTheNodesIsNotEjectedByTheFleet() {
     seeds(
         seed -> {
           FakeZoneFleet fleet = fleet(12, seed);
@@ -200,7 +202,7 @@
   }
 
   @Test
-  void whoReachesNobodyAccusesNobody() {
+  void aNodeThatReachesNoZoneSuspectsNone() {
     seeds(
         seed -> {
           FakeZoneFleet fleet = fleet(12, seed);
@@ -214,11 +216,11 @@
   }
 
   /**
-   * Overload: everywhere some come too late; and two of three zones can't be left, by whatever
-   * evidence.
+   * Overload: some attempts fail in all zones; and two of three zones are never ejected, whatever
+   * the evidence.
    */
   @Test
-  void aLoadTooHighIsNoZonesFaultAndTwoOfThreeZonesAreNotLeft() {
+  void overloadEjectsNoZoneAndTwoOfThreeZonesAreNeverEjected() {
     seeds(
         seed -> {
           FakeZoneFleet fleet = fleet(12, seed);
@@ -236,11 +238,11 @@
   }
 
   /**
-   * A tenth of the nodes accuse a zone that is well, twice over, all the time; one of them votes 50
-   * times its weight.
+   * A tenth of the nodes vote against a healthy zone, twice each, all the time; then one of them
+   * adds a thousand votes.
    */
   @Test
-  void aTenthThatLiesBringsNoZoneDown() {
+  void falseVotesOfATenthEjectNoZone() {
     seeds(
         seed -> {
           FakeZoneFleet fleet = fleet(100, seed);
@@ -265,10 +267,11 @@
   }
 
   /**
-   * Clocks wrong by ten windows: their votes lie elsewhere; the majority with right clocks decides.
+   * Clocks wrong by ten windows: their votes have other keys; the majority with right clocks
+   * decides.
    */
   @Test
-  void nodesWithAnOldClockAreOutvotedNotObeyed() {
+  void nodesWithAWrongClockAreOutvoted() {
     seeds(
         seed -> {
           FakeZoneFleet fleet = new FakeZoneFleet(12, seed, DecisionMode.COUNTER);
@@ -303,11 +306,9 @@
         });
   }
 
-  /**
-   * It fails whenever it is back: each time it is out for longer, and the others are never left.
-   */
+  /** It fails whenever it is back: each time it is ejected for longer, and the others never are. */
   @Test
-  void aZoneThatRelapsesIsOutForLongerEachTime() {
+  void aZoneThatRelapsesIsEjectedForLongerEachTime() {
     seeds(
         seed -> {
           FakeZoneFleet fleet = fleet(12, seed);
@@ -330,7 +331,7 @@
   }
 
   /**
-   * Half of the nodes begin anew during the ramp: they send as the list says, and the others' ramp
+   * Half of the nodes restart during the ramp: they use all zones of the list, and the others' ramp
    * goes on.
    */
   @Test
@@ -356,7 +357,7 @@
   }
 
   @Test
-  void trialsAreFew() {
+  void halfOpenAttemptsAreFew() {
     seeds(
         seed -> {
           FakeZoneFleet fleet = fleet(100, seed);
@@ -375,7 +376,7 @@
   }
 
   @Test
-  void namesOfBallotsAreTheirOwn() {
+  void keysOfVotesAreUniqueAndNotThoseOfQuotas() {
     Set<Long> names = new HashSet<>();
     CounterVoteTransport ballots =
         new CounterVoteTransport(
@@ -397,11 +398,11 @@
   }
 
   /**
-   * Over the whole ramp what a zone gets stays under what pushes servers over that all began with
-   * it, untold.
+   * Over the whole ramp a zone's traffic stays below what overloads endpoints that all restarted
+   * when it began, unknown to the nodes.
    */
   @Test
-  void theRampIsBorneByServersThatBeganAnewUntold() {
+  void theSlowStartRampOverloadsNoEndpointsThatRestartedUnknown() {
     for (double from = 0.05; from < 1; from += 0.05) {
       for (double times = 1.1; times < 4; times += 0.3) {
         PlatformRules rules = new PlatformRules(0, from, 17 * SECOND, times, SECOND);
