--- /dev/null
+++ b/edge/src/main/java/edgegateway/policy/RequestLifecycle.java
@@ -0,0 +1,287 @@
+package edgegateway.policy;
+
+import edgegateway.policy.admission.ConcurrencyCaps;
+import edgegateway.policy.admission.DeadlinePolicy;
+import edgegateway.policy.admission.LoadShedder;
+import edgegateway.policy.admission.RetryAfterPolicy;
+import edgegateway.policy.api.AttemptResult;
+import edgegateway.policy.api.Outcome;
+import edgegateway.policy.api.PolicyActions;
+import edgegateway.policy.api.PolicySettings;
+import edgegateway.policy.api.Request;
+import edgegateway.policy.control.ConcurrencyController;
+import edgegateway.policy.quota.CustomerQuota;
+import edgegateway.policy.quota.QuotaDecision;
+import edgegateway.policy.quota.QuotaManager;
+import edgegateway.policy.quota.QuotaReservation;
+import edgegateway.policy.retry.AttemptTimeouts;
+import edgegateway.policy.retry.RetryBudget;
+import edgegateway.policy.retry.RetryPolicy;
+import edgegateway.policy.routing.EndpointRouter;
+import edgegateway.policy.routing.EndpointTracker;
+import edgegateway.policy.scheduling.FairQueue;
+import edgegateway.policy.scheduling.InFlightAttempts;
+import edgegateway.policy.scheduling.PendingRequest;
+import edgegateway.policy.scheduling.RequestClassQueue;
+import edgegateway.policy.scheduling.SendPermit;
+import edgegateway.policy.time.EventClock;
+import java.util.HashMap;
+import java.util.Map;
+import java.util.SplittableRandom;
+
+/**
+ * The way of each request from its arrival to its one final answer: deadline, quota, queue,
+ * endpoint, attempts. It asks the mechanisms in their order and holds no rule of its own.
+ */
+final class RequestLifecycle {
+  private final PolicySettings settings;
+  private final EventClock clock;
+  private final PolicyActions actions;
+  private final QuotaManager quotas;
+  private final EndpointRouter router;
+  private final FairQueue queues;
+  private final ConcurrencyController concurrency;
+  private final InFlightAttempts inFlight;
+  private final ConcurrencyCaps concurrencyCaps = new ConcurrencyCaps();
+  private final DeadlinePolicy deadlines;
+  private final LoadShedder loadShedder;
+  private final RetryAfterPolicy retryAfter;
+  private final RetryBudget retryBudget = new RetryBudget();
+  private final RetryPolicy retries;
+  private final AttemptTimeouts timeouts;
+  private final Map<String, PendingRequest> requests = new HashMap<>();
+
+  RequestLifecycle(
+      PolicySettings settings,
+      EventClock clock,
+      SplittableRandom random,
+      PolicyActions actions,
+      QuotaManager quotas,
+      EndpointRouter router,
+      FairQueue queues,
+      ConcurrencyController concurrency) {
+    this.settings = settings;
+    this.clock = clock;
+    this.actions = actions;
+    this.quotas = quotas;
+    this.router = router;
+    this.queues = queues;
+    this.concurrency = concurrency;
+    inFlight = new InFlightAttempts(clock, concurrency);
+    deadlines = new DeadlinePolicy(clock, settings.tickNanos());
+    loadShedder = new LoadShedder(queues);
+    retryAfter = new RetryAfterPolicy(settings.limits(), random);
+    retries = new RetryPolicy(settings.limits(), clock, retryBudget);
+    timeouts = new AttemptTimeouts(clock, retryBudget);
+  }
+
+  /** Takes a request; one of an unknown class or plan is rejected, a known name is ignored. */
+  void requestReceived(Request request) {
+    if (!isKnownKind(request)) {
+      actions.reject(request.id(), 0);
+      return;
+    }
+    if (requests.containsKey(request.id())) {
+      return;
+    }
+    QuotaReservation reservation = quotas.newReservation(request);
+    CustomerQuota quota = reservation.quota();
+    SendPermit cap = concurrencyCaps.of(request.customer(), quota.plan(), quota.nodes());
+    PendingRequest pending = queues.newRequest(request, reservation, cap);
+    requests.put(request.id(), pending);
+    if (deadlines.isUnreachable(pending)) {
+      // The next look at the queue would be too late for some.
+      giveUp(pending);
+    } else {
+      double priorityWeight = pending.requestClass().priorityWeight();
+      apply(pending, quotas.admit(reservation, priorityWeight, pending.objectiveNanos()));
+    }
+    dispatch();
+  }
+
+  private boolean isKnownKind(Request request) {
+    return request.requestClass() >= 0
+        && request.requestClass() < queues.queues().size()
+        && request.plan() >= 0
+        && request.plan() < settings.quotaPlans().size();
+  }
+
+  /** Rejects a request that the host has no room for. */
+  void requestOverHostCapacity(Request request) {
+    actions.reject(request.id(), retryAfter.overCapacityNanos());
+  }
+
+  /** A request's wait for the shared counter is over. */
+  void counterAnswered(String requestId, boolean answered) {
+    PendingRequest request = requests.get(requestId);
+    if (request.isClientGone()) {
+      finish(request);
+    } else {
+      apply(request, quotas.decide(request.reservation(), answered));
+    }
+  }
+
+  private void apply(PendingRequest request, QuotaDecision decision) {
+    switch (decision) {
+      case ADMITTED -> enqueue(request);
+      case REJECTED -> {
+        double seconds = request.reservation().retryAfterSeconds();
+        actions.reject(request.id(), retryAfter.adviceNanos(seconds));
+        finish(request);
+      }
+      case AWAITING_COUNTER -> {}
+    }
+  }
+
+  private void enqueue(PendingRequest request) {
+    request.queue().add(request);
+    shedLoad(request.queue());
+    router.checkHealthIfRarelyUsed(request);
+  }
+
+  private void shedLoad(RequestClassQueue queue) {
+    if (inFlight.belowLimit()) {
+      return;
+    }
+    LoadShedder.WaitLimit limit = loadShedder.waitLimit(queue, concurrency.limit());
+    while (!inFlight.belowLimit() && limit.isExceededBy(queue)) {
+      PendingRequest least = LoadShedder.leastValuable(queue);
+      queue.remove(least);
+      giveUp(least);
+    }
+  }
+
+  /** Gives up the requests that have waited too long; a short deadline may be behind a long one. */
+  void giveUpLate() {
+    for (RequestClassQueue queue : queues.queues()) {
+      for (PendingRequest request : queue.matching(deadlines::isUnreachable)) {
+        queue.remove(request);
+        giveUp(request);
+      }
+    }
+  }
+
+  /** Sends requests in the order of the fair queue while the concurrency limit has room. */
+  void dispatch() {
+    while (inFlight.mayRelease()) {
+      PendingRequest next = queues.next();
+      if (next == null) {
+        return;
+      }
+      if (deadlines.isUnreachable(next)) {
+        next.queue().remove(next);
+        giveUp(next);
+        continue;
+      }
+      EndpointTracker endpoint = router.select(next);
+      if (endpoint == null) {
+        return;
+      }
+      queues.release(next);
+      send(next, endpoint);
+    }
+  }
+
+  private void send(PendingRequest request, EndpointTracker endpoint) {
+    if (request.attempts() == 0) {
+      retryBudget.firstAttemptSent();
+    }
+    request.attemptSent(endpoint, clock.nowNanos());
+    router.attemptSent(request, endpoint);
+    inFlight.attemptSent();
+    long timeoutNanos = timeouts.timeoutNanos(request, inFlight.belowLimit());
+    actions.sendAttempt(request.id(), endpoint.id(), timeoutNanos);
+  }
+
+  /** The end of an attempt: of the request too, or a retry or the final answer is due. */
+  void attemptEnded(AttemptResult result) {
+    PendingRequest request = requests.get(result.requestId());
+    if (request == null || request.endpoint() == null) {
+      return;
+    }
+    boolean provesNotExecuted = result.outcome().provesNotExecuted();
+    EndpointTracker endpoint = request.endpoint();
+    request.attemptEnded(provesNotExecuted);
+    boolean inProgress = router.attemptEnded(request, endpoint, result);
+    inFlight.attemptEnded(inProgress, result.durationNanos());
+    request.queue().attemptEnded(request, result, clock.nowNanos());
+    if (result.outcome() == Outcome.OK) {
+      quotas.requestServed(request.reservation(), result.trueUnits());
+    }
+    if (result.requestComplete() || request.isClientGone()) {
+      finish(request);
+    } else {
+      retryOrGiveUp(request, provesNotExecuted);
+    }
+    dispatch();
+  }
+
+  private void retryOrGiveUp(PendingRequest request, boolean provesNotExecuted) {
+    EndpointTracker endpoint =
+        retries.mayRetry(request, provesNotExecuted) ? router.select(request) : null;
+    if (endpoint == null) {
+      giveUp(request);
+    } else {
+      retries.retrySent(provesNotExecuted);
+      send(request, endpoint);
+    }
+  }
+
+  /** A part of a request's long body was forwarded and is no longer held. */
+  void bodyForwarded(String id) {
+    PendingRequest request = requests.get(id);
+    if (request == null || request.endpoint() == null || request.isBodyForwarded()) {
+      return;
+    }
+    request.bodyForwarded();
+    inFlight.suspended();
+    router.bodyForwarded(request, request.endpoint());
+    dispatch();
+  }
+
+  /** The rest of a request's long body was forwarded. */
+  void uploadCompleted(String id) {
+    PendingRequest request = requests.get(id);
+    if (request == null || request.endpoint() == null) {
+      return;
+    }
+    inFlight.resumed();
+    request.uploadCompleted(clock.nowNanos());
+    router.uploadCompleted(request, request.endpoint());
+  }
+
+  /** The client left: the request ends now, or with the attempt or counter call in progress. */
+  void clientDisconnected(String id) {
+    PendingRequest request = requests.get(id);
+    if (request == null) {
+      return;
+    }
+    request.clientDisconnected();
+    if (request.endpoint() == null && !request.reservation().awaitingCounter()) {
+      request.queue().remove(request);
+      finish(request);
+    }
+  }
+
+  /** The one final answer of a request that is not served. */
+  private void giveUp(PendingRequest request) {
+    if (retries.mayReject(request)) {
+      // Who comes back before what waits now has been served only makes the wait longer.
+      RequestClassQueue queue = request.queue();
+      double seconds = queue.size() * queue.serviceTime().averageSeconds() / concurrency.limit();
+      actions.reject(request.id(), retryAfter.adviceNanos(seconds));
+    } else {
+      actions.fail(request.id());
+    }
+    finish(request);
+  }
+
+  /** The end of a request here; what it holds of the quota is given back if it was never sent. */
+  private void finish(PendingRequest request) {
+    requests.remove(request.id());
+    if (request.attempts() == 0) {
+      quotas.release(request.reservation());
+    }
+    request.finished();
+  }
+}
--- a/edge/src/main/java/edgegateway/policy/admission/ConcurrencyCap.java
+++ b/edge/src/main/java/edgegateway/policy/admission/ConcurrencyCap.java
@@ -1,11 +1,13 @@
 package edgegateway.policy.admission;
 
+import edgegateway.policy.scheduling.SendPermit;
+
 /**
  * The cap of a plan on one customer's concurrent requests, as far as this node goes: no node tells
  * another how many it has in flight, so the cap is divided by the customer's nodes, and each may
  * have one request in flight.
  */
-public final class ConcurrencyCap {
+public final class ConcurrencyCap implements SendPermit {
   private final int maxInFlight;
   private int inFlight;
 
@@ -13,17 +15,17 @@
     this.maxInFlight = maxInFlight;
   }
 
-  /** Whether one more request of the customer may be sent now. */
+  @Override
   public boolean hasRoom() {
     return inFlight < maxInFlight;
   }
 
-  /** Counts a request that is sent for the first time. */
+  @Override
   public void acquire() {
     inFlight++;
   }
 
-  /** Counts the end of a request that was sent. */
+  @Override
   public void release() {
     inFlight--;
   }
--- a/edge/src/main/java/edgegateway/policy/quota/CustomerQuota.java
+++ b/edge/src/main/java/edgegateway/policy/quota/CustomerQuota.java
@@ -26,9 +26,7 @@
   /** The least room that urgency is measured by, as a part of the burst. */
   private static final int MIN_ROOM_PARTS_OF_BURST = 8;
 
-  private static final double MIN_REPORTED_UNITS = 1e-6;
-
-  /** Reports are rounded to this many units. */
+  /** Less is not reported, and reports are rounded to this. */
   private static final double REPORT_STEP_UNITS = 1e-6;
 
   private static final double REPORT_STEPS_PER_UNIT = 1e6;
@@ -224,7 +222,7 @@
    */
   boolean discardIfSettled() {
     boolean recent = context.clock().nowNanos() - lastUsedNanos < windows.lengthNanos();
-    boolean toReport = Math.abs(unreportedUnits) > MIN_REPORTED_UNITS && recent && shared;
+    boolean toReport = Math.abs(unreportedUnits) > REPORT_STEP_UNITS && recent && shared;
     if (!toReport) {
       unreportedUnits = 0;
     }
--- /dev/null
+++ b/edge/src/main/java/edgegateway/policy/scheduling/package-info.java
@@ -0,0 +1,5 @@
+/**
+ * Pending requests, the queue of each request class, and the start-time fair queue over all
+ * classes. {@link edgegateway.policy.scheduling.FairQueue} is the entry.
+ */
+package edgegateway.policy.scheduling;
