--- /dev/null
+++ b/edge/src/test/java/edgegateway/policy/retry/RetryBudgetTest.java
@@ -0,0 +1,36 @@
+package edgegateway.policy.retry;
+
+import static org.junit.jupiter.api.Assertions.assertFalse;
+import static org.junit.jupiter.api.Assertions.assertTrue;
+
+import org.junit.jupiter.api.Test;
+
+class RetryBudgetTest {
+  private final RetryBudget budget = new RetryBudget();
+
+  @Test
+  void startsWithTwentyRetriesAndGainsOneForFiveFirstAttempts() {
+    for (int i = 0; i < 20; i++) {
+      assertTrue(budget.has(1), "retry " + i);
+      budget.acquire(1);
+    }
+    assertFalse(budget.has(1));
+    assertTrue(budget.has(0), "a retry that costs nothing");
+    for (int i = 0; i < 6; i++) {
+      budget.firstAttemptSent();
+    }
+    assertTrue(budget.has(1));
+    assertFalse(budget.has(2));
+  }
+
+  @Test
+  void savesNoMoreThanTwenty() {
+    for (int i = 0; i < 1000; i++) {
+      budget.firstAttemptSent();
+    }
+    assertTrue(budget.has(20));
+    assertFalse(budget.has(20.1));
+    budget.acquire(11);
+    assertFalse(budget.isHalfFull());
+  }
+}
--- /dev/null
+++ b/edge/src/test/java/edgegateway/policy/routing/ZoneTrafficTest.java
@@ -0,0 +1,47 @@
+package edgegateway.policy.routing;
+
+import static org.junit.jupiter.api.Assertions.assertEquals;
+import static org.junit.jupiter.api.Assertions.assertFalse;
+import static org.junit.jupiter.api.Assertions.assertNull;
+import static org.junit.jupiter.api.Assertions.assertTrue;
+
+import edgegateway.policy.api.TrafficRamp;
+import edgegateway.policy.time.EventClock;
+import java.util.Set;
+import org.junit.jupiter.api.Test;
+
+class ZoneTrafficTest {
+  private final EventClock clock = new EventClock(1_000);
+  private final ZoneTraffic zones = new ZoneTraffic(clock);
+
+  @Test
+  void operatorsComeBeforeTheFleetUntilTheirRampIsOver() {
+    zones.setFleetRamp(1, new TrafficRamp(0, 0, 0, 1));
+    assertEquals(0, zones.fraction(1));
+    zones.readmitByOperator(1, 100);
+    clock.set(1_049);
+    assertEquals(0.5, zones.fraction(1), 1e-9);
+    assertTrue(zones.isDecidedByOperator(1));
+    clock.set(1_100);
+    assertEquals(0, zones.fraction(1), "the fleet decides again");
+    assertFalse(zones.isDecidedByOperator(1));
+  }
+
+  @Test
+  void anEjectedZoneGetsNothing() {
+    zones.ejectByOperator(2, 100);
+    assertEquals(0, zones.fraction(2));
+    assertEquals(1, zones.fraction(3));
+    assertEquals(Set.of(2), zones.ejectedByOperator());
+  }
+
+  @Test
+  void aProbeIsGivenOnceAndDroppedByANewRamp() {
+    zones.requestProbe(4);
+    assertEquals(4, zones.pollZoneToProbe());
+    assertNull(zones.pollZoneToProbe());
+    zones.requestProbe(5);
+    zones.setFleetRamp(5, null);
+    assertNull(zones.pollZoneToProbe());
+  }
+}
