--- a/edge/src/main/java/edgegateway/node/ConfigurationReloader.java
+++ b/edge/src/main/java/edgegateway/node/ConfigurationReloader.java
@@ -37,18 +37,18 @@
    */
   void follow(String text) {
     SignalDispositions signals = SignalDispositions.now();
-    if (signals.ignored(SignalDispositions.TERM)) {
+    if (signals.ignored(SignalDispositions.SIGTERM)) {
       log.info(
           "signal_ignored", field("signal", "SIGTERM"), field("use", "drain-on, then SIGKILL"));
     }
-    if (!signals.ignored(SignalDispositions.HUP)) {
+    if (!signals.ignored(SignalDispositions.SIGHUP)) {
       Signal.handle(new Signal("HUP"), signal -> reload());
       return;
     }
     log.info(
         "signal_ignored",
         field("signal", "SIGHUP"),
-        field("config_poll_ms", ConfigFileWatcher.PERIOD_MS));
+        field("config_poll_ms", ConfigFileWatcher.POLL_INTERVAL_MILLIS));
     ConfigFileWatcher watcher = new ConfigFileWatcher(file, text);
     Thread polling = new Thread(() -> poll(watcher), "configuration");
     polling.setDaemon(true);
@@ -58,7 +58,7 @@
   private void poll(ConfigFileWatcher watcher) {
     try {
       while (true) {
-        Thread.sleep(ConfigFileWatcher.PERIOD_MS);
+        Thread.sleep(ConfigFileWatcher.POLL_INTERVAL_MILLIS);
         if (watcher.changed()) {
           reload();
         }
--- a/edge/src/main/java/edgegateway/node/DescriptorBudgetService.java
+++ b/edge/src/main/java/edgegateway/node/DescriptorBudgetService.java
@@ -49,7 +49,7 @@
     NodeConfig now = config.get();
     DescriptorBudget budget =
         DescriptorBudget.of(
-            now.connections(), now.sockets(), processes, upstreamPool.endpointCount());
+            now.connections(), now.maxDescriptors(), processes, upstreamPool.endpointCount());
     current = budget;
     clients.bound(budget);
     upstreamPool.applyBudget(budget);
--- a/edge/src/main/java/edgegateway/node/EdgeNode.java
+++ b/edge/src/main/java/edgegateway/node/EdgeNode.java
@@ -130,25 +130,28 @@
     budget =
         new DescriptorBudgetService(currentConfig, slots, upstreamPool, clients, bufferedBodies);
     ejections = new OperatorEjections(policyEvents, upstreamPool, currentConfig, folder);
-    operatorCommands =
-        new OperatorCommandService(
-            loop,
-            policyEvents,
-            currentConfig,
-            this,
-            clients,
-            upstreamPool,
-            ejections,
-            zoneEjection,
-            budget,
-            metrics,
-            this::updateMetrics,
-            this::descriptorsExhausted);
+    operatorCommands = newOperatorCommands(currentConfig);
     for (String line : budget.allocateForSingleProcess().clamped()) {
       policyActions.log(line);
     }
   }
 
+  private OperatorCommandService newOperatorCommands(Supplier<NodeConfig> currentConfig) {
+    return new OperatorCommandService(
+        loop,
+        policyEvents,
+        currentConfig,
+        this,
+        clients,
+        upstreamPool,
+        ejections,
+        zoneEjection,
+        budget,
+        metrics,
+        this::updateMetrics,
+        this::descriptorsExhausted);
+  }
+
   private NodeConfig config() {
     return config;
   }
@@ -181,7 +184,7 @@
 
   /** Returns when discovery was heard, or has been waited for. */
   private void startDiscovery() throws Exception {
-    loop.submit(() -> discovery.start(config.known().revision())).get();
+    loop.submit(() -> discovery.start(config.knownEndpoints().revision())).get();
     discovery.firstMessage().get();
   }
 
@@ -197,7 +200,7 @@
     GatewayPolicy policy =
         new GatewayPolicy(config.settings(), config.seed(), policyEvents.nowNanos(), policyActions);
     policyEvents.start(policy);
-    endpointLists.endpointListReceived(config.known(), EndpointListKind.CACHED);
+    endpointLists.endpointListReceived(config.knownEndpoints(), EndpointListKind.CACHED);
     refresh();
     loop.scheduleAtFixedRate(
         this::refresh, REFRESH_INTERVAL_NANOS, REFRESH_INTERVAL_NANOS, TimeUnit.NANOSECONDS);
@@ -215,7 +218,8 @@
   }
 
   private void updateMetrics() {
-    metrics.servers(upstreamPool.endpointCount(), policyEvents.policy().avoidedEndpoints().size());
+    metrics.endpointsChanged(
+        upstreamPool.endpointCount(), policyEvents.policy().avoidedEndpoints().size());
     zoneEjection.updateMetrics();
   }
 
--- a/edge/src/main/java/edgegateway/node/EndpointListUpdater.java
+++ b/edge/src/main/java/edgegateway/node/EndpointListUpdater.java
@@ -32,7 +32,7 @@
     upstreamPool.updateEndpoints(list, kind != EndpointListKind.DELTA);
     policyEvents.run(
         (policy, now) -> {
-          metrics.worded(System.nanoTime() - readNanos);
+          metrics.discoveryMessageApplied(System.nanoTime() - readNanos);
           policy.endpointsUpdated(
               now, kind, list.entries().stream().map(EndpointEntry::endpoint).toList());
         });
--- a/edge/src/main/java/edgegateway/node/Main.java
+++ b/edge/src/main/java/edgegateway/node/Main.java
@@ -53,8 +53,8 @@
     NodeConfig config = NodeConfigParser.parse(text);
     EdgeNode node = new EdgeNode(config, sharedFolder());
     boolean upgrade = node.slots.otherLives();
-    if (config.ops() != null) {
-      OperatorServer operators = new OperatorServer(node.operatorCommands(), config.ops());
+    if (config.operators() != null) {
+      OperatorServer operators = new OperatorServer(node.operatorCommands(), config.operators());
       LOG.info("operators_listening", field("address", operators.address()));
     }
     Runtime.getRuntime().addShutdownHook(new Thread(() -> drain(node), "stop"));
--- a/edge/src/main/java/edgegateway/node/NodePolicyActions.java
+++ b/edge/src/main/java/edgegateway/node/NodePolicyActions.java
@@ -72,7 +72,7 @@
         () -> {
           long firedNanos = System.nanoTime();
           stallDetector.tick(firedNanos);
-          metrics.late(firedNanos - dueNanos);
+          metrics.timerFiredLate(firedNanos - dueNanos);
           policyEvents.run((policy, now) -> policy.timerFired(now, token));
         },
         delayNanos,
--- a/edge/src/main/java/edgegateway/node/RequestLifecycle.java
+++ b/edge/src/main/java/edgegateway/node/RequestLifecycle.java
@@ -94,7 +94,7 @@
     if (inFlight.putIfAbsent(request.request.id(), request) != null) {
       return false;
     }
-    metrics.taken();
+    metrics.requestAccepted();
     return true;
   }
 
@@ -114,7 +114,7 @@
   @Override
   public void responseEnded(InFlightRequest request, RequestEnd end) {
     cancelDeadline(request);
-    metrics.ended(request.request.requestClass(), end);
+    metrics.requestEnded(request.request.requestClass(), end);
   }
 
   @Override
@@ -275,7 +275,7 @@
   private InFlightRequest.ResponseWriter answerOnce(InFlightRequest request, RequestEnd end) {
     InFlightRequest.ResponseWriter response = request.answerOnce();
     if (response != null) {
-      metrics.ended(request.request.requestClass(), end);
+      metrics.requestEnded(request.request.requestClass(), end);
     }
     return response;
   }
--- a/edge/src/main/java/edgegateway/node/ZoneEjectionService.java
+++ b/edge/src/main/java/edgegateway/node/ZoneEjectionService.java
@@ -52,12 +52,13 @@
 
   private void tick() {
     policyEvents.run(
-        (policy, now) -> controller.tick(now, metrics.discoverySilence() < DISCOVERY_HEARD_MILLIS));
+        (policy, now) ->
+            controller.tick(now, metrics.discoverySilenceMillis() < DISCOVERY_HEARD_MILLIS));
   }
 
   /** A call to the counter ended; it belongs to the zones' votes or to the policy's quotas. */
   void counterReplied(long name, Outcome outcome, double total) {
-    metrics.counted(outcome == Outcome.OK);
+    metrics.counterCallEnded(outcome == Outcome.OK);
     boolean vote = controller != null && ZoneEjectionController.owns(name);
     policyEvents.run(
         (policy, now) -> {
--- a/edge/src/main/java/edgegateway/node/clients/ClientHttpServer.java
+++ b/edge/src/main/java/edgegateway/node/clients/ClientHttpServer.java
@@ -1098,7 +1098,7 @@
         InFlightRequest about = current;
         if (channel.config().isAutoRead()) {
           // What it has to say is read meanwhile.
-          loop.schedule(then, EventLoopStallDetector.SETTLE, TimeUnit.NANOSECONDS);
+          loop.schedule(then, EventLoopStallDetector.SETTLE_NANOS, TimeUnit.NANOSECONDS);
         } else if (old || asked >= MOST_ASKED) {
           loop.execute(
               () -> {
--- a/edge/src/main/java/edgegateway/node/config/NodeConfig.java
+++ b/edge/src/main/java/edgegateway/node/config/NodeConfig.java
@@ -15,16 +15,16 @@
  * @param discovery where discovery listens; followed when it changes
  * @param counter where the shared quota counter listens, followed when it changes; null where there
  *     is none
- * @param ops where operators call; null where they can't
+ * @param operators where operators call; null where they can't
  * @param seed of all random numbers
- * @param sockets how many descriptors the process may hold; default 1,024
+ * @param maxDescriptors how many descriptors the process may hold; default 1,024
  * @param connections limits on connections, so far as they are set; {@link ConnectionLimits#NONE}
  *     by default
  * @param tls how clients' connections are secured; null, the default, if they are not
  * @param zones how the fleet ejects zones; null, the default, if operators alone do
- * @param known the endpoint list as last had before this start; empty if there was none
- * @param connectTimeout nanoseconds after which a connection counts as not made
- * @param keepAlive nanoseconds after which an archive server closes an idle connection
+ * @param knownEndpoints the endpoint list as last had before this start; empty if there was none
+ * @param connectTimeoutNanos nanoseconds after which a connection counts as not made
+ * @param keepAliveNanos nanoseconds after which an archive server closes an idle connection
  * @param names the names that stand for the settings' indices
  * @param settings what the policy goes by
  */
@@ -32,14 +32,14 @@
     InetSocketAddress listen,
     InetSocketAddress discovery,
     InetSocketAddress counter,
-    InetSocketAddress ops,
+    InetSocketAddress operators,
     long seed,
-    int sockets,
+    int maxDescriptors,
     ConnectionLimits connections,
     TlsTermination.Settings tls,
     ZoneEjectionSettings zones,
-    EndpointList known,
-    long connectTimeout,
-    long keepAlive,
+    EndpointList knownEndpoints,
+    long connectTimeoutNanos,
+    long keepAliveNanos,
     SettingNames names,
     PolicySettings settings) {}
--- a/edge/src/main/java/edgegateway/node/counter/CounterClient.java
+++ b/edge/src/main/java/edgegateway/node/counter/CounterClient.java
@@ -33,7 +33,7 @@
     this.loop = loop;
     address = config.counter();
     timeoutNanos = Math.max(MIN_TIMEOUT_NANOS, config.settings().counter().timeoutNanos());
-    long connectTimeoutMillis = TimeUnit.NANOSECONDS.toMillis(config.connectTimeout());
+    long connectTimeoutMillis = TimeUnit.NANOSECONDS.toMillis(config.connectTimeoutNanos());
     bootstrap =
         new Bootstrap()
             .group(loop)
--- a/edge/src/main/java/edgegateway/node/discovery/DiscoveryClient.java
+++ b/edge/src/main/java/edgegateway/node/discovery/DiscoveryClient.java
@@ -110,7 +110,7 @@
 
   private void poll() {
     long now = System.nanoTime();
-    long silenceNanos = TimeUnit.MILLISECONDS.toNanos(metrics.discoverySilence());
+    long silenceNanos = TimeUnit.MILLISECONDS.toNanos(metrics.discoverySilenceMillis());
     if (!scheduler.isResponsive(now)
         && silenceNanos >= WatchScheduler.WATCH_SILENCE_TIMEOUT_NANOS) {
       silenceLog.watchLost();
--- a/edge/src/main/java/edgegateway/node/discovery/DiscoverySilenceLog.java
+++ b/edge/src/main/java/edgegateway/node/discovery/DiscoverySilenceLog.java
@@ -58,7 +58,7 @@
     if (silent) {
       silent = false;
       nextReport.cancel(false);
-      LOG.info("discovery_recovered", field("silent_ms", metrics.discoverySilence()));
+      LOG.info("discovery_recovered", field("silent_ms", metrics.discoverySilenceMillis()));
     }
   }
 
@@ -66,14 +66,14 @@
     nextReport =
         loop.schedule(
             () -> report(silenceMillis),
-            silenceMillis - metrics.discoverySilence(),
+            silenceMillis - metrics.discoverySilenceMillis(),
             TimeUnit.MILLISECONDS);
   }
 
   private void report(long silenceMillis) {
     LOG.info(
         "discovery_unreachable",
-        field("silent_ms", metrics.discoverySilence()),
+        field("silent_ms", metrics.discoverySilenceMillis()),
         field("address", status.address()),
         field("revision", status.revision()));
     scheduleReport(2 * silenceMillis);
--- a/edge/src/main/java/edgegateway/node/lifecycle/ConfigFileWatcher.java
+++ b/edge/src/main/java/edgegateway/node/lifecycle/ConfigFileWatcher.java
@@ -14,7 +14,7 @@
    * Between two looks: the platform counts what discovery tells as told 4 s after a new
    * configuration.
    */
-  public static final long PERIOD_MS = 500;
+  public static final long POLL_INTERVAL_MILLIS = 500;
 
   /**
    * Writes that follow each other within a tick of the file system's clock may leave the same time.
--- a/edge/src/main/java/edgegateway/node/lifecycle/EventLoopStallDetector.java
+++ b/edge/src/main/java/edgegateway/node/lifecycle/EventLoopStallDetector.java
@@ -9,12 +9,12 @@
  */
 public final class EventLoopStallDetector {
   /** The module's timer comes each 10 ms; one that comes this late tells of a standstill. */
-  static final long LATE = TimeUnit.MILLISECONDS.toNanos(50);
+  static final long LATE_TIMER_NANOS = TimeUnit.MILLISECONDS.toNanos(50);
 
   /**
    * After one the sockets are read, and clients that ended their sending are asked, and may answer.
    */
-  public static final long SETTLE = TimeUnit.MILLISECONDS.toNanos(20);
+  public static final long SETTLE_NANOS = TimeUnit.MILLISECONDS.toNanos(20);
 
   private long ticked;
   private long settled;
@@ -38,8 +38,8 @@
   }
 
   private void look(long now) {
-    if (now - ticked > LATE) {
-      settled = now + SETTLE;
+    if (now - ticked > LATE_TIMER_NANOS) {
+      settled = now + SETTLE_NANOS;
       ticked = now;
     }
   }
--- a/edge/src/main/java/edgegateway/node/lifecycle/SignalDispositions.java
+++ b/edge/src/main/java/edgegateway/node/lifecycle/SignalDispositions.java
@@ -10,13 +10,15 @@
  * every exec, and {@link sun.misc.Signal#handle} then does nothing and says nothing.
  */
 public final class SignalDispositions {
-  /** Signals' numbers on Linux (signal(7)). */
-  public static final int HUP = 1;
+  /** Number of the hang-up signal on Linux (signal(7)). */
+  public static final int SIGHUP = 1;
 
-  public static final int TERM = 15;
+  /** Number of the termination signal on Linux (signal(7)). */
+  public static final int SIGTERM = 15;
 
   private static final Path STATUS = Path.of("/proc/self/status");
   private static final String IGNORED = "SigIgn:";
+  private static final int HEXADECIMAL = 16;
 
   private final long ignored;
 
@@ -38,15 +40,16 @@
    * signal 1.
    */
   public static SignalDispositions parse(String status) {
-    return new SignalDispositions(
-        status
-            .lines()
-            .filter(line -> line.startsWith(IGNORED))
-            .findFirst()
-            .map(line -> Long.parseUnsignedLong(line.substring(IGNORED.length()).strip(), 16))
-            .orElse(0L));
+    for (String line : status.split("\n")) {
+      if (line.startsWith(IGNORED)) {
+        String mask = line.substring(IGNORED.length()).strip();
+        return new SignalDispositions(Long.parseUnsignedLong(mask, HEXADECIMAL));
+      }
+    }
+    return new SignalDispositions(0);
   }
 
+  /** Whether a signal is ignored, by its number. */
   public boolean ignored(int signal) {
     return (ignored >>> signal - 1 & 1) != 0;
   }
--- a/edge/src/main/java/edgegateway/node/metrics/NodeMetrics.java
+++ b/edge/src/main/java/edgegateway/node/metrics/NodeMetrics.java
@@ -64,12 +64,12 @@
   }
 
   /** A request was taken. */
-  public void taken() {
+  public void requestAccepted() {
     inProgress.incrementAndGet();
   }
 
   /** A request has ended; {@code end} is null if its client left before the answer. */
-  public void ended(int requestClass, RequestEnd end) {
+  public void requestEnded(int requestClass, RequestEnd end) {
     inProgress.decrementAndGet();
     if (end != null) {
       endedRequests.incrementAndGet(index(requestClass, end));
@@ -81,12 +81,12 @@
   }
 
   /** An attempt was written whole to an archive server. */
-  public void tried() {
+  public void attemptWritten() {
     attempts.incrementAndGet();
   }
 
   /** A call to the counter has ended; {@code answered} unless it was rejected, late or lost. */
-  public void counted(boolean answered) {
+  public void counterCallEnded(boolean answered) {
     counterCalls.incrementAndGet();
     if (!answered) {
       unansweredCounterCalls.incrementAndGet();
@@ -94,7 +94,7 @@
   }
 
   /** How many endpoints the list holds, and how many of these are avoided. */
-  public void servers(int listed, int avoided) {
+  public void endpointsChanged(int listed, int avoided) {
     listedEndpoints.set(listed);
     avoidedEndpoints.set(avoided);
   }
@@ -113,17 +113,17 @@
   }
 
   /** For how long nothing was heard of discovery, in milliseconds; a line comes every 2 s. */
-  public long discoverySilence() {
+  public long discoverySilenceMillis() {
     return TimeUnit.NANOSECONDS.toMillis(System.nanoTime() - discoveryHeardNanos);
   }
 
   /** A timer of the policy ran this late: for so long the loop was at something else. */
-  public void late(long delayNanos) {
+  public void timerFiredLate(long delayNanos) {
     longestLoopStallNanos = Math.max(longestLoopStallNanos, delayNanos);
   }
 
   /** A message of discovery reached the policy this long after it was read. */
-  public void worded(long waitNanos) {
+  public void discoveryMessageApplied(long waitNanos) {
     longestDiscoveryWaitNanos = Math.max(longestDiscoveryWaitNanos, waitNanos);
   }
 
@@ -155,7 +155,7 @@
     appendLine(text, "skipped_archive_servers", avoidedEndpoints.get());
     appendLine(text, "counter.calls", counterCalls.get());
     appendLine(text, "counter.unanswered", unansweredCounterCalls.get());
-    appendLine(text, "discovery.silent_ms", discoverySilence());
+    appendLine(text, "discovery.silent_ms", discoverySilenceMillis());
     appendLine(text, "discovery.longest_wait_ms", longestDiscoveryWaitMillis());
     appendLine(text, "loop.longest_standstill_ms", longestLoopStallMillis());
     ZoneMetrics currentZones = zones;
--- a/edge/src/main/java/edgegateway/node/upstream/UpstreamAttempt.java
+++ b/edge/src/main/java/edgegateway/node/upstream/UpstreamAttempt.java
@@ -176,7 +176,7 @@
   /** The last byte is written. */
   void writeCompleted() {
     written = true;
-    context.metrics().tried();
+    context.metrics().attemptWritten();
     if (request.upload != null && !ended) {
       sentAtNanos = System.nanoTime();
       timeout.cancel(false);
--- a/edge/src/main/java/edgegateway/node/upstream/UpstreamPool.java
+++ b/edge/src/main/java/edgegateway/node/upstream/UpstreamPool.java
@@ -55,10 +55,10 @@
     context = new UpstreamContext(listener, loop, metrics, bufferedBodies, relays);
     slowStartNanos = config.settings().rules().slowStartNanos();
     requestClasses = config.settings().requestClasses();
-    connector = new UpstreamConnector(context, config.connectTimeout());
+    connector = new UpstreamConnector(context, config.connectTimeoutNanos());
     connections =
         new UpstreamConnectionTable(
-            connector, connectionMetrics, config.seed(), config.keepAlive());
+            connector, connectionMetrics, config.seed(), config.keepAliveNanos());
     loop.scheduleAtFixedRate(
         () -> connections.closeExpired(System.nanoTime()),
         EXPIRY_PERIOD_NANOS,
--- a/edge/src/test/java/edgegateway/node/ConnectionsTest.java
+++ b/edge/src/test/java/edgegateway/node/ConnectionsTest.java
@@ -620,7 +620,7 @@
     }
     EdgeNode node = bounded("{\"clients\":100000}", peer(m -> m.answer(FakePeer.ok("", "x"))));
     assertEquals(1, node.budget().clamped().size());
-    assertEquals(NodeConfigParser.parse(good).sockets(), 1_024);
+    assertEquals(NodeConfigParser.parse(good).maxDescriptors(), 1_024);
     assertTrue(node.budget().clients() < 1_024);
   }
 
--- a/edge/src/test/java/edgegateway/node/SignalsTest.java
+++ b/edge/src/test/java/edgegateway/node/SignalsTest.java
@@ -103,7 +103,7 @@
     servingAt(process);
     assertFalse(
         SignalDispositions.parse(Files.readString(Path.of("/proc/" + process.pid() + "/status")))
-            .ignored(SignalDispositions.HUP));
+            .ignored(SignalDispositions.SIGHUP));
     discovery.next();
     discovery = peer(m -> never.join());
     Files.move(written("next.json"), file, StandardCopyOption.REPLACE_EXISTING);
@@ -138,7 +138,7 @@
               }
             });
     EdgeNode node = start(config());
-    while (node.metrics.discoverySilence() < 50) {
+    while (node.metrics.discoverySilenceMillis() < 50) {
       assertNull(process.onExit().getNow(null));
     }
     assertTrue(
@@ -146,7 +146,7 @@
             .matcher(node.metrics.render())
             .find());
     go.complete(null);
-    while (node.metrics.discoverySilence() >= 50) {
+    while (node.metrics.discoverySilenceMillis() >= 50) {
       assertNull(process.onExit().getNow(null));
     }
   }
@@ -156,10 +156,10 @@
     SignalDispositions read =
         SignalDispositions.parse(
             "SigBlk:\t0000000000000000\nSigIgn:\t0000000000004001\nSigCgt:\t01\n");
-    assertTrue(read.ignored(SignalDispositions.HUP));
-    assertTrue(read.ignored(SignalDispositions.TERM));
+    assertTrue(read.ignored(SignalDispositions.SIGHUP));
+    assertTrue(read.ignored(SignalDispositions.SIGTERM));
     assertFalse(read.ignored(2));
-    assertFalse(SignalDispositions.parse("").ignored(SignalDispositions.HUP));
+    assertFalse(SignalDispositions.parse("").ignored(SignalDispositions.SIGHUP));
   }
 
   @Test
