--- a/edge/src/main/java/edgegateway/node/DescriptorBudgetService.java
+++ b/edge/src/main/java/edgegateway/node/DescriptorBudgetService.java
@@ -51,9 +51,9 @@
         DescriptorBudget.of(
             now.connections(), now.maxDescriptors(), processes, upstreamPool.endpointCount());
     current = budget;
-    clients.bound(budget);
+    clients.applyBudget(budget);
     upstreamPool.applyBudget(budget);
-    bufferedBodies.bound(budget);
+    bufferedBodies.applyBudget(budget);
     return budget;
   }
 
--- a/edge/src/main/java/edgegateway/node/EdgeNode.java
+++ b/edge/src/main/java/edgegateway/node/EdgeNode.java
@@ -269,7 +269,7 @@
   private StateTransfer stopOnLoop(CompletableFuture<Void> done) {
     boolean succeeded = slots.otherTakes();
     slots.take(false);
-    zoneEjection.abstain();
+    zoneEjection.stopVoting();
     clients.stop(done, succeeded);
     return succeeded ? policyEvents.policy().exportState(policyEvents.nowNanos()) : null;
   }
@@ -298,7 +298,7 @@
 
   /** No descriptor is left, for whatever part of the node: clients give up some of theirs. */
   private void descriptorsExhausted() {
-    loop.execute(clients::exhausted);
+    loop.execute(clients::descriptorsExhausted);
   }
 
   @Override
@@ -308,7 +308,7 @@
 
   @Override
   public boolean healthy() {
-    return admitted && discovery.hasStarted() && (!clients.draining() || clients.succeeded());
+    return admitted && discovery.hasStarted() && (!clients.draining() || clients.isSuperseded());
   }
 
   /** What operators can ask of this node; any thread. */
--- a/edge/src/main/java/edgegateway/node/RequestLifecycle.java
+++ b/edge/src/main/java/edgegateway/node/RequestLifecycle.java
@@ -122,7 +122,7 @@
     if (answerOnce(request, null) != null) {
       forgetIfSettled(request);
       runEvent(request, (policy, now) -> policy.clientDisconnected(now, request.request.id()));
-      request.withdraw();
+      request.cancelUnsentAttempt();
     }
   }
 
@@ -130,15 +130,15 @@
   public void clientPossiblyDisconnected(InFlightRequest request) {
     request.lastAttempt = true;
     runEvent(request, (policy, now) -> policy.clientDisconnected(now, request.request.id()));
-    request.withdraw();
-    if (!request.attemptOut) {
+    request.cancelUnsentAttempt();
+    if (!request.attemptInFlight) {
       endWithoutAttempt(request);
     }
   }
 
   /** No attempt follows: rejected if none may have run, since then repeating it is harmless. */
   private void endWithoutAttempt(InFlightRequest request) {
-    if (request.mayHaveRunSince == Long.MIN_VALUE) {
+    if (request.firstPossibleExecutionNanos == Long.MIN_VALUE) {
       reject(request.request.id(), 0);
     } else {
       fail(request);
@@ -155,11 +155,11 @@
       String server,
       double trueUnits,
       ByteBuf body) {
-    request.attemptOut = false;
+    request.attemptInFlight = false;
     if (outcome == Outcome.OK) {
       InFlightRequest.ResponseWriter response = answerOnce(request, RequestEnd.PASSED);
       if (response != null) {
-        response.served(body);
+        response.sendResponse(body);
       }
     }
     reportAttemptEnd(request, outcome, durationNanos, server, trueUnits);
@@ -177,16 +177,18 @@
       String server,
       Runnable onClientGone) {
     // Counted when the long response ends, not here.
-    InFlightRequest.ResponseWriter response = request.answerOnce();
+    InFlightRequest.ResponseWriter response = request.claimResponse();
     if (response == null) {
       return null;
     }
     // The policy's deadline does not bind what follows, and the server has done its work.
     reportAttemptEnd(request, Outcome.OK, durationNanos, server, 0);
-    request.attemptOut = false;
+    request.attemptInFlight = false;
     forgetIfSettled(request);
-    Channel client = response.begun(length, onClientGone);
-    request.overdue = policyEvents.scheduleAt(request.due - FINAL_MARGIN_NANOS, response::cut);
+    Channel client = response.startStream(length, onClientGone);
+    request.clientDeadlineTimer =
+        policyEvents.scheduleAt(
+            request.clientDeadlineNanos - FINAL_MARGIN_NANOS, response::abortUnfinishedResponse);
     return client;
   }
 
@@ -223,12 +225,12 @@
     if (request == null) {
       return null;
     }
-    if (request.answered || request.attemptOut) {
+    if (request.answered || request.attemptInFlight) {
       LOG.warn("attempt_not_allowed", field("error", new IllegalStateException(id)));
       return null;
     }
     request.attempts++;
-    request.attemptOut = true;
+    request.attemptInFlight = true;
     return request;
   }
 
@@ -243,7 +245,7 @@
     InFlightRequest.ResponseWriter response =
         request == null ? null : answerOnce(request, RequestEnd.DROPPED);
     if (response != null) {
-      response.refused(retryAfterNanos);
+      response.sendRejection(retryAfterNanos);
       forgetIfSettled(request);
     }
   }
@@ -259,7 +261,7 @@
   private void fail(InFlightRequest request) {
     InFlightRequest.ResponseWriter response = answerOnce(request, RequestEnd.BAD_GATEWAY);
     if (response != null) {
-      response.failed();
+      response.sendFailure();
       forgetIfSettled(request);
     }
   }
@@ -273,7 +275,7 @@
    * @return where the answer goes; null if the request was answered already
    */
   private InFlightRequest.ResponseWriter answerOnce(InFlightRequest request, RequestEnd end) {
-    InFlightRequest.ResponseWriter response = request.answerOnce();
+    InFlightRequest.ResponseWriter response = request.claimResponse();
     if (response != null) {
       metrics.requestEnded(request.request.requestClass(), end);
     }
@@ -282,7 +284,9 @@
 
   /** Forgets a request once it is answered and no attempt of it is out. */
   private void forgetIfSettled(InFlightRequest request) {
-    if (request.answered && !request.attemptOut && inFlight.remove(request.request.id(), request)) {
+    if (request.answered
+        && !request.attemptInFlight
+        && inFlight.remove(request.request.id(), request)) {
       cancelDeadline(request);
       request.release();
     }
@@ -293,14 +297,14 @@
    * late.
    */
   private void scheduleDeadline(InFlightRequest request, long deadlineNanos) {
-    request.due = deadlineNanos;
-    request.overdue =
+    request.clientDeadlineNanos = deadlineNanos;
+    request.clientDeadlineTimer =
         policyEvents.scheduleAt(deadlineNanos - FINAL_MARGIN_NANOS, () -> deadlineReached(request));
   }
 
   private static void cancelDeadline(InFlightRequest request) {
-    if (request.overdue != null) {
-      request.overdue.cancel(false);
+    if (request.clientDeadlineTimer != null) {
+      request.clientDeadlineTimer.cancel(false);
     }
   }
 
@@ -308,7 +312,7 @@
     if (!request.answered) {
       fail(request);
       policyEvents.run((policy, now) -> policy.clientDisconnected(now, request.request.id()));
-      request.withdraw();
+      request.cancelUnsentAttempt();
     }
   }
 
--- a/edge/src/main/java/edgegateway/node/ZoneEjectionService.java
+++ b/edge/src/main/java/edgegateway/node/ZoneEjectionService.java
@@ -47,7 +47,10 @@
             policy,
             actions);
     loop.scheduleAtFixedRate(
-        this::tick, ZoneEjectionController.TICK, ZoneEjectionController.TICK, TimeUnit.NANOSECONDS);
+        this::tick,
+        ZoneEjectionController.TICK_NANOS,
+        ZoneEjectionController.TICK_NANOS,
+        TimeUnit.NANOSECONDS);
   }
 
   private void tick() {
@@ -59,11 +62,11 @@
   /** A call to the counter ended; it belongs to the zones' votes or to the policy's quotas. */
   void counterReplied(long name, Outcome outcome, double total) {
     metrics.counterCallEnded(outcome == Outcome.OK);
-    boolean vote = controller != null && ZoneEjectionController.owns(name);
+    boolean vote = controller != null && ZoneEjectionController.ownsCounterKey(name);
     policyEvents.run(
         (policy, now) -> {
           if (vote) {
-            controller.counted(now, name, outcome, total);
+            controller.counterReplied(now, name, outcome, total);
           } else {
             policy.counterReplied(now, name, outcome, total);
           }
@@ -71,24 +74,24 @@
   }
 
   /** This process ends and votes no more. */
-  void abstain() {
+  void stopVoting() {
     if (controller != null) {
-      controller.agreement().abstain();
+      controller.consensus().stopVoting();
     }
   }
 
   /** The fleet's decision on a zone; null where zones are ejected by operators alone. */
   ZoneEjectionState decision(int zone) {
-    return controller == null ? null : controller.agreement().verdict(zone);
+    return controller == null ? null : controller.consensus().state(zone);
   }
 
   /** Brings the metrics up to date. */
   void updateMetrics() {
     if (controller != null) {
       metrics.zones(
-          controller.agreement().zonesAway(),
-          controller.agreement().calls(),
-          controller.agreement().trials());
+          controller.consensus().ejectedZones(),
+          controller.consensus().voteCalls(),
+          controller.consensus().probes());
     }
   }
 }
--- a/edge/src/main/java/edgegateway/node/ZoneReport.java
+++ b/edge/src/main/java/edgegateway/node/ZoneReport.java
@@ -32,7 +32,7 @@
             zone.trafficFraction(),
             zone.listedEndpoints(),
             zone.usableEndpoints()));
-    long sinceNanos = fleet == null ? zone.sinceNanos() : fleet.since();
+    long sinceNanos = fleet == null ? zone.sinceNanos() : fleet.sinceNanos();
     if (sinceNanos != 0) {
       text.append(" since_s=").append(TimeUnit.NANOSECONDS.toSeconds(nowNanos - sinceNanos));
     }
@@ -46,14 +46,14 @@
 
   private void appendReason(ZoneEjectionState fleet) {
     String reason =
-        switch (fleet.why()) {
+        switch (fleet.decidedBy()) {
           case NONE -> null;
           case FLEET -> "fleet";
           case ALONE -> "alone";
         };
     if (reason != null) {
       text.append(" why=").append(reason);
-      text.append(" witnesses=").append(fleet.witnesses());
+      text.append(" witnesses=").append(fleet.votes());
       text.append(" relapses=").append(fleet.relapses());
     }
   }
--- a/edge/src/main/java/edgegateway/node/config/OwnSettingsParser.java
+++ b/edge/src/main/java/edgegateway/node/config/OwnSettingsParser.java
@@ -106,10 +106,10 @@
       return null;
     }
     checkKeys(node, "zones", Set.of("verdicts", "most-out-percent", "alone-after-ms"));
-    ZoneEjectionSettings.Verdicts verdicts =
+    ZoneEjectionSettings.DecisionMode verdicts =
         switch (node.path("verdicts").asText()) {
-          case "alone" -> ZoneEjectionSettings.Verdicts.ALONE;
-          case "counter" -> ZoneEjectionSettings.Verdicts.COUNTER;
+          case "alone" -> ZoneEjectionSettings.DecisionMode.ALONE;
+          case "counter" -> ZoneEjectionSettings.DecisionMode.COUNTER;
           default ->
               throw new InvalidConfigException(
                   "zones.verdicts",
@@ -120,9 +120,11 @@
         integer(node, "zones", "alone-after-ms", MIN_ALONE_AFTER_MILLIS, MAX_ALONE_AFTER_MILLIS);
     return new ZoneEjectionSettings(
         verdicts,
-        maxOutPercent == NOT_SET ? ZoneEjectionSettings.MOST_OUT : maxOutPercent / PERCENT,
+        maxOutPercent == NOT_SET
+            ? ZoneEjectionSettings.DEFAULT_MAX_EJECTED_FRACTION
+            : maxOutPercent / PERCENT,
         aloneAfterMillis == NOT_SET
-            ? ZoneEjectionSettings.ALONE_AFTER
+            ? ZoneEjectionSettings.DEFAULT_LOCAL_DECISION_AFTER_NANOS
             : TimeUnit.MILLISECONDS.toNanos(aloneAfterMillis));
   }
 
--- a/edge/src/main/java/edgegateway/node/metrics/NodeMetrics.java
+++ b/edge/src/main/java/edgegateway/node/metrics/NodeMetrics.java
@@ -164,7 +164,7 @@
       appendLine(text, "zones.calls", currentZones.calls());
       appendLine(text, "zones.trials", currentZones.trials());
     }
-    connections.tell((name, value) -> appendLine(text, "connections." + name, value));
+    connections.forEach((name, value) -> appendLine(text, "connections." + name, value));
     return text.toString();
   }
 
