--- a/edge/src/main/java/edgegateway/node/ZoneEjectionService.java
+++ b/edge/src/main/java/edgegateway/node/ZoneEjectionService.java
@@ -55,12 +55,13 @@
 
   private void tick() {
     policyEvents.run(
-        (policy, now) -> controller.tick(now, metrics.discoverySilence() < DISCOVERY_HEARD_MILLIS));
+        (policy, now) ->
+            controller.tick(now, metrics.discoverySilenceMillis() < DISCOVERY_HEARD_MILLIS));
   }
 
   /** A call to the counter ended; it belongs to the zones' votes or to the policy's quotas. */
   void counterReplied(long name, Outcome outcome, double total) {
-    metrics.counted(outcome == Outcome.OK);
+    metrics.counterCallEnded(outcome == Outcome.OK);
     boolean vote = controller != null && ZoneEjectionController.ownsCounterKey(name);
     policyEvents.run(
         (policy, now) -> {
@@ -73,7 +74,7 @@
   }
 
   /** This process ends and votes no more. */
-  void abstain() {
+  void stopVoting() {
     if (controller != null) {
       controller.consensus().stopVoting();
     }
--- a/edge/src/main/java/edgegateway/node/clients/ClientPresenceCheck.java
+++ b/edge/src/main/java/edgegateway/node/clients/ClientPresenceCheck.java
@@ -109,7 +109,7 @@
     InFlightRequest request = session.currentRequest();
     if (channel.config().isAutoRead()) {
       // What the client sent during a stall is read meanwhile.
-      loop.schedule(then, EventLoopStallDetector.SETTLE, TimeUnit.NANOSECONDS);
+      loop.schedule(then, EventLoopStallDetector.SETTLE_NANOS, TimeUnit.NANOSECONDS);
     } else if (persistence.isHttp10() || probesSent >= MAX_PROBES) {
       loop.execute(() -> reportPossiblyDisconnected(request, then));
     } else {
