--- a/edge/src/main/java/edgegateway/node/EdgeNode.java
+++ b/edge/src/main/java/edgegateway/node/EdgeNode.java
@@ -110,7 +110,7 @@
     handoverFile = new HandoverFile(folder);
 
     policyEvents = new PolicyEventLoop(loop);
-    RequestLifecycle requests = new RequestLifecycle(policyEvents, metrics, this);
+    InFlightRequestTable requests = new InFlightRequestTable(policyEvents, metrics, this);
     upstreamPool =
         new UpstreamPool(
             requests, loop, config, connectionMetrics, metrics, bufferedBodies, relays);
@@ -158,9 +158,9 @@
 
   /**
    * Begins to serve; returns when the listening socket is bound, or when the process ends before
-   * that. What discovery's agent has counts as told from the first moment on, and the list as last
-   * had may name servers that leave: nobody is listened to before the agent was heard, or has been
-   * waited for. Not for the loop's thread.
+   * that. The cached endpoint list may name servers that drain by now, so the node listens only
+   * after a first message from discovery, or after having waited for one. Not for the loop's
+   * thread.
    */
   public void start() throws Exception {
     startPolicy();
@@ -208,8 +208,8 @@
   }
 
   /**
-   * Follows what another process of this node was told, and brings up to date the metrics that only
-   * the policy knows.
+   * Applies the ejections that another process of this node wrote, and updates the metrics that
+   * only the policy knows.
    */
   private void refresh() {
     ejections.readChanges();
@@ -223,7 +223,10 @@
     zoneEjection.updateMetrics();
   }
 
-  /** Waits for what the other process knows of its customers; that comes when it is told to end. */
+  /**
+   * Waits for the state that the other process of an upgrade writes when SIGTERM ends it; returns
+   * without it after a time-out.
+   */
   void importPredecessorState() throws InterruptedException {
     for (long waited = 0; waited < HANDOVER_TIMEOUT_MILLIS; waited += HANDOVER_POLL_MILLIS) {
       StateTransfer state = handoverFile.read();
@@ -280,8 +283,9 @@
   }
 
   /**
-   * Follows a new configuration's addresses of discovery and counter, and its limits on
-   * connections; all else stays as it was at the start. Any thread.
+   * Applies a new configuration: the addresses of discovery and of the counter at once, the limits
+   * on connections and descriptors at the next refresh. The policy keeps its settings, so the order
+   * of the zones' names must not change. Any thread.
    */
   void applyConfiguration(NodeConfig next) {
     loop.execute(
--- a/edge/src/main/java/edgegateway/node/RequestLifecycle.java
+++ b/edge/src/main/java/edgegateway/node/InFlightRequestTable.java
@@ -26,7 +26,7 @@
  * and {@link #fail}. {@link #answerOnce} is the one place that settles how a request ends. All
  * methods are for the event loop's thread.
  */
-final class RequestLifecycle implements ClientRequestHandler, AttemptListener {
+final class InFlightRequestTable implements ClientRequestHandler, AttemptListener {
   private static final EventLog LOG = EventLog.console();
 
   /** The policy sees each deadline this much early: its last answer has to reach the client. */
@@ -45,7 +45,7 @@
   private final NodeHealth health;
   private final Map<String, InFlightRequest> inFlight = new HashMap<>();
 
-  RequestLifecycle(PolicyEventLoop policyEvents, NodeMetrics metrics, NodeHealth health) {
+  InFlightRequestTable(PolicyEventLoop policyEvents, NodeMetrics metrics, NodeHealth health) {
     this.policyEvents = policyEvents;
     this.metrics = metrics;
     this.health = health;
--- a/edge/src/main/java/edgegateway/node/NodeHealth.java
+++ b/edge/src/main/java/edgegateway/node/NodeHealth.java
@@ -9,8 +9,9 @@
   boolean ready();
 
   /**
-   * What the front is told. It sees one edge node, be that this process or its successor in an
-   * upgrade: while the successor takes clients, the process that ends goes on saying yes.
+   * The answer to the load balancer's health check. The load balancer sees one node, be that this
+   * process or its successor in an upgrade: while the successor takes clients, the process that
+   * ends stays healthy.
    */
   boolean healthy();
 }
--- a/edge/src/main/java/edgegateway/node/NodePolicyActions.java
+++ b/edge/src/main/java/edgegateway/node/NodePolicyActions.java
@@ -13,7 +13,7 @@
 final class NodePolicyActions implements PolicyActions {
   private final EventLoop loop;
   private final PolicyEventLoop policyEvents;
-  private final RequestLifecycle requests;
+  private final InFlightRequestTable requests;
   private final UpstreamPool upstreamPool;
   private final CounterClient counter;
   private final NodeMetrics metrics;
@@ -22,7 +22,7 @@
   NodePolicyActions(
       EventLoop loop,
       PolicyEventLoop policyEvents,
-      RequestLifecycle requests,
+      InFlightRequestTable requests,
       UpstreamPool upstreamPool,
       CounterClient counter,
       NodeMetrics metrics,
@@ -56,7 +56,7 @@
 
   @Override
   public void healthCheck(String server) {
-    // The site does not allow it, and the policy asks only where the settings do.
+    // The platform allows no health checks; the policy asks only where the settings allow them.
   }
 
   @Override
--- a/edge/src/main/java/edgegateway/node/OperatorEjections.java
+++ b/edge/src/main/java/edgegateway/node/OperatorEjections.java
@@ -42,7 +42,7 @@
     zonesFile = new EjectionFile(folder, ZONES_FILE);
   }
 
-  /** Follows what another process of this node, or one before it, was told. */
+  /** Applies ejections that another process of this node, or an earlier one, wrote. */
   void readChanges() {
     Set<String> endpoints = endpointsFile.changed();
     if (endpoints != null) {
--- a/edge/src/main/java/edgegateway/node/clients/ClientHttpServer.java
+++ b/edge/src/main/java/edgegateway/node/clients/ClientHttpServer.java
@@ -165,7 +165,7 @@
     return acceptor.address();
   }
 
-  /** Whether the front is told to send no clients; any thread. */
+  /** Whether the health check turns clients away; any thread. */
   public boolean draining() {
     return draining;
   }
--- a/edge/src/main/java/edgegateway/node/config/NodeConfig.java
+++ b/edge/src/main/java/edgegateway/node/config/NodeConfig.java
@@ -9,7 +9,7 @@
 import java.net.InetSocketAddress;
 
 /**
- * What a node is told at its start; {@link NodeConfigParser} reads it.
+ * The configuration a node starts with; {@link NodeConfigParser} reads it.
  *
  * @param listen where clients connect
  * @param discovery where discovery listens; followed when it changes
--- a/edge/src/main/java/edgegateway/node/config/NodeConfigParser.java
+++ b/edge/src/main/java/edgegateway/node/config/NodeConfigParser.java
@@ -20,7 +20,7 @@
 
 /**
  * Reads a node's configuration. What cannot be used is refused with one line that names the key; of
- * several faults the first in the order of this class is told. Safe for any thread.
+ * several faults the first in the order of this class is reported. Safe for any thread.
  */
 public final class NodeConfigParser {
   private static final int DEFAULT_DESCRIPTORS = 1_024;
--- a/edge/src/main/java/edgegateway/node/connections/OutboundConnector.java
+++ b/edge/src/main/java/edgegateway/node/connections/OutboundConnector.java
@@ -14,7 +14,7 @@
 
   /**
    * Begins to connect; throws if there is no descriptor for it. Left to the bootstrap, that would
-   * be told on a thread of Netty's own, by a channel that never closes.
+   * be reported on a thread of Netty's own, by a channel that never closes.
    */
   public static ChannelFuture connect(Bootstrap bootstrap, InetSocketAddress to)
       throws IOException {
--- a/edge/src/main/java/edgegateway/node/lifecycle/ConfigFileWatcher.java
+++ b/edge/src/main/java/edgegateway/node/lifecycle/ConfigFileWatcher.java
@@ -11,7 +11,7 @@
  */
 public final class ConfigFileWatcher {
   /**
-   * Between two looks: the platform counts what discovery tells as told 4 s after a new
+   * Time between two polls: the platform expects discovery's changes to be known 4 s after a new
    * configuration.
    */
   public static final long POLL_INTERVAL_MILLIS = 500;
--- a/edge/src/main/java/edgegateway/node/lifecycle/EventLoopStallDetector.java
+++ b/edge/src/main/java/edgegateway/node/lifecycle/EventLoopStallDetector.java
@@ -3,23 +3,23 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * Whether the loop has just stood still: what lies at its sockets may not have been read then, nor
- * answered, and what is known of a client is as old as the standstill is long. Times are
- * nanoseconds of one clock.
+ * Detects stalls of the event loop. Right after a stall, data that arrived meanwhile may be unread,
+ * and what is known of a client is as old as the stall was long. Times are nanoseconds of one
+ * clock; for the event loop's thread.
  */
 public final class EventLoopStallDetector {
-  /** The module's timer comes each 10 ms; one that comes this late tells of a standstill. */
+  /** The policy's timer fires each 10 ms; one that is this late reveals a stall. */
   static final long LATE_TIMER_NANOS = TimeUnit.MILLISECONDS.toNanos(50);
 
   /**
-   * After one the sockets are read, and clients that ended their sending are asked, and may answer.
+   * Time after a stall in which sockets are read and half-closed clients are probed and may answer.
    */
   public static final long SETTLE_NANOS = TimeUnit.MILLISECONDS.toNanos(20);
 
   private long ticked;
   private long settled;
 
-  /** The loop ran now. */
+  /** Starts without a stall. */
   public EventLoopStallDetector(long now) {
     ticked = now;
     settled = now;
--- a/edge/src/main/java/edgegateway/node/metrics/NodeMetrics.java
+++ b/edge/src/main/java/edgegateway/node/metrics/NodeMetrics.java
@@ -103,8 +103,8 @@
    * How many zones are out or on their way by the fleet's decision, calls to the counter about
    * zones, requests sent to try one.
    */
-  public void zones(long away, long calls, long trials) {
-    zones = new ZoneMetrics(away, calls, trials);
+  public void zones(long ejectedZones, long calls, long halfOpenAttempts) {
+    zones = new ZoneMetrics(ejectedZones, calls, halfOpenAttempts);
   }
 
   /** A line of discovery came, or the first one is waited for from now on. */
--- a/edge/src/main/java/edgegateway/node/upstream/UpstreamAttempt.java
+++ b/edge/src/main/java/edgegateway/node/upstream/UpstreamAttempt.java
@@ -226,11 +226,11 @@
   }
 
   /** A complete response came; the body stays the caller's. */
-  void responseReceived(Outcome outcome, double chargedUnits, ByteBuf body) {
-    end(outcome, chargedUnits, body);
+  void responseReceived(Outcome outcome, double trueUnits, ByteBuf body) {
+    end(outcome, trueUnits, body);
   }
 
-  private void end(Outcome outcome, double chargedUnits, ByteBuf body) {
+  private void end(Outcome outcome, double trueUnits, ByteBuf body) {
     if (ended) {
       return;
     }
@@ -249,7 +249,7 @@
     if (!responseForwarded) {
       context
           .listener()
-          .attemptEnded(request, outcome, elapsedNanos(), endpointId, chargedUnits, body);
+          .attemptEnded(request, outcome, elapsedNanos(), endpointId, trueUnits, body);
     }
   }
 
--- a/edge/src/main/java/edgegateway/node/upstream/UpstreamConnectionHandler.java
+++ b/edge/src/main/java/edgegateway/node/upstream/UpstreamConnectionHandler.java
@@ -145,7 +145,8 @@
     long length = HttpUtil.getContentLength(response, -1L);
     if (body == null) {
       long wanted = Math.max(length, INITIAL_BODY_BUFFER_BYTES);
-      body = channel.alloc().buffer((int) Math.min(UpstreamPool.MAX_BUFFERED_BODY_BYTES, wanted));
+      body =
+          channel.alloc().buffer((int) Math.min(UpstreamPool.MAX_BUFFERED_RESPONSE_BYTES, wanted));
       bodyAccount = context.bufferedBodies().newBody(attempt.request().request.customer());
     }
     body.writeBytes(bytes);
@@ -153,7 +154,7 @@
     // Not by the length that it announces: a faulty response may announce what never comes, and no
     // timeout binds one that is forwarded. Shown by
     // LongBodyTest#aResponseShorterThanItsLengthIsNotForwarded.
-    boolean tooLong = body.readableBytes() > UpstreamPool.MAX_BUFFERED_BODY_BYTES;
+    boolean tooLong = body.readableBytes() > UpstreamPool.MAX_BUFFERED_RESPONSE_BYTES;
     if (body.isReadable() && (!accepted || tooLong)) {
       startForwarding(length);
     }
@@ -224,9 +225,8 @@
       answered.request().streamedResponse().endStream(true);
     }
     Outcome outcome = UpstreamResponseClassifier.outcome(finished);
-    double chargedUnits =
-        outcome == Outcome.OK ? UpstreamResponseClassifier.chargedUnits(finished) : 0;
-    answered.responseReceived(outcome, chargedUnits, finishedBody);
+    double trueUnits = outcome == Outcome.OK ? UpstreamResponseClassifier.trueUnits(finished) : 0;
+    answered.responseReceived(outcome, trueUnits, finishedBody);
     finishedBody.release();
     if (finishedAccount != null) {
       finishedAccount.release();
--- a/edge/src/main/java/edgegateway/node/upstream/UpstreamPool.java
+++ b/edge/src/main/java/edgegateway/node/upstream/UpstreamPool.java
@@ -32,7 +32,7 @@
  */
 public final class UpstreamPool {
   /** The longest body that is buffered completely. */
-  public static final int MAX_BUFFERED_BODY_BYTES = 64 * 1024;
+  public static final int MAX_BUFFERED_RESPONSE_BYTES = 64 * 1024;
 
   private static final long EXPIRY_PERIOD_NANOS = TimeUnit.SECONDS.toNanos(1);
 
@@ -80,7 +80,7 @@
   /**
    * Follows the endpoint list. Connections to what is removed, has moved, has restarted or
    * terminates are of no more use: an attempt that waits for one would be sent after the endpoint
-   * was told to leave. Shown by
+   * started to drain. Shown by
    * RaceConditionsTest#anAttemptWaitingForATerminatingEndpointGoesElsewhere.
    *
    * @param complete whether endpoints that the list does not name are removed
--- a/edge/src/main/java/edgegateway/node/upstream/UpstreamRequestWriter.java
+++ b/edge/src/main/java/edgegateway/node/upstream/UpstreamRequestWriter.java
@@ -79,7 +79,7 @@
     attempt.connectionLost();
   }
 
-  /** Time left below 1 ms is told as 1 ms. */
+  /** Time left below 1 ms is sent as 1 ms. */
   private static void setHeaders(HttpRequest message, InFlightRequest request, long timeLeftNanos) {
     long timeLeftMillis = Math.max(1, TimeUnit.NANOSECONDS.toMillis(timeLeftNanos));
     message
--- a/edge/src/main/java/edgegateway/node/zones/ZoneConsensus.java
+++ b/edge/src/main/java/edgegateway/node/zones/ZoneConsensus.java
@@ -217,7 +217,7 @@
   }
 
   /**
-   * The transport told how many nodes cast a vote.
+   * The transport reported how many nodes cast a vote.
    *
    * @param count a whole number; one above the number of nodes is ignored
    */
--- a/edge/src/main/java/edgegateway/node/zones/ZoneEjectionController.java
+++ b/edge/src/main/java/edgegateway/node/zones/ZoneEjectionController.java
@@ -19,7 +19,7 @@
   /** A returning zone gets at most this fraction of what overloads an endpoint in slow start. */
   private static final double OVERLOAD_MARGIN = 0.8;
 
-  /** Twice the time in which discovery tells of a restart: a ramp where it told of none. */
+  /** Twice the time within which discovery reports a restart: the ramp where it reported none. */
   private static final long RAMP_NANOS = 2_000_000_000L;
 
   private static final double MIN_DIVISOR = 1e-9;
--- a/edge/src/main/java/edgegateway/node/zones/ZoneStateMachine.java
+++ b/edge/src/main/java/edgegateway/node/zones/ZoneStateMachine.java
@@ -9,7 +9,8 @@
 import java.util.SplittableRandom;
 
 /**
- * Ejection and return of one zone, as one node sees it: IN, SUSPECT, LEAVING, OUT, RETURNING, IN.
+ * Ejection and return of one zone, as one node sees it: in use, suspected, traffic ramping down,
+ * ejected, traffic ramping up, in use.
  */
 final class ZoneStateMachine {
   private static final long NEVER = Long.MIN_VALUE;
@@ -17,7 +18,7 @@
   /** How long a suspicion outlives its evidence: a node that avoids the zone sees no more of it. */
   private static final long SUSPICION_HOLD_NANOS = 4_000_000_000L;
 
-  /** A longer gap in the evidence begins a suspicion anew. */
+  /** A longer gap in the evidence restarts a suspicion. */
   private static final long MAX_SUSPICION_GAP_NANOS = 1_000_000_000L;
 
   /** Failure excess from which a node asks for votes without casting one. */
@@ -121,7 +122,7 @@
       case IN, SUSPECT -> watch(nowNanos, health, failing, comparable);
       case LEAVING -> leave(nowNanos);
       case OUT -> probe(nowNanos, health);
-      case RETURNING -> comeBack(nowNanos, health, failing);
+      case RETURNING -> advanceReturn(nowNanos, health, failing);
     }
   }
 
@@ -185,7 +186,7 @@
     }
   }
 
-  /** The counter told how many nodes voted so. */
+  /** The counter reported how many nodes cast this vote. */
   void votesCounted(long nowNanos, ZoneVote vote, int count) {
     // Votes from before the zone's return, or its last ejection, are not about its present state.
     boolean outdated =
@@ -283,7 +284,7 @@
     actions.log("zone_returning" + decision(by, count));
   }
 
-  private void comeBack(long nowNanos, ZoneHealth health, boolean failing) {
+  private void advanceReturn(long nowNanos, ZoneHealth health, boolean failing) {
     if (attemptsBefore == NEVER) {
       attemptsBefore = health.totalAttempts();
       failuresBefore = health.totalFailures();
--- a/edge/src/main/java/edgegateway/policy/GatewayPolicy.java
+++ b/edge/src/main/java/edgegateway/policy/GatewayPolicy.java
@@ -49,7 +49,7 @@
   /**
    * Creates the policy of a node that starts now.
    *
-   * @param settings what the node is told at its start
+   * @param settings the settings that the node starts with
    * @param seed the seed of the policy's one source of randomness
    * @param nowNanos the present moment, in nanoseconds of the clock that all events use
    * @param actions what the policy asks of its host
--- a/edge/src/main/java/edgegateway/policy/RequestLifecycle.java
+++ b/edge/src/main/java/edgegateway/policy/RequestLifecycle.java
@@ -89,7 +89,7 @@
     SendPermit cap = concurrencyCaps.of(request.customer(), quota.plan(), quota.nodes());
     PendingRequest pending = queues.newRequest(request, reservation, cap);
     requests.put(request.id(), pending);
-    if (deadlines.isUnreachable(pending)) {
+    if (deadlines.cannotMeetObjective(pending)) {
       // The next look at the queue would be too late for some.
       giveUp(pending);
     } else {
@@ -154,7 +154,7 @@
   /** Gives up the requests that have waited too long; a short deadline may be behind a long one. */
   void giveUpLate() {
     for (RequestClassQueue queue : queues.queues()) {
-      for (PendingRequest request : queue.matching(deadlines::isUnreachable)) {
+      for (PendingRequest request : queue.matching(deadlines::cannotMeetObjective)) {
         queue.remove(request);
         giveUp(request);
       }
@@ -168,7 +168,7 @@
       if (next == null) {
         return;
       }
-      if (deadlines.isUnreachable(next)) {
+      if (deadlines.cannotMeetObjective(next)) {
         next.queue().remove(next);
         giveUp(next);
         continue;
--- a/edge/src/main/java/edgegateway/policy/admission/DeadlinePolicy.java
+++ b/edge/src/main/java/edgegateway/policy/admission/DeadlinePolicy.java
@@ -24,7 +24,7 @@
   }
 
   /** Whether a request can't be answered by its latency objective if it is sent now. */
-  public boolean isUnreachable(PendingRequest request) {
+  public boolean cannotMeetObjective(PendingRequest request) {
     long neededNanos =
         request.attempts() == 0
             ? Durations.toNanos(FIRST_ATTEMPT_SERVICE_TIMES * request.expectedServiceSeconds())
--- a/edge/src/main/java/edgegateway/policy/admission/RetryAfterPolicy.java
+++ b/edge/src/main/java/edgegateway/policy/admission/RetryAfterPolicy.java
@@ -4,7 +4,7 @@
 import edgegateway.policy.time.Durations;
 import java.util.SplittableRandom;
 
-/** Decides what a rejected client is told about when to come back. */
+/** Decides the Retry-After of a rejected request. */
 public final class RetryAfterPolicy {
   private static final double MAX_OVER_CAPACITY_SECONDS = 2;
   private static final double MIN_SPREAD = 0.5;
--- a/edge/src/main/java/edgegateway/policy/api/RequestLimits.java
+++ b/edge/src/main/java/edgegateway/policy/api/RequestLimits.java
@@ -1,12 +1,12 @@
 package edgegateway.policy.api;
 
 /**
- * What the site allows a node.
+ * Limits that the settings place on a node.
  *
  * @param maxAttempts attempts of one request, the first included
  * @param maxInFlight requests that a node may hold at once
  * @param healthChecksAllowed whether {@link PolicyActions#healthCheck} may be asked for
- * @param retryAfterAllowed whether clients are told when to try again
+ * @param retryAfterAllowed whether clients get a Retry-After
  * @param maxRetryAfterNanos the longest such advice that clients follow, nanoseconds
  * @param subscribesToEndpoints whether changes of the endpoint list must be subscribed to
  */
--- a/edge/src/main/java/edgegateway/policy/quota/CustomerQuota.java
+++ b/edge/src/main/java/edgegateway/policy/quota/CustomerQuota.java
@@ -97,7 +97,8 @@
   }
 
   /**
-   * Decides on a request: at once on fresh news, else after the counter has been told of its units.
+   * Decides on a request: at once if the estimate is fresh, else after its units were reported to
+   * the counter.
    *
    * @param priorityWeight the weight of the request's class
    * @param objectiveNanos the moment by which the request should be answered
@@ -143,14 +144,14 @@
   }
 
   /**
-   * Decides on a charged request: by the total just told, by the estimate, or, with stale news, by
-   * the local share. An over-quota request is admitted where it earns more than it costs.
+   * Decides on a charged request: by the total just reported, by the estimate, or, if that is
+   * stale, by the local share. An over-quota request is admitted where it earns more than it costs.
    *
-   * @param totalTold whether the counter's reply to this request has just been applied
+   * @param totalJustReported whether the counter's reply to this request has just been applied
    */
-  QuotaDecision decide(QuotaReservation reservation, boolean totalTold) {
+  QuotaDecision decide(QuotaReservation reservation, boolean totalJustReported) {
     double units = reservation.units();
-    boolean within = plan.unitsPerSecond() <= 0 || hasRoom(units, totalTold);
+    boolean within = plan.unitsPerSecond() <= 0 || hasRoom(units, totalJustReported);
     reservation.setWithinQuota(within);
     if (within) {
       localShare = Math.max(0, localShare - units);
@@ -163,13 +164,13 @@
     return reservation.reject((units - estimate.tokens()) / plan.unitsPerSecond());
   }
 
-  private boolean hasRoom(double units, boolean totalTold) {
+  private boolean hasRoom(double units, boolean totalJustReported) {
     if (nodes > 1 && estimate.isStale()) {
       return localShare >= units;
     }
     // Until the next report, remote usage goes on unseen.
     double reserve =
-        totalTold
+        totalJustReported
             ? 0
             : estimate.remoteUnitsPerSecond() * REPORT_PERIOD_NANOS * Durations.SECONDS_PER_NANO;
     return estimate.tokens() >= reserve;
--- a/edge/src/main/java/edgegateway/policy/quota/QuotaManager.java
+++ b/edge/src/main/java/edgegateway/policy/quota/QuotaManager.java
@@ -102,11 +102,11 @@
    * Replaces the units of a served request by the true ones, if the settings say that answers tell
    * them, this one did, and the request was within the quota.
    *
-   * @param trueUnits the true units; 0 if not told
+   * @param trueUnits the true units; 0 if the server named none
    */
   public void requestServed(QuotaReservation reservation, double trueUnits) {
-    boolean told = settings.counter().reportsTrueUnits() && trueUnits > 0;
-    if (told && reservation.withinQuota()) {
+    boolean hasTrueUnits = settings.counter().reportsTrueUnits() && trueUnits > 0;
+    if (hasTrueUnits && reservation.withinQuota()) {
       reservation.quota().correct(reservation, trueUnits);
     }
   }
--- a/edge/src/main/java/edgegateway/policy/quota/UnreportedUsage.java
+++ b/edge/src/main/java/edgegateway/policy/quota/UnreportedUsage.java
@@ -4,7 +4,7 @@
 import java.util.LinkedHashSet;
 import java.util.Set;
 
-/** The quotas with usage that the counter has not been told, and the order of telling it. */
+/** The quotas with usage not yet reported to the counter, and the order of reporting it. */
 final class UnreportedUsage {
   private final EventClock clock;
   private final CounterCallBudget budget;
--- a/edge/src/main/java/edgegateway/policy/quota/UsageEstimate.java
+++ b/edge/src/main/java/edgegateway/policy/quota/UsageEstimate.java
@@ -71,7 +71,7 @@
     return predictedRemoteUsage;
   }
 
-  /** When the counter last told a total. */
+  /** When the counter last reported a total. */
   long lastUpdateNanos() {
     return lastUpdateNanos;
   }
@@ -114,9 +114,9 @@
   /**
    * Corrects the estimate by a total from the counter.
    *
-   * @param reportedUnits the units that the call which told it had added
+   * @param reportedUnits the units that the reporting call had added
    * @param total the units of all nodes in the present window
-   * @param unreportedUnits units used here that no call has told yet
+   * @param unreportedUnits units used here that no call has reported yet
    */
   void applyTotal(double reportedUnits, double total, double unreportedUnits) {
     double remoteTotal = total - localUsage;
@@ -156,7 +156,7 @@
   /**
    * Goes on from the estimate of the process that this one replaces.
    *
-   * @param unreportedUnits units used here so far that no call has told
+   * @param unreportedUnits units used here so far that no call has reported
    */
   void importFrom(QuotaUsage usage, double unreportedUnits) {
     // Some requests may have come already: they were taken from a bucket that was thought full.
--- a/edge/src/main/java/edgegateway/policy/routing/EndpointRouter.java
+++ b/edge/src/main/java/edgegateway/policy/routing/EndpointRouter.java
@@ -201,7 +201,7 @@
     return inProgress;
   }
 
-  /** Takes over the load that a health check told; unknown endpoints are ignored. */
+  /** Stores the load that a health check reported; unknown endpoints are ignored. */
   public void healthChecked(String id, List<Double> report) {
     EndpointTracker endpoint = registry.get(id);
     if (endpoint != null) {
--- a/edge/src/main/java/edgegateway/policy/routing/EndpointStatistics.java
+++ b/edge/src/main/java/edgegateway/policy/routing/EndpointStatistics.java
@@ -36,7 +36,10 @@
   private double latencyRatio;
   private double errorRate;
   private long lastResultNanos;
+
+  /** Whether the last log line said that the endpoint is ejected as an outlier. */
   private boolean ejected;
+
   private boolean lastFailed;
   private boolean lastUnanswered;
 
@@ -134,6 +137,10 @@
     };
   }
 
+  /**
+   * Logs when the endpoint becomes an outlier and when it no longer is. An outlier is not barred:
+   * its error rate makes its score so bad that it is chosen only where nothing better is left.
+   */
   private void updateEjection(Endpoint endpoint, Outcome cause) {
     boolean outlier = errorRate > EJECTION_ERROR_RATE;
     if (outlier == ejected) {
--- a/edge/src/main/java/edgegateway/policy/routing/LoadReports.java
+++ b/edge/src/main/java/edgegateway/policy/routing/LoadReports.java
@@ -25,7 +25,8 @@
   /**
    * Returns the load that a report tells, and counts it into the average.
    *
-   * @param report the values; empty if the endpoint told none, which does not make it idle
+   * @param report the values; empty if the endpoint reported none, which does not mean that it is
+   *     idle
    */
   double read(List<Double> report) {
     double load = report.isEmpty() ? 1 + 2 * averageLoad : 0;
--- a/edge/src/main/java/edgegateway/protocol/Json.java
+++ b/edge/src/main/java/edgegateway/protocol/Json.java
@@ -48,9 +48,9 @@
   }
 
   /**
-   * The object in {@code text}, but for the items of its array {@code list}: each is told and not
-   * kept, so that a long list is never a tree as a whole. What is told before a fault in the text
-   * is told all the same.
+   * The object in {@code text}, but for the items of its array {@code list}: each is handed over
+   * and not kept, so that a long list is never a complete tree. Items before a fault in the text
+   * are handed over all the same.
    */
   public static <E extends Exception> JsonNode read(String text, String list, ItemHandler<E> items)
       throws JsonProcessingException, E {
