--- a/testbed/src/test/java/edgegateway/testbed/fakes/http/HttpFakesTest.java
+++ b/testbed/src/test/java/edgegateway/testbed/fakes/http/HttpFakesTest.java
@@ -139,10 +139,10 @@
             "t-1 k",
             "t-1 SERVED",
             "t-2 k",
-            "t-2 REPEATED",
+            "t-2 DEDUPLICATED",
             "long null",
             "t-3 null",
-            "t-3 TURNED_AWAY"),
+            "t-3 REJECTED"),
         history);
     server.close();
     assertThrows(IOException.class, () -> client.in.read(), "its connections were not reset");
@@ -296,7 +296,7 @@
         new Client(new InetSocketAddress("127.1.2.4", servers.address().getPort()))
             .send("GET /api", "X-Trace-Id: t-2")
             .answer());
-    assertEquals(List.of("long", "t-1", "t-1 TURNED_AWAY", "t-2", "t-2 SERVED"), history);
+    assertEquals(List.of("long", "t-1", "t-1 REJECTED", "t-2", "t-2 SERVED"), history);
     assertEquals(3, servers.traffic().opened());
     assertEquals(3, servers.traffic().open());
     assertEquals(
