--- a/edge/src/main/java/edgegateway/node/InFlightRequestTable.java
+++ b/edge/src/main/java/edgegateway/node/InFlightRequestTable.java
@@ -153,7 +153,7 @@
       Outcome outcome,
       long durationNanos,
       String server,
-      double trueUnits,
+      double actualUnits,
       ByteBuf body) {
     request.attemptInFlight = false;
     if (outcome == Outcome.OK) {
@@ -162,7 +162,7 @@
         response.sendResponse(body);
       }
     }
-    reportAttemptEnd(request, outcome, durationNanos, server, trueUnits);
+    reportAttemptEnd(request, outcome, durationNanos, server, actualUnits);
     if (request.lastAttempt) {
       endWithoutAttempt(request);
     }
--- a/edge/src/main/java/edgegateway/node/WarmUp.java
+++ b/edge/src/main/java/edgegateway/node/WarmUp.java
@@ -123,7 +123,7 @@
         settings.quotaPlans(),
         settings.limits(),
         new CounterSettings(
-            false, counter.timeoutNanos(), counter.reportsTrueUnits(), counter.maxRequestUnits()),
+            false, counter.timeoutNanos(), counter.reportsActualUnits(), counter.maxRequestUnits()),
         settings.rules());
   }
 
--- a/edge/src/main/java/edgegateway/node/requests/AttemptListener.java
+++ b/edge/src/main/java/edgegateway/node/requests/AttemptListener.java
@@ -13,7 +13,7 @@
    * An attempt ended. Called once for each attempt, unless {@link #responseStarted} was.
    *
    * @param durationNanos time since the attempt was sent
-   * @param trueUnits the units charged in place of the estimate; 0 if the server named none
+   * @param actualUnits the units charged in place of the estimate; 0 if the server named none
    * @param body the complete body of a successful response, which stays the caller's; else null
    */
   void attemptEnded(
@@ -21,7 +21,7 @@
       Outcome outcome,
       long durationNanos,
       String server,
-      double trueUnits,
+      double actualUnits,
       ByteBuf body);
 
   /**
--- a/edge/src/main/java/edgegateway/node/upstream/UpstreamAttempt.java
+++ b/edge/src/main/java/edgegateway/node/upstream/UpstreamAttempt.java
@@ -226,11 +226,11 @@
   }
 
   /** A complete response came; the body stays the caller's. */
-  void responseReceived(Outcome outcome, double trueUnits, ByteBuf body) {
-    end(outcome, trueUnits, body);
+  void responseReceived(Outcome outcome, double actualUnits, ByteBuf body) {
+    end(outcome, actualUnits, body);
   }
 
-  private void end(Outcome outcome, double trueUnits, ByteBuf body) {
+  private void end(Outcome outcome, double actualUnits, ByteBuf body) {
     if (ended) {
       return;
     }
@@ -249,7 +249,7 @@
     if (!responseForwarded) {
       context
           .listener()
-          .attemptEnded(request, outcome, elapsedNanos(), endpointId, trueUnits, body);
+          .attemptEnded(request, outcome, elapsedNanos(), endpointId, actualUnits, body);
     }
   }
 
--- a/edge/src/main/java/edgegateway/node/upstream/UpstreamConnectionHandler.java
+++ b/edge/src/main/java/edgegateway/node/upstream/UpstreamConnectionHandler.java
@@ -225,8 +225,9 @@
       answered.request().streamedResponse().endStream(true);
     }
     Outcome outcome = UpstreamResponseClassifier.outcome(finished);
-    double trueUnits = outcome == Outcome.OK ? UpstreamResponseClassifier.trueUnits(finished) : 0;
-    answered.responseReceived(outcome, trueUnits, finishedBody);
+    double actualUnits =
+        outcome == Outcome.OK ? UpstreamResponseClassifier.actualUnits(finished) : 0;
+    answered.responseReceived(outcome, actualUnits, finishedBody);
     finishedBody.release();
     if (finishedAccount != null) {
       finishedAccount.release();
--- a/edge/src/main/java/edgegateway/node/upstream/UpstreamResponseClassifier.java
+++ b/edge/src/main/java/edgegateway/node/upstream/UpstreamResponseClassifier.java
@@ -36,7 +36,7 @@
   }
 
   /** The quota units charged; 0 if the response names no positive number. */
-  static double trueUnits(HttpResponse response) {
+  static double actualUnits(HttpResponse response) {
     String charged = response.headers().get(UpstreamHeaders.UNITS_CHARGED);
     if (charged == null) {
       return 0;
--- a/edge/src/main/java/edgegateway/policy/RequestLifecycle.java
+++ b/edge/src/main/java/edgegateway/policy/RequestLifecycle.java
@@ -206,7 +206,7 @@
     inFlight.attemptEnded(inProgress, result.durationNanos());
     request.queue().attemptEnded(request, result, clock.nowNanos());
     if (result.outcome() == Outcome.OK) {
-      quotas.requestServed(request.reservation(), result.trueUnits());
+      quotas.requestServed(request.reservation(), result.actualUnits());
     }
     if (result.requestComplete() || request.isClientGone()) {
       finish(request);
--- a/edge/src/main/java/edgegateway/policy/api/AttemptResult.java
+++ b/edge/src/main/java/edgegateway/policy/api/AttemptResult.java
@@ -12,8 +12,8 @@
  * @param requestComplete true if the client has its final answer, by this outcome or before, and
  *     the policy must not answer any more
  * @param attemptIndex number of the attempt within its request, from 0
- * @param trueUnits quota units that the request took in fact, in place of {@link Request#units}; 0
- *     if unknown
+ * @param actualUnits quota units that the request took in fact, in place of {@link Request#units};
+ *     0 if unknown
  * @param loadReport values of the endpoint's load report, in the order of {@link
  *     PolicySettings#loadReportNames}; empty if there was none
  */
@@ -24,5 +24,5 @@
     String endpointId,
     boolean requestComplete,
     int attemptIndex,
-    double trueUnits,
+    double actualUnits,
     List<Double> loadReport) {}
--- a/edge/src/main/java/edgegateway/policy/api/CounterSettings.java
+++ b/edge/src/main/java/edgegateway/policy/api/CounterSettings.java
@@ -6,9 +6,9 @@
  * @param present whether there is one; if not, quotas are divided over the nodes
  * @param timeoutNanos after this time, in nanoseconds, a call without an answer ends as {@link
  *     Outcome#TIMEOUT}
- * @param reportsTrueUnits whether {@link AttemptResult#trueUnits} is given, so that {@link
+ * @param reportsActualUnits whether {@link AttemptResult#actualUnits} is given, so that {@link
  *     Request#units} is only an estimate
  * @param maxRequestUnits quota units of the largest request
  */
 public record CounterSettings(
-    boolean present, long timeoutNanos, boolean reportsTrueUnits, double maxRequestUnits) {}
+    boolean present, long timeoutNanos, boolean reportsActualUnits, double maxRequestUnits) {}
--- a/edge/src/main/java/edgegateway/policy/api/Request.java
+++ b/edge/src/main/java/edgegateway/policy/api/Request.java
@@ -9,7 +9,7 @@
  * @param customer key of the customer, 0 or more
  * @param deadlineNanos when the client stops waiting, on the policy's clock
  * @param units what it takes from the quota; an estimate where {@link
- *     CounterSettings#reportsTrueUnits}
+ *     CounterSettings#reportsActualUnits}
  * @param gatewayCount number of nodes that this customer's requests come through, at least 1
  * @param firstGateway index of the first of these nodes; the others follow in sequence, and index 0
  *     follows the last
--- a/edge/src/main/java/edgegateway/policy/quota/CustomerQuota.java
+++ b/edge/src/main/java/edgegateway/policy/quota/CustomerQuota.java
@@ -179,8 +179,8 @@
   /**
    * Replaces the units of a request within the quota by the true ones, which came with an answer.
    */
-  void correct(QuotaReservation reservation, double trueUnits) {
-    consume(trueUnits - reservation.units());
+  void correct(QuotaReservation reservation, double actualUnits) {
+    consume(actualUnits - reservation.units());
   }
 
   /** Gives back what a request holds that was never sent. */
--- a/edge/src/main/java/edgegateway/policy/quota/QuotaManager.java
+++ b/edge/src/main/java/edgegateway/policy/quota/QuotaManager.java
@@ -102,12 +102,12 @@
    * Replaces the units of a served request by the true ones, if the settings say that answers tell
    * them, this one did, and the request was within the quota.
    *
-   * @param trueUnits the true units; 0 if the server named none
+   * @param actualUnits the actual units; 0 if the server named none
    */
-  public void requestServed(QuotaReservation reservation, double trueUnits) {
-    boolean hasTrueUnits = settings.counter().reportsTrueUnits() && trueUnits > 0;
-    if (hasTrueUnits && reservation.withinQuota()) {
-      reservation.quota().correct(reservation, trueUnits);
+  public void requestServed(QuotaReservation reservation, double actualUnits) {
+    boolean hasActualUnits = settings.counter().reportsActualUnits() && actualUnits > 0;
+    if (hasActualUnits && reservation.withinQuota()) {
+      reservation.quota().correct(reservation, actualUnits);
     }
   }
 
--- a/edge/src/main/java/edgegateway/protocol/PolicySettingsReader.java
+++ b/edge/src/main/java/edgegateway/protocol/PolicySettingsReader.java
@@ -145,7 +145,7 @@
     return new CounterSettings(
         flag(SettingKeys.Counter.PRESENT),
         whole(SettingKeys.Counter.TIMEOUT_NANOS),
-        flag(SettingKeys.Counter.REPORTS_TRUE_UNITS),
+        flag(SettingKeys.Counter.REPORTS_ACTUAL_UNITS),
         number(SettingKeys.Counter.MAX_REQUEST_UNITS));
   }
 
--- a/edge/src/main/java/edgegateway/protocol/SettingKeys.java
+++ b/edge/src/main/java/edgegateway/protocol/SettingKeys.java
@@ -148,8 +148,8 @@
     /** Duration: {@code CounterSettings.timeoutNanos}. */
     static final String TIMEOUT_NANOS = "domain.count-wait-ns";
 
-    /** Truth value: {@code CounterSettings.reportsTrueUnits}. */
-    static final String REPORTS_TRUE_UNITS = "domain.trued-up";
+    /** Truth value: {@code CounterSettings.reportsActualUnits}. */
+    static final String REPORTS_ACTUAL_UNITS = "domain.trued-up";
 
     /** Units: {@code CounterSettings.maxRequestUnits}. */
     static final String MAX_REQUEST_UNITS = "domain.units-top";
--- a/edge/src/test/java/edgegateway/node/upstream/UpstreamConnectionHandlerTest.java
+++ b/edge/src/test/java/edgegateway/node/upstream/UpstreamConnectionHandlerTest.java
@@ -80,10 +80,10 @@
       Outcome outcome,
       long durationNanos,
       String server,
-      double trueUnits,
+      double actualUnits,
       ByteBuf body) {
     String text = body == null ? "" : " " + body.toString(StandardCharsets.US_ASCII);
-    ends.add(request.request.id() + " " + outcome + " " + trueUnits + text);
+    ends.add(request.request.id() + " " + outcome + " " + actualUnits + text);
     openAtEnd = channel.isActive();
   }
 
--- a/edge/src/test/java/edgegateway/node/upstream/UpstreamResponseClassifierTest.java
+++ b/edge/src/test/java/edgegateway/node/upstream/UpstreamResponseClassifierTest.java
@@ -26,7 +26,7 @@
   private static double units(String charged) {
     HttpResponse response = response(200);
     response.headers().set("x-units-charged", charged);
-    return UpstreamResponseClassifier.trueUnits(response);
+    return UpstreamResponseClassifier.actualUnits(response);
   }
 
   @Test
@@ -52,7 +52,7 @@
     for (String none : List.of("", "x", "-1", "0", "NaN", "Infinity")) {
       assertEquals(0, units(none), none);
     }
-    assertEquals(0, UpstreamResponseClassifier.trueUnits(response(200)));
+    assertEquals(0, UpstreamResponseClassifier.actualUnits(response(200)));
   }
 
   @Test
