--- a/edge/src/main/java/edgegateway/node/upgrade/HandoverFile.java
+++ b/edge/src/main/java/edgegateway/node/upgrade/HandoverFile.java
@@ -100,7 +100,7 @@
   private static void encode(QuotaUsage usage, DataOutputStream out) throws IOException {
     out.writeLong(usage.customer());
     out.writeInt(usage.plan());
-    out.writeInt(usage.gatewayCount());
+    out.writeInt(usage.customerNodeCount());
     out.writeLong(usage.window());
     out.writeDouble(usage.localUsage());
     out.writeDouble(usage.remoteUsage());
@@ -133,7 +133,7 @@
   private static QuotaUsage decodeUsage(DataInputStream in) throws IOException {
     long customer = in.readLong();
     int plan = in.readInt();
-    int gatewayCount = in.readInt();
+    int customerNodeCount = in.readInt();
     long window = in.readLong();
     double localUsage = in.readDouble();
     double remoteUsage = in.readDouble();
@@ -146,7 +146,7 @@
     return new QuotaUsage(
         customer,
         plan,
-        gatewayCount,
+        customerNodeCount,
         window,
         localUsage,
         remoteUsage,
--- a/edge/src/main/java/edgegateway/policy/api/QuotaUsage.java
+++ b/edge/src/main/java/edgegateway/policy/api/QuotaUsage.java
@@ -5,7 +5,7 @@
  *
  * @param customer key of the customer
  * @param plan index of its quota plan
- * @param gatewayCount number of nodes that the customer's requests come through
+ * @param customerNodeCount number of nodes that the customer's requests come through
  * @param window number of the present counting window; {@link Long#MIN_VALUE} before the first
  * @param localUsage units that this node added to the counter in that window
  * @param remoteUsage units that the other nodes added in that window, as of the last answer
@@ -20,7 +20,7 @@
 public record QuotaUsage(
     long customer,
     int plan,
-    int gatewayCount,
+    int customerNodeCount,
     long window,
     double localUsage,
     double remoteUsage,
--- a/edge/src/main/java/edgegateway/policy/api/Request.java
+++ b/edge/src/main/java/edgegateway/policy/api/Request.java
@@ -10,9 +10,9 @@
  * @param deadlineNanos when the client stops waiting, on the policy's clock
  * @param units what it takes from the quota; an estimate where {@link
  *     CounterSettings#reportsActualUnits}
- * @param gatewayCount number of nodes that this customer's requests come through, at least 1
- * @param firstGateway index of the first of these nodes; the others follow in sequence, and index 0
- *     follows the last
+ * @param customerNodeCount number of nodes that this customer's requests come through, at least 1
+ * @param firstCustomerNode index of the first of these nodes; the others follow in sequence, and
+ *     index 0 follows the last
  * @param clientRetry whether the client marked it as a retry
  */
 public record Request(
@@ -22,6 +22,6 @@
     long customer,
     long deadlineNanos,
     double units,
-    int gatewayCount,
-    int firstGateway,
+    int customerNodeCount,
+    int firstCustomerNode,
     boolean clientRetry) {}
--- a/edge/src/main/java/edgegateway/policy/quota/QuotaManager.java
+++ b/edge/src/main/java/edgegateway/policy/quota/QuotaManager.java
@@ -61,7 +61,7 @@
 
   /** Creates the reservation of a request, whose plan must be one of the settings. */
   public QuotaReservation newReservation(Request request) {
-    return customer(request.customer(), request.plan(), request.gatewayCount())
+    return customer(request.customer(), request.plan(), request.customerNodeCount())
         .newReservation(request);
   }
 
@@ -178,7 +178,7 @@
     budget.raiseTo(otherCallsPerSecond);
     for (QuotaUsage usage : usages) {
       if (usage.plan() >= 0 && usage.plan() < settings.quotaPlans().size()) {
-        customer(usage.customer(), usage.plan(), usage.gatewayCount()).importUsage(usage);
+        customer(usage.customer(), usage.plan(), usage.customerNodeCount()).importUsage(usage);
       }
     }
   }
--- a/edge/src/test/java/edgegateway/node/clients/RequestParserTest.java
+++ b/edge/src/test/java/edgegateway/node/clients/RequestParserTest.java
@@ -81,8 +81,8 @@
     assertEquals(42, parsed.request.customer());
     assertEquals(7_000 + 250 * NANOS_PER_MILLI, parsed.request.deadlineNanos());
     assertEquals(2.5, parsed.request.units());
-    assertEquals(2, parsed.request.gatewayCount());
-    assertEquals(1, parsed.request.firstGateway());
+    assertEquals(2, parsed.request.customerNodeCount());
+    assertEquals(1, parsed.request.firstCustomerNode());
     assertTrue(parsed.request.clientRetry());
     assertEquals(HttpMethod.GET, parsed.method);
     assertEquals("/api?slot=4", parsed.uri);
--- a/testbed/src/main/java/edgegateway/testbed/simulation/SimulatedNode.java
+++ b/testbed/src/main/java/edgegateway/testbed/simulation/SimulatedNode.java
@@ -327,8 +327,8 @@
             received.customer(),
             deadline,
             received.units(),
-            received.gatewayCount(),
-            received.firstGateway(),
+            received.customerNodeCount(),
+            received.firstCustomerNode(),
             received.clientRetry());
     InFlightRequest inFlight = new InFlightRequest(request, keyed, client);
     requestsById.put(request.id(), inFlight);
