--- a/edge/src/main/java/edgegateway/protocol/PolicySettingsReader.java
+++ b/edge/src/main/java/edgegateway/protocol/PolicySettingsReader.java
@@ -151,11 +151,11 @@
 
   private PlatformRules rules() {
     return new PlatformRules(
-        whole(SettingKeys.Rules.ANSWER_SLACK_NANOS),
+        whole(SettingKeys.Rules.DEADLINE_GRACE_NANOS),
         number(SettingKeys.Rules.SLOW_START_INITIAL_FRACTION),
         whole(SettingKeys.Rules.SLOW_START_NANOS),
         number(SettingKeys.Rules.OVERLOAD_FACTOR),
-        whole(SettingKeys.Rules.OVERLOAD_NANOS));
+        whole(SettingKeys.Rules.OVERLOAD_DURATION_NANOS));
   }
 
   private String text(String path) {
--- a/edge/src/main/java/edgegateway/protocol/SettingKeys.java
+++ b/edge/src/main/java/edgegateway/protocol/SettingKeys.java
@@ -159,8 +159,8 @@
 
   /** Guarantees and limits of the platform. */
   static final class Rules {
-    /** Duration: {@code PlatformRules.answerSlackNanos}. */
-    static final String ANSWER_SLACK_NANOS = "rules.answer-slack-ns";
+    /** Duration: {@code PlatformRules.deadlineGraceNanos}. */
+    static final String DEADLINE_GRACE_NANOS = "rules.answer-slack-ns";
 
     /** Fraction, 0 to 1: {@code PlatformRules.slowStartInitialFraction}. */
     static final String SLOW_START_INITIAL_FRACTION = "rules.cold-from";
@@ -171,8 +171,8 @@
     /** Number: {@code PlatformRules.overloadFactor}. */
     static final String OVERLOAD_FACTOR = "rules.overload-factor";
 
-    /** Duration: {@code PlatformRules.overloadNanos}. */
-    static final String OVERLOAD_NANOS = "rules.tip-after-ns";
+    /** Duration: {@code PlatformRules.overloadDurationNanos}. */
+    static final String OVERLOAD_DURATION_NANOS = "rules.tip-after-ns";
 
     private Rules() {}
   }
--- a/testbed/src/main/java/edgegateway/testbed/checker/InvariantChecker.java
+++ b/testbed/src/main/java/edgegateway/testbed/checker/InvariantChecker.java
@@ -95,10 +95,11 @@
     InvariantChecker checker = new InvariantChecker(settings);
     history.stream().sorted(Comparator.comparingLong(HistoryEvent::at)).forEach(checker::process);
     for (Request request : checker.requests.values()) {
-      if (!request.finished && request.sent.deadline() + settings.answerSlackNanos() <= endNanos) {
+      if (!request.finished
+          && request.sent.deadline() + settings.deadlineGraceNanos() <= endNanos) {
         checker.report(
             Rule.ANSWER,
-            request.sent.deadline() + settings.answerSlackNanos(),
+            request.sent.deadline() + settings.deadlineGraceNanos(),
             request.sent,
             "never answered");
       }
@@ -194,7 +195,7 @@
       return;
     }
     request.finished = true;
-    long lateNanos = answered.at() - asked.deadline() - settings.answerSlackNanos();
+    long lateNanos = answered.at() - asked.deadline() - settings.deadlineGraceNanos();
     if (lateNanos > 0 && !request.excused) {
       report(
           Rule.ANSWER,
@@ -240,7 +241,7 @@
     Request request = requests.get(left.id());
     if (request != null && !request.finished) {
       request.finished = true;
-      if (left.at() > request.sent.deadline() + settings.answerSlackNanos()) {
+      if (left.at() > request.sent.deadline() + settings.deadlineGraceNanos()) {
         report(Rule.ANSWER, left.at(), request.sent, "never answered");
       }
     }
--- a/testbed/src/main/java/edgegateway/testbed/checker/InvariantSettings.java
+++ b/testbed/src/main/java/edgegateway/testbed/checker/InvariantSettings.java
@@ -5,12 +5,12 @@
 /**
  * The figures of the rules; spans are nanoseconds.
  *
- * @param answerSlackNanos so long after its deadline an answer still counts
+ * @param deadlineGraceNanos so long after its deadline an answer still counts
  * @param drainGraceNanos so long after a node was told that a server drains it may send there
  * @param overloadWindowNanos what reached a cold server in this span before it fell over pushed it
  */
 public record InvariantSettings(
-    long answerSlackNanos,
+    long deadlineGraceNanos,
     long drainGraceNanos,
     long overloadWindowNanos,
     List<RetryRule> classes,
