--- a/edge/src/main/java/edgegateway/policy/api/QuotaPlan.java
+++ b/edge/src/main/java/edgegateway/policy/api/QuotaPlan.java
@@ -9,7 +9,7 @@
  * @param unitsPerSecond refill rate of the quota; 0 for no quota
  * @param burstUnits capacity of the quota's token bucket, in units
  * @param maxConcurrentAttempts attempts in flight; 0 for no limit
- * @param priceFactor factor on the priority weight of the plan's requests
+ * @param priorityFactor factor on the priority weight of the plan's requests
  * @param overQuotaValueFraction fraction of its value that a request over quota earns when it is
  *     forwarded
  * @param overQuotaCostFraction fraction of its value that forwarding a request over quota costs,
@@ -22,7 +22,7 @@
     double unitsPerSecond,
     double burstUnits,
     int maxConcurrentAttempts,
-    double priceFactor,
+    double priorityFactor,
     double overQuotaValueFraction,
     double overQuotaCostFraction,
     double ceilingUnitsPerSecond,
--- a/edge/src/main/java/edgegateway/policy/quota/CallPriority.java
+++ b/edge/src/main/java/edgegateway/policy/quota/CallPriority.java
@@ -38,7 +38,7 @@
       boolean withinLocalShare) {
     double stake =
         priorityWeight
-            * plan.priceFactor()
+            * plan.priorityFactor()
             * plan.overQuotaCostFraction()
             * reservation.units()
             * customerNodes
--- a/edge/src/main/java/edgegateway/policy/scheduling/PendingRequest.java
+++ b/edge/src/main/java/edgegateway/policy/scheduling/PendingRequest.java
@@ -123,7 +123,7 @@
         reservation.withinQuota()
             ? 1
             : plan.overQuotaValueFraction() - plan.overQuotaCostFraction();
-    return requestClass().priorityWeight() * plan.priceFactor() * earned;
+    return requestClass().priorityWeight() * plan.priorityFactor() * earned;
   }
 
   /** Whether the customer's concurrency cap lets the request be sent now. */
--- a/edge/src/main/java/edgegateway/policy/scheduling/RequestClassQueue.java
+++ b/edge/src/main/java/edgegateway/policy/scheduling/RequestClassQueue.java
@@ -118,7 +118,7 @@
     if (outcome == Outcome.OK) {
       serviceTime.attemptSucceeded(seconds, request.units());
       statistics.attemptSucceeded(
-          request.reservation().quota().plan().priceFactor() * request.units(),
+          request.reservation().quota().plan().priorityFactor() * request.units(),
           (nowNanos - request.arrivedNanos()) * Durations.SECONDS_PER_NANO,
           (request.sentAtNanos() - request.arrivedNanos()) * Durations.SECONDS_PER_NANO,
           seconds);
--- a/edge/src/main/java/edgegateway/protocol/PolicySettingsReader.java
+++ b/edge/src/main/java/edgegateway/protocol/PolicySettingsReader.java
@@ -114,7 +114,7 @@
         number(prefix + SettingKeys.QuotaPlans.UNITS_PER_SECOND),
         number(prefix + SettingKeys.QuotaPlans.BURST_UNITS),
         integer(prefix + SettingKeys.QuotaPlans.MAX_CONCURRENT_ATTEMPTS),
-        number(prefix + SettingKeys.QuotaPlans.PRICE_FACTOR),
+        number(prefix + SettingKeys.QuotaPlans.PRIORITY_FACTOR),
         number(prefix + SettingKeys.QuotaPlans.OVER_QUOTA_VALUE_FRACTION),
         number(prefix + SettingKeys.QuotaPlans.OVER_QUOTA_COST_FRACTION),
         number(prefix + SettingKeys.QuotaPlans.CEILING_UNITS_PER_SECOND),
--- a/edge/src/main/java/edgegateway/protocol/SettingKeys.java
+++ b/edge/src/main/java/edgegateway/protocol/SettingKeys.java
@@ -99,8 +99,8 @@
     /** Whole number, 0 for no limit: {@code QuotaPlan.maxConcurrentAttempts}. */
     static final String MAX_CONCURRENT_ATTEMPTS = "at-once";
 
-    /** Number: {@code QuotaPlan.priceFactor}. */
-    static final String PRICE_FACTOR = "price";
+    /** Number: {@code QuotaPlan.priorityFactor}. */
+    static final String PRIORITY_FACTOR = "price";
 
     /** Fraction: {@code QuotaPlan.overQuotaValueFraction}. */
     static final String OVER_QUOTA_VALUE_FRACTION = "beyond-earns";
