--- a/edge/src/main/java/edgegateway/node/config/NodeConfigParser.java
+++ b/edge/src/main/java/edgegateway/node/config/NodeConfigParser.java
@@ -91,7 +91,7 @@
     return new NodeConfig(
         JsonFields.address(root, "listen"),
         JsonFields.address(root, "discovery"),
-        policySettings.counter().present() ? JsonFields.address(root, "counter") : null,
+        policySettings.counter().configured() ? JsonFields.address(root, "counter") : null,
         root.hasNonNull("ops") ? JsonFields.address(root, "ops") : null,
         seed(JsonFields.required(root, "seed")),
         root.path("limits").path("sockets").asInt(DEFAULT_DESCRIPTORS),
--- a/edge/src/main/java/edgegateway/node/zones/ZoneEjectionController.java
+++ b/edge/src/main/java/edgegateway/node/zones/ZoneEjectionController.java
@@ -57,7 +57,7 @@
   private static ZoneConsensus.FleetSettings fleet(
       ZoneEjectionSettings ejection, PolicySettings settings, List<String> zoneNames) {
     ZoneEjectionSettings possible =
-        settings.counter().present()
+        settings.counter().configured()
             ? ejection
             : new ZoneEjectionSettings(
                 ZoneEjectionSettings.DecisionMode.ALONE,
--- a/edge/src/main/java/edgegateway/policy/api/CounterSettings.java
+++ b/edge/src/main/java/edgegateway/policy/api/CounterSettings.java
@@ -3,7 +3,7 @@
 /**
  * Settings of the shared quota counter.
  *
- * @param present whether there is one; if not, quotas are divided over the nodes
+ * @param configured whether there is a counter; if not, quotas are divided over the nodes
  * @param timeoutNanos after this time, in nanoseconds, a call without an answer ends as {@link
  *     Outcome#TIMEOUT}
  * @param reportsActualUnits whether {@link AttemptResult#actualUnits} is given, so that {@link
@@ -11,4 +11,4 @@
  * @param maxRequestUnits quota units of the largest request
  */
 public record CounterSettings(
-    boolean present, long timeoutNanos, boolean reportsActualUnits, double maxRequestUnits) {}
+    boolean configured, long timeoutNanos, boolean reportsActualUnits, double maxRequestUnits) {}
--- a/edge/src/main/java/edgegateway/policy/quota/CustomerQuota.java
+++ b/edge/src/main/java/edgegateway/policy/quota/CustomerQuota.java
@@ -55,7 +55,7 @@
     this.context = context;
     plan = context.settings().quotaPlans().get(planIndex);
     nodes = Math.max(1, Math.min(customerNodes, context.settings().nodeCount()));
-    shared = nodes > 1 && context.settings().counter().present();
+    shared = nodes > 1 && context.settings().counter().configured();
     windows = new CountingWindows(customer, plan);
     estimate = new UsageEstimate(context.clock(), plan, context.settings().counter(), windows);
     ceiling = new CeilingBucket(plan, nodes);
--- a/edge/src/main/java/edgegateway/protocol/PolicySettingsReader.java
+++ b/edge/src/main/java/edgegateway/protocol/PolicySettingsReader.java
@@ -143,7 +143,7 @@
 
   private CounterSettings counter() {
     return new CounterSettings(
-        flag(SettingKeys.Counter.PRESENT),
+        flag(SettingKeys.Counter.CONFIGURED),
         whole(SettingKeys.Counter.TIMEOUT_NANOS),
         flag(SettingKeys.Counter.REPORTS_ACTUAL_UNITS),
         number(SettingKeys.Counter.MAX_REQUEST_UNITS));
--- a/edge/src/main/java/edgegateway/protocol/SettingKeys.java
+++ b/edge/src/main/java/edgegateway/protocol/SettingKeys.java
@@ -142,8 +142,8 @@
 
   /** The shared quota counter. */
   static final class Counter {
-    /** Truth value: {@code CounterSettings.present}. */
-    static final String PRESENT = "domain.has-counter";
+    /** Truth value: {@code CounterSettings.configured}. */
+    static final String CONFIGURED = "domain.has-counter";
 
     /** Duration: {@code CounterSettings.timeoutNanos}. */
     static final String TIMEOUT_NANOS = "domain.count-wait-ns";
