--- a/edge/src/main/java/edgegateway/node/zones/ZoneConsensus.java
+++ b/edge/src/main/java/edgegateway/node/zones/ZoneConsensus.java
@@ -170,12 +170,13 @@
         fleet.nodeCount() < LARGE_FLEET_NODES ? FAILING_EXCESS : FAILING_EXCESS_IN_LARGE_FLEET;
     boolean mostFail =
         health.failureExcess() >= requiredExcess
-            && health.failingEndpoints() >= Math.min(MIN_FAILING_ENDPOINTS, health.endpoints())
+            && health.failingEndpoints()
+                >= Math.min(MIN_FAILING_ENDPOINTS, health.listedEndpoints())
             && 2 * health.failingEndpoints() >= health.observedEndpoints();
     // A node avoids each unresponsive endpoint at once: it will see no more than that all are.
     boolean noneResponds =
-        health.endpoints() > 1
-            && health.unresponsiveEndpoints() == health.endpoints()
+        health.listedEndpoints() > 1
+            && health.unresponsiveEndpoints() == health.listedEndpoints()
             && health.failureExcess() >= UNRESPONSIVE_EXCESS;
     return (mostFail || noneResponds) && hasHealthyPeer(health);
   }
--- a/edge/src/main/java/edgegateway/policy/api/ZoneHealth.java
+++ b/edge/src/main/java/edgegateway/policy/api/ZoneHealth.java
@@ -11,7 +11,7 @@
  * @param failureExcess cumulative sum (Page, 1954) of failures against answers: a failure adds 1,
  *     an error half, an answer takes 1 off, never below 0; it decays over 5 s, and attempts in
  *     flight for too long count as above
- * @param endpoints endpoints of the zone in the list
+ * @param listedEndpoints endpoints of the zone in the list
  * @param observedEndpoints endpoints at which an attempt ended in the last seconds, that are new,
  *     or that have an attempt in flight for too long
  * @param failingEndpoints observed endpoints whose last attempt failed
@@ -28,7 +28,7 @@
     double recentAttempts,
     double recentFailures,
     double failureExcess,
-    int endpoints,
+    int listedEndpoints,
     int observedEndpoints,
     int failingEndpoints,
     int unresponsiveEndpoints,
