--- a/edge/src/main/java/edgegateway/node/EdgeNode.java
+++ b/edge/src/main/java/edgegateway/node/EdgeNode.java
@@ -219,7 +219,7 @@
 
   private void updateMetrics() {
     metrics.endpointsChanged(
-        upstreamPool.endpointCount(), policyEvents.policy().avoidedEndpoints().size());
+        upstreamPool.endpointCount(), policyEvents.policy().skippedEndpoints().size());
     zoneEjection.updateMetrics();
   }
 
--- a/edge/src/main/java/edgegateway/node/OperatorEjections.java
+++ b/edge/src/main/java/edgegateway/node/OperatorEjections.java
@@ -78,7 +78,7 @@
   void writeZones() throws IOException {
     List<String> zoneNames = config.get().names().zones();
     Set<String> names = new HashSet<>();
-    for (int zone : policyEvents.policy().ejectedZones()) {
+    for (int zone : policyEvents.policy().operatorEjectedZones()) {
       names.add(zoneNames.get(zone));
     }
     zonesFile.write(names);
--- a/edge/src/main/java/edgegateway/policy/GatewayPolicy.java
+++ b/edge/src/main/java/edgegateway/policy/GatewayPolicy.java
@@ -233,7 +233,7 @@
   }
 
   /** The zones that operators have ejected. */
-  public Set<Integer> ejectedZones() {
+  public Set<Integer> operatorEjectedZones() {
     return router.zonesEjectedByOperator();
   }
 
@@ -242,8 +242,11 @@
     return router.endpointsEjectedByOperator();
   }
 
-  /** The listed endpoints that are avoided now: ejected by an operator, draining, or outliers. */
-  public List<String> avoidedEndpoints() {
+  /**
+   * The ids of the listed endpoints that get no requests now: ejected by an operator or with their
+   * zone, draining, or outliers.
+   */
+  public List<String> skippedEndpoints() {
     return router.avoidedEndpoints();
   }
 
--- a/edge/src/test/java/edgegateway/policy/EjectionTest.java
+++ b/edge/src/test/java/edgegateway/policy/EjectionTest.java
@@ -34,7 +34,7 @@
     host.servers(2);
     assertFalse(host.gateway.setEndpointEjected(host.now, "never", true));
     assertTrue(host.gateway.setEndpointEjected(host.now, "a", true));
-    assertEquals(List.of("a"), host.gateway.avoidedEndpoints());
+    assertEquals(List.of("a"), host.gateway.skippedEndpoints());
     Endpoint ready = new Endpoint("a", 1, 0, 0, 0, EndpointState.READY, 0);
     for (EndpointListKind kind : List.of(EndpointListKind.FULL, EndpointListKind.DELTA)) {
       host.gateway.endpointsUpdated(
@@ -45,7 +45,7 @@
         host.now,
         EndpointListKind.FULL,
         List.of(new Endpoint("b", 1, 1, 1, 0, EndpointState.READY, 0)));
-    assertEquals(List.of(), host.gateway.avoidedEndpoints());
+    assertEquals(List.of(), host.gateway.skippedEndpoints());
     host.server("a", 0, EndpointState.READY, host.now);
     servedBy("b", 20);
     String retried = host.request(SAFE, 1);
@@ -53,7 +53,7 @@
     assertTrue(host.attempts(retried).stream().noneMatch(s -> s.server().equals("a")));
     host.end(retried, Outcome.OK);
     assertTrue(host.gateway.setEndpointEjected(host.now, "a", false));
-    assertEquals(List.of(), host.gateway.avoidedEndpoints());
+    assertEquals(List.of(), host.gateway.skippedEndpoints());
     int before = host.sent.size();
     for (int i = 0; i < 200; i++) {
       host.now += 20 * MS;
@@ -69,7 +69,7 @@
     host.servers(2);
     servedBy("b", 20);
     host.gateway.restoreEjectedEndpoints(host.now, Set.of());
-    assertEquals(List.of(), host.gateway.avoidedEndpoints());
+    assertEquals(List.of(), host.gateway.skippedEndpoints());
   }
 
   /**
@@ -79,11 +79,11 @@
   @Test
   void aZoneOutByHandStaysOutAndComesBackBitByBit() {
     host.servers(2);
-    assertFalse(host.gateway.ejectedZones().contains(0));
+    assertFalse(host.gateway.operatorEjectedZones().contains(0));
     assertTrue(host.gateway.setZoneEjected(host.now, 0, true, 0));
     assertTrue(host.gateway.setZoneEjected(host.now, 0, true, 0), "once more");
     assertFalse(host.gateway.setZoneEjected(host.now, 1, true, 0), "the last one stays");
-    assertEquals(Set.of(0), host.gateway.ejectedZones());
+    assertEquals(Set.of(0), host.gateway.operatorEjectedZones());
     host.server("c", 0, EndpointState.READY, 0);
     host.gateway.endpointsUpdated(
         host.now,
@@ -117,7 +117,7 @@
     host.servers(2);
     servedBy("b", 20);
     host.gateway.restoreEjectedZones(host.now, Set.of());
-    assertEquals(Set.of(), host.gateway.ejectedZones());
+    assertEquals(Set.of(), host.gateway.operatorEjectedZones());
     host.now += 1;
     assertTrue(
         host.gateway.zoneStatus(0).trafficFraction() > 0
--- a/edge/src/test/java/edgegateway/policy/RecordedActions.java
+++ b/edge/src/test/java/edgegateway/policy/RecordedActions.java
@@ -4,29 +4,32 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** Actions that a mechanism asked for, as far as tests of one mechanism look at them. */
+/**
+ * Records the log lines and the counter calls of a single mechanism under test; all other actions
+ * are ignored.
+ */
 public final class RecordedActions implements PolicyActions {
-  /** The log lines. */
+  /** The log lines, in the order in which they were written. */
   public final List<String> logs = new ArrayList<>();
 
-  /** The counts added to. */
-  public final List<Long> counters = new ArrayList<>();
+  /** The key of each call to the shared counter, in order. */
+  public final List<Long> counterKeys = new ArrayList<>();
 
   @Override
-  public void sendAttempt(String id, String endpoint, long timeoutNanos) {}
+  public void sendAttempt(String requestId, String endpointId, long timeoutNanos) {}
 
   @Override
-  public void reject(String id, long retryAfterNanos) {}
+  public void reject(String requestId, long retryAfterNanos) {}
 
   @Override
-  public void fail(String id) {}
+  public void fail(String requestId) {}
 
   @Override
-  public void healthCheck(String endpoint) {}
+  public void healthCheck(String endpointId) {}
 
   @Override
-  public void addToCounter(long name, double units, long lifetimeNanos) {
-    counters.add(name);
+  public void addToCounter(long key, double amount, long lifetimeNanos) {
+    counterKeys.add(key);
   }
 
   @Override
@@ -36,7 +39,7 @@
   public void subscribeToEndpoints() {}
 
   @Override
-  public void log(String line) {
-    logs.add(line);
+  public void log(String message) {
+    logs.add(message);
   }
 }
--- a/edge/src/test/java/edgegateway/policy/ScaleMeasure.java
+++ b/edge/src/test/java/edgegateway/policy/ScaleMeasure.java
@@ -246,7 +246,7 @@
     long before = heap();
     node.gateway.endpointsUpdated(node.now, EndpointListKind.FULL, list(size[1]));
     double bytes = heap() - before;
-    assertEquals(0, node.gateway.avoidedEndpoints().size());
+    assertEquals(0, node.gateway.skippedEndpoints().size());
     return new double[] {bytes / size[1], 0};
   }
 
