--- a/edge/src/test/java/edgegateway/policy/ColdFleetTest.java
+++ b/edge/src/test/java/edgegateway/policy/ColdFleetTest.java
@@ -42,21 +42,21 @@
   private double most;
   private double multiple;
 
-  private double warmth(String server, long now, int cold) {
+  private double warmth(String server, long nowNanos, int cold) {
     boolean is = Integer.parseInt(server.substring(1)) < cold;
-    return is ? Math.min(1, COLD_FROM + (1 - COLD_FROM) * (now - began) / RAMP) : 1;
+    return is ? Math.min(1, COLD_FROM + (1 - COLD_FROM) * (nowNanos - began) / RAMP) : 1;
   }
 
   /** Carries what a gateway just asked for to its servers. */
   private void carry(int at, int from, SplittableRandom random, int cold, int failing) {
     Host host = gateways.get(at);
-    for (Host.Sent sent : host.sent.subList(from, host.sent.size())) {
-      String server = sent.server();
-      double warmth = warmth(server, host.now, cold);
+    for (Host.Attempt sent : host.attempts.subList(from, host.attempts.size())) {
+      String server = sent.endpointId();
+      double warmth = warmth(server, host.nowNanos, cold);
       if (Integer.parseInt(server.substring(1)) < cold) {
         ArrayDeque<Long> window = arrived.computeIfAbsent(server, key -> new ArrayDeque<>());
-        window.add(host.now);
-        while (window.peek() < host.now - SPAN) {
+        window.add(host.nowNanos);
+        while (window.peek() < host.nowNanos - SPAN) {
           window.poll();
         }
         double allowed = multiple * warmth * CORES * SPAN / 1e9 / WORK_S;
@@ -74,14 +74,14 @@
               ? Outcome.ERROR
               : inWork > MOST_HELD
                   ? Outcome.REJECTED
-                  : took * 1e9 > sent.patience() ? Outcome.TIMEOUT : Outcome.OK;
+                  : took * 1e9 > sent.timeoutNanos() ? Outcome.TIMEOUT : Outcome.OK;
       ends.add(
           new End(
-              host.now + (long) Math.min(took * 1e9, sent.patience()),
+              host.nowNanos + (long) Math.min(took * 1e9, sent.timeoutNanos()),
               at,
-              sent.id(),
+              sent.requestId(),
               server,
-              host.now,
+              host.nowNanos,
               how));
     }
   }
@@ -103,76 +103,76 @@
     double[] weights = new double[fleet];
     double sum = 0;
     for (int i = 0; i < fleet; i++) {
-      gateways.add(new Host(Host.FREE, fleet, i, false, random.nextLong(), false));
+      gateways.add(new Host(Host.UNLIMITED_PLAN, fleet, i, false, random.nextLong(), false));
       weights[i] = Math.pow(random.nextDouble(), 2) + 0.1;
       sum += weights[i];
     }
-    long now = gateways.get(0).now;
+    long nowNanos = gateways.get(0).nowNanos;
     began = Long.MAX_VALUE;
     double rate = load * SERVERS * CORES / WORK_S;
-    long end = now + 12_000 * MS;
-    long restart = now + 3_000 * MS;
-    long tick = now;
-    long next = now;
-    while (now < end) {
+    long end = nowNanos + 12_000 * MS;
+    long restart = nowNanos + 3_000 * MS;
+    long tick = nowNanos;
+    long next = nowNanos;
+    while (nowNanos < end) {
       long ending = ends.isEmpty() ? Long.MAX_VALUE : ends.peek().at;
-      now = Math.min(Math.min(tick, next), ending);
-      if (now >= restart && began == Long.MAX_VALUE
-          || began == Long.MAX_VALUE && tick == now && now == gateways.get(0).now) {
-        boolean begins = now >= restart;
-        began = begins ? now : began;
-        list(now, begins ? cold : 0);
+      nowNanos = Math.min(Math.min(tick, next), ending);
+      if (nowNanos >= restart && began == Long.MAX_VALUE
+          || began == Long.MAX_VALUE && tick == nowNanos && nowNanos == gateways.get(0).nowNanos) {
+        boolean begins = nowNanos >= restart;
+        began = begins ? nowNanos : began;
+        list(nowNanos, begins ? cold : 0);
       }
       for (Host host : gateways) {
-        host.now = now;
+        host.nowNanos = nowNanos;
       }
-      if (now == ending) {
+      if (nowNanos == ending) {
         End done = ends.poll();
         held.merge(done.server, -1, Integer::sum);
         Host host = gateways.get(done.gateway);
-        int from = host.sent.size();
-        host.gateway.attemptEnded(
-            now,
+        int from = host.attempts.size();
+        host.policy.attemptEnded(
+            nowNanos,
             new AttemptResult(
                 done.id,
                 done.how,
-                now - done.sentAt,
+                nowNanos - done.sentAt,
                 done.server,
                 done.how == Outcome.OK,
                 0,
                 0,
                 List.of()));
-        carry(done.gateway, from, random, began <= now ? cold : 0, failing);
-      } else if (now == next) {
-        next = now - (long) (1e9 / rate * Math.log(1 - random.nextDouble()));
+        carry(done.gateway, from, random, began <= nowNanos ? cold : 0, failing);
+      } else if (nowNanos == next) {
+        next = nowNanos - (long) (1e9 / rate * Math.log(1 - random.nextDouble()));
         double drawn = random.nextDouble() * sum;
         int at = 0;
         while (at < fleet - 1 && (drawn -= weights[at]) > 0) {
           at++;
         }
-        int from = gateways.get(at).sent.size();
-        gateways.get(at).request(Host.SAFE, 1);
-        carry(at, from, random, began <= now ? cold : 0, failing);
+        int from = gateways.get(at).attempts.size();
+        gateways.get(at).request(Host.IDEMPOTENT, 1);
+        carry(at, from, random, began <= nowNanos ? cold : 0, failing);
       } else {
-        tick = now + 10 * MS;
+        tick = nowNanos + 10 * MS;
         for (int at = 0; at < fleet; at++) {
-          int from = gateways.get(at).sent.size();
-          gateways.get(at).gateway.timerFired(now, 0);
-          carry(at, from, random, began <= now ? cold : 0, failing);
+          int from = gateways.get(at).attempts.size();
+          gateways.get(at).policy.timerFired(nowNanos, 0);
+          carry(at, from, random, began <= nowNanos ? cold : 0, failing);
         }
       }
     }
     return most;
   }
 
-  private void list(long now, int cold) {
+  private void list(long nowNanos, int cold) {
     List<Endpoint> all = new ArrayList<>();
     for (int i = 0; i < SERVERS; i++) {
       all.add(new Endpoint("s" + i, 1, 0, 0, 0, EndpointState.READY, i < cold ? began : 0));
     }
     for (Host host : gateways) {
-      host.now = now;
-      host.gateway.endpointsUpdated(now, EndpointListKind.FULL, all);
+      host.nowNanos = nowNanos;
+      host.policy.endpointsUpdated(nowNanos, EndpointListKind.FULL, all);
     }
   }
 
--- a/edge/src/test/java/edgegateway/policy/CounterFleetTest.java
+++ b/edge/src/test/java/edgegateway/policy/CounterFleetTest.java
@@ -68,10 +68,10 @@
     List<Host> hosts = new ArrayList<>();
     long[] tick = new long[GATEWAYS];
     for (int i = 0; i < GATEWAYS; i++) {
-      hosts.add(new Host(PLAN, GATEWAYS, i, true, random.nextLong(), false).servers(20));
-      tick[i] = hosts.get(i).now + random.nextLong(10 * MS);
+      hosts.add(new Host(PLAN, GATEWAYS, i, true, random.nextLong(), false).addEndpoints(20));
+      tick[i] = hosts.get(i).nowNanos + random.nextLong(10 * MS);
     }
-    long start = hosts.get(0).now;
+    long start = hosts.get(0).nowNanos;
     long perCall = (long) (PARTS * SECOND / callsBorne);
     long[] busy = new long[PARTS];
     Map<Long, Double> totals = new HashMap<>();
@@ -81,56 +81,64 @@
     int asked = 0;
     int waited = 0;
     int ids = 0;
-    for (long now = start; now < start + UNTIL_S * SECOND; now += STEP) {
-      boolean counts = now >= start + FROM_S * SECOND;
+    for (long nowNanos = start; nowNanos < start + UNTIL_S * SECOND; nowNanos += STEP) {
+      boolean counts = nowNanos >= start + FROM_S * SECOND;
       for (Host host : hosts) {
-        host.now = now;
+        host.nowNanos = nowNanos;
       }
-      while (!backs.isEmpty() && backs.peek().at <= now) {
+      while (!backs.isEmpty() && backs.peek().at <= nowNanos) {
         Back back = backs.poll();
-        back.host.gateway.counterReplied(now, back.name, back.outcome, back.total);
+        back.host.policy.counterReplied(nowNanos, back.name, back.outcome, back.total);
       }
       for (int i = 0; i < GATEWAYS; i++) {
         Host host = hosts.get(i);
-        if (now >= tick[i]) {
+        if (nowNanos >= tick[i]) {
           tick[i] += 10 * MS;
-          host.gateway.timerFired(now, 0);
+          host.policy.timerFired(nowNanos, 0);
         }
         if (random.nextDouble() < RATE * STEP * 1e-9) {
           long customer = customer(i, random);
-          int before = host.sent.size() + host.refused.size();
-          host.gateway.requestReceived(
-              now,
+          int before = host.attempts.size() + host.rejected.size();
+          host.policy.requestReceived(
+              nowNanos,
               new Request(
-                  "q" + ids++, Host.SAFE, 0, customer, now + 3 * SECOND, 1, SPREAD, 0, false));
+                  "q" + ids++,
+                  Host.IDEMPOTENT,
+                  0,
+                  customer,
+                  nowNanos + 3 * SECOND,
+                  1,
+                  SPREAD,
+                  0,
+                  false));
           asked += counts ? 1 : 0;
-          waited += counts && host.sent.size() + host.refused.size() == before ? 1 : 0;
+          waited += counts && host.attempts.size() + host.rejected.size() == before ? 1 : 0;
         }
-        List.copyOf(host.sent).forEach(s -> host.end(s.id(), Outcome.OK));
-        host.sent.clear();
-        host.refused.clear();
-        for (Host.Counted call : host.counted) {
-          int part = Math.floorMod(Long.hashCode(call.name()), PARTS);
+        List.copyOf(host.attempts).forEach(s -> host.endAttempt(s.requestId(), Outcome.OK));
+        host.attempts.clear();
+        host.rejected.clear();
+        for (Host.CounterCall call : host.counterCalls) {
+          int part = Math.floorMod(Long.hashCode(call.key()), PARTS);
           calls += counts ? 1 : 0;
           Back back;
-          if (busy[part] > now + LINE * perCall) {
-            back = new Back(now + 2 * WAY, host, call.name(), Outcome.REJECTED, 0);
+          if (busy[part] > nowNanos + LINE * perCall) {
+            back = new Back(nowNanos + 2 * WAY, host, call.key(), Outcome.REJECTED, 0);
           } else {
-            busy[part] = Math.max(busy[part], now + WAY) + perCall;
-            double total = totals.merge(call.name(), call.amount(), Double::sum);
-            boolean late = busy[part] + WAY > now + TIMEOUT;
+            busy[part] = Math.max(busy[part], nowNanos + WAY) + perCall;
+            double total = totals.merge(call.key(), call.amount(), Double::sum);
+            boolean late = busy[part] + WAY > nowNanos + TIMEOUT;
             back =
                 new Back(
-                    late ? now + TIMEOUT : busy[part] + WAY,
+                    late ? nowNanos + TIMEOUT : busy[part] + WAY,
                     host,
-                    call.name(),
+                    call.key(),
                     late ? Outcome.TIMEOUT : Outcome.OK,
                     total);
           }
           lost += counts && back.outcome != Outcome.OK ? 1 : 0;
           backs.add(back);
         }
-        host.counted.clear();
+        host.counterCalls.clear();
       }
     }
     return new Seen(calls, lost, asked, waited);
@@ -186,29 +194,29 @@
     SplittableRandom random = new SplittableRandom(seed);
     List<Host> hosts = new ArrayList<>();
     for (int i = 0; i < gateways; i++) {
-      Host host = new Host(plan, gateways, i, true, random.nextLong(), false).servers(20);
-      host.request(Host.SAFE, 1);
+      Host host = new Host(plan, gateways, i, true, random.nextLong(), false).addEndpoints(20);
+      host.request(Host.IDEMPOTENT, 1);
       for (int ms = 0; ms < 1_000; ms += 10) {
-        host.pass(10 * MS);
-        for (Host.Counted call : List.copyOf(host.counted)) {
-          host.gateway.counterReplied(host.now, call.name(), Outcome.OK, 1);
+        host.advance(10 * MS);
+        for (Host.CounterCall call : List.copyOf(host.counterCalls)) {
+          host.policy.counterReplied(host.nowNanos, call.key(), Outcome.OK, 1);
         }
-        host.counted.clear();
+        host.counterCalls.clear();
       }
-      host.sent.clear();
+      host.attempts.clear();
       hosts.add(host);
     }
     int used = 0;
     for (int tick = 0; tick < 100 * seconds; tick++) {
       for (Host host : hosts) {
-        host.pass(10 * MS);
+        host.advance(10 * MS);
         while (random.nextDouble() < wanted / 100) {
-          host.request(Host.SAFE, 1);
+          host.request(Host.IDEMPOTENT, 1);
         }
-        used += host.sent.size();
-        List.copyOf(host.sent).forEach(s -> host.end(s.id(), Outcome.OK));
-        host.sent.clear();
-        host.counted.clear();
+        used += host.attempts.size();
+        List.copyOf(host.attempts).forEach(s -> host.endAttempt(s.requestId(), Outcome.OK));
+        host.attempts.clear();
+        host.counterCalls.clear();
       }
     }
     return used;
--- a/edge/src/test/java/edgegateway/policy/Host.java
+++ b/edge/src/test/java/edgegateway/policy/Host.java
@@ -20,55 +20,93 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** A host under the test's control: writes down what one gateway asks for and calls its events. */
+/**
+ * Drives one {@link GatewayPolicy} in a test: records the actions that the policy requests, and
+ * reports requests, attempt ends and timers to it on a clock that the test sets.
+ */
 final class Host implements PolicyActions {
   static final long MS = 1_000_000L;
-  static final int SAFE = 0;
+
+  /** Request classes: indexes into the settings. */
+  static final int IDEMPOTENT = 0;
+
+  /** With an idempotency key that the endpoints of one cell share. */
   static final int KEYED_CELL = 1;
-  static final int UNSAFE = 2;
+
+  static final int NOT_IDEMPOTENT = 2;
+
+  /** With an idempotency key that all endpoints share. */
   static final int KEYED_ALL = 3;
-  static final QuotaPlan FREE = new QuotaPlan(0, 0, 0, 1, 0, 0, 0, 0, 0);
 
-  record Sent(String id, String server, long patience) {}
+  /** Neither quota nor ceiling. */
+  static final QuotaPlan UNLIMITED_PLAN = new QuotaPlan(0, 0, 0, 1, 0, 0, 0, 0, 0);
+
+  record Attempt(String requestId, String endpointId, long timeoutNanos) {}
+
+  record CounterCall(long key, double amount) {}
+
+  final List<Attempt> attempts = new ArrayList<>();
+
+  /** Ids of the rejected requests. */
+  final List<String> rejected = new ArrayList<>();
 
-  record Counted(long name, double amount) {}
+  /** The Retry-After of each rejected request; 0 if there was none. */
+  final List<Long> retryAfterNanos = new ArrayList<>();
 
-  final List<Sent> sent = new ArrayList<>();
-  final List<String> refused = new ArrayList<>();
-  final List<Long> advised = new ArrayList<>();
+  /** Ids of the failed requests. */
   final List<String> failed = new ArrayList<>();
-  final List<String> probed = new ArrayList<>();
-  final List<Counted> counted = new ArrayList<>();
+
+  /** Ids of the endpoints whose health was to be checked. */
+  final List<String> healthChecks = new ArrayList<>();
+
+  /** Calls to the shared counter; the test replies to them and clears the list. */
+  final List<CounterCall> counterCalls = new ArrayList<>();
+
   final List<String> logs = new ArrayList<>();
-  final GatewayPolicy gateway;
-  long now = 1_000 * MS;
-  private final int setSize;
-  private final boolean probes;
-  private int ids;
+  final GatewayPolicy policy;
+  long nowNanos = 1_000 * MS;
+  private final int nodeCount;
+  private final boolean healthChecksAllowed;
+  private int requestCount;
 
-  Host(QuotaPlan plan, int siblings, int me) {
-    this(plan, siblings, me, true);
+  Host(QuotaPlan plan, int nodeCount, int nodeIndex) {
+    this(plan, nodeCount, nodeIndex, true);
   }
 
-  Host(QuotaPlan plan, int siblings, int me, boolean counter) {
-    this(plan, siblings, me, counter, 7, false);
+  Host(QuotaPlan plan, int nodeCount, int nodeIndex, boolean hasCounter) {
+    this(plan, nodeCount, nodeIndex, hasCounter, 7, false);
   }
 
-  Host(QuotaPlan plan, int siblings, int me, boolean counter, long seed, boolean probes) {
-    setSize = siblings;
-    this.probes = probes;
-    gateway = new GatewayPolicy(settings(plan, siblings, me, counter, probes), seed, now, this);
+  Host(
+      QuotaPlan plan,
+      int nodeCount,
+      int nodeIndex,
+      boolean hasCounter,
+      long seed,
+      boolean healthChecksAllowed) {
+    this.nodeCount = nodeCount;
+    this.healthChecksAllowed = healthChecksAllowed;
+    policy =
+        new GatewayPolicy(
+            settings(plan, nodeCount, nodeIndex, hasCounter, healthChecksAllowed),
+            seed,
+            nowNanos,
+            this);
   }
 
   static PolicySettings settings(
-      QuotaPlan plan, int siblings, int me, boolean counter, boolean probes) {
+      QuotaPlan plan,
+      int nodeCount,
+      int nodeIndex,
+      boolean hasCounter,
+      boolean healthChecksAllowed) {
     return new PolicySettings(
-        me,
-        siblings,
+        nodeIndex,
+        nodeCount,
         0,
         MS,
         true,
-        probes ? List.of("waiting") : List.of(),
+        healthChecksAllowed ? List.of("waiting") : List.of(),
         List.of(
             new RequestClass(
                 1000 * MS, 3000 * MS, Idempotency.IDEMPOTENT, DeduplicationScope.ALL, 0, 0, 1),
@@ -85,97 +123,110 @@
             new RequestClass(
                 1000 * MS, 3000 * MS, Idempotency.KEYED, DeduplicationScope.ALL, 700 * MS, 0, 4)),
         List.of(plan),
-        new RequestLimits(4, 1000, probes, true, 500 * MS, false),
-        new CounterSettings(counter, 50 * MS, true, 4),
+        new RequestLimits(4, 1000, healthChecksAllowed, true, 500 * MS, false),
+        new CounterSettings(hasCounter, 50 * MS, true, 4),
         new PlatformRules(10 * MS, 0.25, 10_000 * MS, 3, 2_000 * MS));
   }
 
-  /** Servers a, b, c ... of two cells, ready since long ago. */
-  Host servers(int count) {
+  /** Lists endpoints a, b, c and so on, alternately in cell and zone 0 and 1, past slow start. */
+  Host addEndpoints(int count) {
     for (int i = 0; i < count; i++) {
-      server(String.valueOf((char) ('a' + i)), i % 2, EndpointState.READY, 0);
+      updateEndpoint(String.valueOf((char) ('a' + i)), i % 2, EndpointState.READY, 0);
     }
     return this;
   }
 
-  void server(String id, int cell, EndpointState readiness, long startedAt) {
-    gateway.endpointsUpdated(
-        now,
+  /** Reports a changed list entry; its zone has the number of its cell. */
+  void updateEndpoint(String id, int cell, EndpointState state, long startedAtNanos) {
+    policy.endpointsUpdated(
+        nowNanos,
         EndpointListKind.DELTA,
-        List.of(new Endpoint(id, 1, cell, cell, 0, readiness, startedAt)));
+        List.of(new Endpoint(id, 1, cell, cell, 0, state, startedAtNanos)));
   }
 
+  /** Reports a request of customer 1 with a deadline of 3 s, and returns its id. */
   String request(int requestClass, double units) {
-    return request(requestClass, 0, 1, units, now + 3000 * MS);
+    return request(requestClass, 0, 1, units, nowNanos + 3000 * MS);
   }
 
-  String request(int requestClass, int plan, long customer, double units, long deadline) {
-    String id = "r" + ids++;
-    gateway.requestReceived(
-        now, new Request(id, requestClass, plan, customer, deadline, units, setSize, 0, false));
+  /** Reports a request and returns its id. */
+  String request(int requestClass, int plan, long customer, double units, long deadlineNanos) {
+    String id = "r" + requestCount++;
+    policy.requestReceived(
+        nowNanos,
+        new Request(id, requestClass, plan, customer, deadlineNanos, units, nodeCount, 0, false));
     return id;
   }
 
-  /** Ends the newest attempt of a request. */
-  void end(String id, Outcome outcome) {
-    end(id, outcome, outcome == Outcome.OK);
+  /** Ends the last attempt of a request; the request is complete if the outcome is OK. */
+  void endAttempt(String requestId, Outcome outcome) {
+    endAttempt(requestId, outcome, outcome == Outcome.OK);
   }
 
-  void end(String id, Outcome outcome, boolean complete) {
-    Sent last = attempts(id).get(attempts(id).size() - 1);
-    gateway.attemptEnded(
-        now,
+  /** Ends the last attempt of a request. */
+  void endAttempt(String requestId, Outcome outcome, boolean requestComplete) {
+    Attempt last = attemptsOf(requestId).get(attemptsOf(requestId).size() - 1);
+    policy.attemptEnded(
+        nowNanos,
         new AttemptResult(
-            id, outcome, 20 * MS, last.server(), complete, attempts(id).size() - 1, 0, List.of()));
-  }
-
-  List<Sent> attempts(String id) {
-    return sent.stream().filter(s -> s.id().equals(id)).toList();
-  }
-
-  /** Lets time pass, with the timer as often as it was asked for. */
-  void pass(long span) {
-    for (long until = now + span; now < until; ) {
-      now += Math.min(10 * MS, until - now);
-      gateway.timerFired(now, 0);
+            requestId,
+            outcome,
+            20 * MS,
+            last.endpointId(),
+            requestComplete,
+            attemptsOf(requestId).size() - 1,
+            0,
+            List.of()));
+  }
+
+  /** The attempts of a request, in the order in which they were sent. */
+  List<Attempt> attemptsOf(String requestId) {
+    return attempts.stream().filter(attempt -> attempt.requestId().equals(requestId)).toList();
+  }
+
+  /** Advances the clock, and fires the timer every 10 ms and at the end. */
+  void advance(long durationNanos) {
+    for (long endNanos = nowNanos + durationNanos; nowNanos < endNanos; ) {
+      nowNanos += Math.min(10 * MS, endNanos - nowNanos);
+      policy.timerFired(nowNanos, 0);
     }
   }
 
   @Override
-  public void sendAttempt(String id, String server, long patience) {
-    sent.add(new Sent(id, server, patience));
+  public void sendAttempt(String requestId, String endpointId, long timeoutNanos) {
+    attempts.add(new Attempt(requestId, endpointId, timeoutNanos));
   }
 
   @Override
-  public void reject(String id, long retryAfter) {
-    refused.add(id);
-    advised.add(retryAfter);
+  public void reject(String requestId, long retryAfterNanos) {
+    rejected.add(requestId);
+    this.retryAfterNanos.add(retryAfterNanos);
   }
 
   @Override
-  public void fail(String id) {
-    failed.add(id);
+  public void fail(String requestId) {
+    failed.add(requestId);
   }
 
   @Override
-  public void healthCheck(String server) {
-    assertTrue(probes, "probes are not allowed here");
-    probed.add(server);
+  public void healthCheck(String endpointId) {
+    assertTrue(healthChecksAllowed, "health checks are not allowed in this test");
+    healthChecks.add(endpointId);
   }
 
   @Override
-  public void addToCounter(long name, double amount, long lifetime) {
-    counted.add(new Counted(name, amount));
+  public void addToCounter(long key, double amount, long lifetimeNanos) {
+    counterCalls.add(new CounterCall(key, amount));
   }
 
   @Override
-  public void scheduleTimer(long token, long span) {}
+  public void scheduleTimer(long token, long delayNanos) {}
 
   @Override
   public void subscribeToEndpoints() {}
 
   @Override
-  public void log(String text) {
-    logs.add(text);
+  public void log(String message) {
+    logs.add(message);
   }
 }
--- a/edge/src/test/java/edgegateway/policy/ListsTest.java
+++ b/edge/src/test/java/edgegateway/policy/ListsTest.java
@@ -24,7 +24,7 @@
   private static final int MANY = 100_000;
   private static final int REQUESTS = 50;
 
-  private final Host host = new Host(Host.FREE, 1, 0, false);
+  private final Host host = new Host(Host.UNLIMITED_PLAN, 1, 0, false);
 
   private static Endpoint server(String id, EndpointState readiness, long startedAt) {
     return new Endpoint(id, 1, 0, 0, 0, readiness, startedAt);
@@ -42,14 +42,16 @@
   private Set<String> reached() {
     List<String> ids = new ArrayList<>();
     for (int i = 0; i < REQUESTS; i++) {
-      String id = host.request(Host.SAFE, 1);
-      if (!host.attempts(id).isEmpty()) {
+      String id = host.request(Host.IDEMPOTENT, 1);
+      if (!host.attemptsOf(id).isEmpty()) {
         ids.add(id);
-        host.end(id, Outcome.OK);
+        host.endAttempt(id, Outcome.OK);
       }
-      host.pass(20 * MS);
+      host.advance(20 * MS);
     }
-    return ids.stream().map(id -> host.attempts(id).get(0).server()).collect(Collectors.toSet());
+    return ids.stream()
+        .map(id -> host.attemptsOf(id).get(0).endpointId())
+        .collect(Collectors.toSet());
   }
 
   @Test
@@ -59,19 +61,19 @@
         new EndpointListKind[] {
           EndpointListKind.CACHED, EndpointListKind.FULL, EndpointListKind.DELTA
         }) {
-      host.gateway.endpointsUpdated(
-          host.now,
+      host.policy.endpointsUpdated(
+          host.nowNanos,
           kind,
           List.of(server("a", EndpointState.READY, 0), other, server("a", EndpointState.READY, 0)));
       assertTrue(Set.of("a", "b").containsAll(reached()), kind.toString());
-      host.gateway.endpointsUpdated(
-          host.now,
+      host.policy.endpointsUpdated(
+          host.nowNanos,
           kind,
           List.of(
               server("a", EndpointState.READY, 0), other, server("a", EndpointState.DRAINING, 0)));
       assertEquals(Set.of("b"), reached(), kind.toString());
-      host.gateway.endpointsUpdated(
-          host.now,
+      host.policy.endpointsUpdated(
+          host.nowNanos,
           kind,
           List.of(
               server("a", EndpointState.DRAINING, 0),
@@ -84,60 +86,61 @@
   /** The attempt at the first life ends while the list names two further ones. */
   @Test
   void anAttemptUnderWayOutlivesAnIdThatIsListedTwiceWithTwoLives() {
-    host.gateway.endpointsUpdated(
-        host.now, EndpointListKind.FULL, List.of(server("a", EndpointState.READY, 0)));
-    String under = host.request(Host.SAFE, 1);
-    host.gateway.endpointsUpdated(
-        host.now,
+    host.policy.endpointsUpdated(
+        host.nowNanos, EndpointListKind.FULL, List.of(server("a", EndpointState.READY, 0)));
+    String under = host.request(Host.IDEMPOTENT, 1);
+    host.policy.endpointsUpdated(
+        host.nowNanos,
         EndpointListKind.FULL,
         List.of(
-            server("a", EndpointState.READY, host.now - 2 * MS),
-            server("a", EndpointState.READY, host.now - MS)));
-    host.end(under, Outcome.OK);
-    host.pass(20_000 * MS);
+            server("a", EndpointState.READY, host.nowNanos - 2 * MS),
+            server("a", EndpointState.READY, host.nowNanos - MS)));
+    host.endAttempt(under, Outcome.OK);
+    host.advance(20_000 * MS);
     assertEquals(Set.of("a"), reached());
     assertEquals(List.of(), host.failed);
   }
 
   @Test
   void withNoServerLeftRequestsAreRefusedAndServiceComesBackWithTheList() {
-    host.gateway.endpointsUpdated(
-        host.now, EndpointListKind.FULL, List.of(server("a", EndpointState.READY, 0)));
-    String under = host.request(Host.SAFE, 1);
-    host.gateway.endpointsUpdated(host.now, EndpointListKind.FULL, List.of());
-    host.gateway.endpointsUpdated(host.now, EndpointListKind.DELTA, List.of());
-    host.end(under, Outcome.OK);
-    String waits = host.request(Host.SAFE, 1);
-    host.pass(1_500 * MS);
+    host.policy.endpointsUpdated(
+        host.nowNanos, EndpointListKind.FULL, List.of(server("a", EndpointState.READY, 0)));
+    String under = host.request(Host.IDEMPOTENT, 1);
+    host.policy.endpointsUpdated(host.nowNanos, EndpointListKind.FULL, List.of());
+    host.policy.endpointsUpdated(host.nowNanos, EndpointListKind.DELTA, List.of());
+    host.endAttempt(under, Outcome.OK);
+    String waits = host.request(Host.IDEMPOTENT, 1);
+    host.advance(1_500 * MS);
     assertTrue(
-        host.attempts(waits).isEmpty() && host.refused.contains(waits), host.refused.toString());
-    host.gateway.endpointsUpdated(
-        host.now, EndpointListKind.FULL, List.of(server("a", EndpointState.READY, 0)));
+        host.attemptsOf(waits).isEmpty() && host.rejected.contains(waits),
+        host.rejected.toString());
+    host.policy.endpointsUpdated(
+        host.nowNanos, EndpointListKind.FULL, List.of(server("a", EndpointState.READY, 0)));
     assertEquals(Set.of("a"), reached());
   }
 
   @Test
   void aHundredThousandEntriesAreTakenAndThoseNoLongerNamedForgotten() {
-    host.gateway.endpointsUpdated(host.now, EndpointListKind.CACHED, many("first"));
+    host.policy.endpointsUpdated(host.nowNanos, EndpointListKind.CACHED, many("first"));
     served();
     long before = used();
     for (int i = 0; i < 5; i++) {
-      host.pass(2 * MINUTE);
-      host.gateway.endpointsUpdated(host.now, EndpointListKind.FULL, many("list" + i + "-"));
+      host.advance(2 * MINUTE);
+      host.policy.endpointsUpdated(host.nowNanos, EndpointListKind.FULL, many("list" + i + "-"));
     }
     served();
     long more = (used() - before) / MB;
     assertTrue(more < 30, "the fifth list of as many holds " + more + " MB more than the first");
-    host.gateway.endpointsUpdated(host.now, EndpointListKind.FULL, List.of());
+    host.policy.endpointsUpdated(host.nowNanos, EndpointListKind.FULL, List.of());
     assertEquals(Set.of(), reached());
   }
 
   private void served() {
-    int before = host.sent.size();
+    int before = host.attempts.size();
     Set<String> reached = reached();
     assertTrue(
-        host.sent.size() == before + REQUESTS && !reached.isEmpty(),
-        "sent " + (host.sent.size() - before) + " of " + REQUESTS);
+        host.attempts.size() == before + REQUESTS && !reached.isEmpty(),
+        "sent " + (host.attempts.size() - before) + " of " + REQUESTS);
   }
 
   private static long used() {
--- a/edge/src/test/java/edgegateway/policy/ScaleMeasure.java
+++ b/edge/src/test/java/edgegateway/policy/ScaleMeasure.java
@@ -66,15 +66,15 @@
     private final ArrayDeque<Attempt> sent = new ArrayDeque<>();
     private final ArrayDeque<Call> called = new ArrayDeque<>();
     private final SplittableRandom chance = new SplittableRandom(SEED);
-    private final GatewayPolicy gateway;
+    private final GatewayPolicy policy;
     private final int nodes;
-    private long now = SECOND;
+    private long nowNanos = SECOND;
     private int ids;
     private int served;
 
     Node(int nodes) {
       this.nodes = nodes;
-      gateway = new GatewayPolicy(Host.settings(PLAN, nodes, 0, true, false), SEED, now, this);
+      policy = new GatewayPolicy(Host.settings(PLAN, nodes, 0, true, false), SEED, nowNanos, this);
     }
 
     /**
@@ -83,19 +83,19 @@
      */
     void requests(int count, int customers) {
       for (int i = 0; i < count; i++) {
-        for (long until = now + SECOND / RATE; now < until; ) {
-          now += Math.min(10 * MS, until - now);
+        for (long until = nowNanos + SECOND / RATE; nowNanos < until; ) {
+          nowNanos += Math.min(10 * MS, until - nowNanos);
           answers();
-          gateway.timerFired(now, 0);
+          policy.timerFired(nowNanos, 0);
         }
-        gateway.requestReceived(
-            now,
+        policy.requestReceived(
+            nowNanos,
             new Request(
                 "r" + ids++,
-                Host.SAFE,
+                Host.IDEMPOTENT,
                 0,
                 chance.nextInt(customers),
-                now + 3_000 * MS,
+                nowNanos + 3_000 * MS,
                 1,
                 Math.min(nodes, 3),
                 0,
@@ -104,27 +104,28 @@
     }
 
     private void answers() {
-      while (!called.isEmpty() && called.peek().at + MS <= now) {
+      while (!called.isEmpty() && called.peek().at + MS <= nowNanos) {
         Call call = called.poll();
-        gateway.counterReplied(now, call.name, Outcome.OK, call.amount);
+        policy.counterReplied(nowNanos, call.name, Outcome.OK, call.amount);
       }
-      while (!sent.isEmpty() && sent.peek().at + 100 * MS <= now) {
+      while (!sent.isEmpty() && sent.peek().at + 100 * MS <= nowNanos) {
         Attempt one = sent.poll();
         served++;
-        gateway.attemptEnded(
-            now,
-            new AttemptResult(one.id, Outcome.OK, now - one.at, one.server, true, 0, 0, List.of()));
+        policy.attemptEnded(
+            nowNanos,
+            new AttemptResult(
+                one.id, Outcome.OK, nowNanos - one.at, one.server, true, 0, 0, List.of()));
       }
     }
 
     @Override
     public void sendAttempt(String id, String server, long patience) {
-      sent.add(new Attempt(now, id, server));
+      sent.add(new Attempt(nowNanos, id, server));
     }
 
     @Override
     public void addToCounter(long name, double amount, long lifetime) {
-      called.add(new Call(now, name, amount));
+      called.add(new Call(nowNanos, name, amount));
     }
 
     @Override
@@ -178,13 +179,13 @@
 
   private static double[] listed(int[] size) {
     Node node = new Node(size[0]);
-    node.gateway.endpointsUpdated(node.now, EndpointListKind.FULL, list(size[1]));
+    node.policy.endpointsUpdated(node.nowNanos, EndpointListKind.FULL, list(size[1]));
     List<Endpoint> again = list(size[1]);
     return cost(
         LISTS,
         () -> {
           for (int i = 0; i < LISTS; i++) {
-            node.gateway.endpointsUpdated(++node.now, EndpointListKind.FULL, again);
+            node.policy.endpointsUpdated(++node.nowNanos, EndpointListKind.FULL, again);
           }
         });
   }
@@ -199,12 +200,12 @@
         LISTS,
         () ->
             nodes.forEach(
-                node -> node.gateway.endpointsUpdated(node.now, EndpointListKind.FULL, list)));
+                node -> node.policy.endpointsUpdated(node.nowNanos, EndpointListKind.FULL, list)));
   }
 
   private static double[] changed(int[] size) {
     Node node = new Node(size[0]);
-    node.gateway.endpointsUpdated(node.now, EndpointListKind.FULL, list(size[1]));
+    node.policy.endpointsUpdated(node.nowNanos, EndpointListKind.FULL, list(size[1]));
     List<List<Endpoint>> changes = new ArrayList<>();
     for (int i = 0; i < CHANGES; i++) {
       changes.add(List.of(server(i * 7 % size[1], SECOND)));
@@ -214,12 +215,12 @@
         () ->
             changes.forEach(
                 change ->
-                    node.gateway.endpointsUpdated(++node.now, EndpointListKind.DELTA, change)));
+                    node.policy.endpointsUpdated(++node.nowNanos, EndpointListKind.DELTA, change)));
   }
 
   private static double[] asked(int[] size) {
     Node node = new Node(size[0]);
-    node.gateway.endpointsUpdated(node.now, EndpointListKind.FULL, list(size[1]));
+    node.policy.endpointsUpdated(node.nowNanos, EndpointListKind.FULL, list(size[1]));
     node.requests(REQUESTS / 3, CUSTOMERS);
     int before = node.served;
     double[] cost = cost(REQUESTS, () -> node.requests(REQUESTS, CUSTOMERS));
@@ -244,31 +245,40 @@
     Node node = new Node(size[0]);
     WEIGHED.add(node);
     long before = heap();
-    node.gateway.endpointsUpdated(node.now, EndpointListKind.FULL, list(size[1]));
+    node.policy.endpointsUpdated(node.nowNanos, EndpointListKind.FULL, list(size[1]));
     double bytes = heap() - before;
-    assertEquals(0, node.gateway.skippedEndpoints().size());
+    assertEquals(0, node.policy.skippedEndpoints().size());
     return new double[] {bytes / size[1], 0};
   }
 
   /** Bytes that stay for each customer that asked once. */
   private static double[] heldByCustomer(int[] size) {
     Node node = new Node(size[0]);
-    node.gateway.endpointsUpdated(node.now, EndpointListKind.FULL, list(size[1]));
+    node.policy.endpointsUpdated(node.nowNanos, EndpointListKind.FULL, list(size[1]));
     node.requests(RATE, CUSTOMERS);
     WEIGHED.add(node);
     long before = heap();
     for (int i = 0; i < MANY; i++) {
-      node.gateway.requestReceived(
-          node.now,
-          new Request("m" + i, Host.SAFE, 0, CUSTOMERS + i, node.now + 3_000 * MS, 1, 3, 0, false));
-      node.now += MS / 10;
+      node.policy.requestReceived(
+          node.nowNanos,
+          new Request(
+              "m" + i,
+              Host.IDEMPOTENT,
+              0,
+              CUSTOMERS + i,
+              node.nowNanos + 3_000 * MS,
+              1,
+              3,
+              0,
+              false));
+      node.nowNanos += MS / 10;
       node.answers();
     }
-    node.now += 200 * MS;
+    node.nowNanos += 200 * MS;
     node.answers();
     node.called.clear();
     double bytes = heap() - before;
-    assertTrue(node.gateway.exportState(node.now).quotaUsages().size() >= MANY);
+    assertTrue(node.policy.exportState(node.nowNanos).quotaUsages().size() >= MANY);
     return new double[] {bytes / MANY, 0};
   }
 
