--- a/edge/src/main/java/edgegateway/protocol/PolicySettingsReader.java
+++ b/edge/src/main/java/edgegateway/protocol/PolicySettingsReader.java
@@ -145,17 +145,17 @@
     return new CounterSettings(
         flag(SettingKeys.Counter.PRESENT),
         whole(SettingKeys.Counter.TIMEOUT_NANOS),
-        flag(SettingKeys.Counter.REPORTS_TRUE_UNITS),
+        flag(SettingKeys.Counter.REPORTS_ACTUAL_UNITS),
         number(SettingKeys.Counter.MAX_REQUEST_UNITS));
   }
 
   private PlatformRules rules() {
     return new PlatformRules(
-        whole(SettingKeys.Rules.ANSWER_SLACK_NANOS),
+        whole(SettingKeys.Rules.DEADLINE_GRACE_NANOS),
         number(SettingKeys.Rules.SLOW_START_INITIAL_FRACTION),
         whole(SettingKeys.Rules.SLOW_START_NANOS),
         number(SettingKeys.Rules.OVERLOAD_FACTOR),
-        whole(SettingKeys.Rules.OVERLOAD_NANOS));
+        whole(SettingKeys.Rules.OVERLOAD_DURATION_NANOS));
   }
 
   private String text(String path) {
