--- a/edge/src/test/java/edgegateway/policy/MechanismTest.java
+++ b/edge/src/test/java/edgegateway/policy/MechanismTest.java
@@ -19,71 +19,78 @@
 import java.util.Set;
 import org.junit.jupiter.api.Test;
 
-/** The laws and the counter rule on their own terms. */
+/**
+ * Behaviour of single mechanisms of the policy: fair queue, concurrency limit, quota counter,
+ * endpoint selection, attempt timeouts and state transfer.
+ */
 class MechanismTest {
   @Test
-  void fairQueueServesByShare() {
+  void fairQueueServesClassesInProportionToTheirWeights() {
     Host host = new Host(Host.UNLIMITED_PLAN, 1, 0).addEndpoints(1);
-    Set<String> unsafe = new HashSet<>();
+    Set<String> notIdempotent = new HashSet<>();
     for (int i = 0; i < 6; i++) {
       host.request(NOT_IDEMPOTENT, 1);
     }
     for (int i = 0; i < 30; i++) {
-      unsafe.add(host.request(NOT_IDEMPOTENT, 1));
+      notIdempotent.add(host.request(NOT_IDEMPOTENT, 1));
       if (i % 3 == 0) {
         host.request(IDEMPOTENT, 1);
       }
     }
-    assertEquals(6, host.attempts.size(), "the operator's limit of one server");
-    // As each ends the next is released. Worth 1 to 3: one safe for three unsafe.
-    int ofUnsafe = 0;
+    assertEquals(6, host.attempts.size(), "the concurrency limit with one endpoint");
+    // Each end of an attempt releases the next request. The weights are 1 and 3: one idempotent
+    // request for three others.
+    int notIdempotentSent = 0;
     for (int next = 0; next < 24; next++) {
       host.endAttempt(host.attempts.get(next).requestId(), Outcome.OK);
-      ofUnsafe += unsafe.contains(host.attempts.get(next + 6).requestId()) ? 1 : 0;
+      notIdempotentSent += notIdempotent.contains(host.attempts.get(next + 6).requestId()) ? 1 : 0;
     }
-    assertEquals(18, ofUnsafe, 2, "served by share within one round");
+    assertEquals(18, notIdempotentSent, 2, "in proportion to the weights, within one round");
   }
 
   @Test
-  void oneGatewayOfManyMayHaveOneOutAndRestsIfThatIsTooMany() {
-    for (int siblings : new int[] {100, 240}) {
-      Host host = new Host(Host.UNLIMITED_PLAN, siblings, 0).addEndpoints(20);
+  void withManyNodesEachHasOneAttemptInFlightAndPausesIfTheLimitIsBelowOne() {
+    for (int nodeCount : new int[] {100, 240}) {
+      Host host = new Host(Host.UNLIMITED_PLAN, nodeCount, 0).addEndpoints(20);
       String first = host.request(IDEMPOTENT, 1);
       host.request(IDEMPOTENT, 1);
       assertEquals(
-          1,
-          host.attempts.size(),
-          "a hundred gateways with two out each would drown twenty servers");
+          1, host.attempts.size(), "two attempts of each of 100 nodes would overload 20 endpoints");
       host.endAttempt(first, Outcome.OK);
-      // 240 gateways have half a request each in flight: after 20 ms of work, 20 ms of rest.
-      assertEquals(siblings == 100 ? 2 : 1, host.attempts.size());
+      // With 240 nodes the limit is half an attempt each: after an attempt of 20 ms, a pause of
+      // 20 ms.
+      assertEquals(nodeCount == 100 ? 2 : 1, host.attempts.size());
       host.advance(30 * MS);
       assertEquals(2, host.attempts.size());
     }
   }
 
-  /** A fleet half replaced once was sent as much as a warm one, and answered too late. */
+  /**
+   * Guards against overload after a deployment: endpoints in slow start were counted in full in the
+   * concurrency limit, and a fleet half of which had been replaced answered too late.
+   */
   @Test
-  void theLevelCountsAColdServerByWhatItCanDo() {
-    for (long age : new long[] {0, 5_000 * MS, 11_000 * MS}) {
+  void theConcurrencyLimitCountsEndpointsInSlowStartByTheirFraction() {
+    for (long ageNanos : new long[] {0, 5_000 * MS, 11_000 * MS}) {
       Host host = new Host(Host.UNLIMITED_PLAN, 1, 0, false).addEndpoints(2);
       host.advance(20_000 * MS);
       for (int i = 0; i < 6; i++) {
-        host.updateEndpoint("new-" + i, 0, EndpointState.READY, host.nowNanos - age);
+        host.updateEndpoint("new-" + i, 0, EndpointState.READY, host.nowNanos - ageNanos);
       }
       for (int i = 0; i < 100; i++) {
         host.request(IDEMPOTENT, 1);
       }
-      // Six for each of two and for what six can do: a quarter, five eighths, all.
-      int most = age == 0 ? 21 : age < 10_000 * MS ? 35 : 48;
+      // Six attempts for each of two endpoints, and for each of six the fraction of six that it has
+      // in slow start: a quarter, five eighths, all.
+      int maxAttempts = ageNanos == 0 ? 21 : ageNanos < 10_000 * MS ? 35 : 48;
       assertTrue(
-          host.attempts.size() >= most - 1 && host.attempts.size() <= most,
-          age + ": " + host.attempts.size());
+          host.attempts.size() >= maxAttempts - 1 && host.attempts.size() <= maxAttempts,
+          ageNanos + " ns after the start: " + host.attempts.size());
     }
   }
 
   @Test
-  void attemptsThatNeverRanAreNotCharged() {
+  void retriesOfAttemptsThatNeverRanDoNotUseTheRetryBudget() {
     Host host = new Host(Host.UNLIMITED_PLAN, 1, 0).addEndpoints(6);
     for (int i = 0; i < 60; i++) {
       String id = host.request(IDEMPOTENT, 1);
@@ -93,11 +100,11 @@
     }
   }
 
-  /** A counter that all gateways of a test share. */
+  /** A counter that all nodes of a test share; it answers at once. */
   private static final class SharedCounter {
     private final Map<Long, Double> totals = new HashMap<>();
 
-    void answer(List<Host> hosts) {
+    void replyToAll(List<Host> hosts) {
       for (Host host : hosts) {
         List<Host.CounterCall> calls = new ArrayList<>(host.counterCalls);
         host.counterCalls.clear();
@@ -109,11 +116,15 @@
     }
   }
 
-  private static double heavyUse(boolean counterAnswers, int seconds) {
+  /**
+   * Returns the requests, of one unit each, that three nodes forward for a customer who sends each
+   * of them 20 a second. The quota is 10 units a second and a burst of 30.
+   */
+  private static double unitsAdmittedUnderHeavyUse(boolean counterAnswers, int seconds) {
     QuotaPlan plan = new QuotaPlan(10, 30, 0, 1, 0, 1, 0, 0, 0);
     List<Host> hosts = new ArrayList<>();
-    for (int me = 0; me < 3; me++) {
-      hosts.add(new Host(plan, 3, me).addEndpoints(20));
+    for (int node = 0; node < 3; node++) {
+      hosts.add(new Host(plan, 3, node).addEndpoints(20));
     }
     SharedCounter counter = new SharedCounter();
     for (int tick = 0; tick < 100 * seconds; tick++) {
@@ -127,105 +138,112 @@
         }
       }
       if (counterAnswers) {
-        counter.answer(hosts);
+        counter.replyToAll(hosts);
       }
     }
     return hosts.stream().mapToInt(host -> host.attempts.size()).sum();
   }
 
   @Test
-  void aCustomerStaysInQuotaOverAllGateways() {
-    // Asked for: 60 a second for 20 s. The quota holds 30 + 10 a second; the last totals are late.
-    double used = heavyUse(true, 20);
-    assertTrue(used <= 1.2 * (30 + 10 * 20), "used " + used);
-    assertTrue(used >= 0.8 * (30 + 10 * 20), "used " + used);
+  void aCustomerStaysWithinItsQuotaOverAllNodes() {
+    // 60 units a second are requested for 20 s. The quota allows 30 + 10 a second; admissions since
+    // the last report to the counter are not yet known to the other nodes.
+    double admitted = unitsAdmittedUnderHeavyUse(true, 20);
+    assertTrue(admitted <= 1.2 * (30 + 10 * 20), "admitted " + admitted);
+    assertTrue(admitted >= 0.8 * (30 + 10 * 20), "admitted " + admitted);
   }
 
   @Test
-  void withTheCounterSilentTheQuotaIsDivided() {
-    double used = heavyUse(false, 20);
-    // Each may have let the whole burst in before the silence is noticed.
-    assertTrue(used <= 3 * 30 + 10 * 20, "used " + used);
-    assertTrue(used >= 0.7 * (30 + 10 * 20), "used " + used);
+  void withoutCounterRepliesEachNodeUsesItsShareOfTheQuota() {
+    double admitted = unitsAdmittedUnderHeavyUse(false, 20);
+    // Each node may admit the whole burst before it notices that the counter does not reply.
+    assertTrue(admitted <= 3 * 30 + 10 * 20, "admitted " + admitted);
+    assertTrue(admitted >= 0.7 * (30 + 10 * 20), "admitted " + admitted);
   }
 
   @Test
-  void aCustomerRefusedAfterTheOthersSpikeIsLetInAgain() {
+  void aCustomerRejectedDuringASpikeAtOtherNodesIsAdmittedAfterIt() {
     Host host = new Host(new QuotaPlan(10, 30, 0, 1, 0, 1, 0, 0, 0), 3, 0).addEndpoints(20);
     Map<Long, Double> totals = new HashMap<>();
     String last = "";
-    int refusedInSpike = 0;
+    int rejectedInSpike = 0;
     for (int tick = 0; tick < 1500; tick++) {
       host.advance(10 * MS);
       if (tick % 20 == 0) {
         last = host.request(IDEMPOTENT, 1);
-        host.attemptsOf(last).forEach(s -> host.endAttempt(s.requestId(), Outcome.OK));
+        host.attemptsOf(last).forEach(a -> host.endAttempt(a.requestId(), Outcome.OK));
       }
       for (Host.CounterCall call : List.copyOf(host.counterCalls)) {
-        // For four seconds the others use far more than the rate, then nothing.
-        double others = tick < 400 ? 600 : 0;
-        double total = totals.merge(call.key(), call.amount() + others, Double::sum);
+        // For 4 s the customer uses far more than its rate through the other nodes, then nothing.
+        double remoteUnits = tick < 400 ? 600 : 0;
+        double total = totals.merge(call.key(), call.amount() + remoteUnits, Double::sum);
         host.policy.counterReplied(host.nowNanos, call.key(), Outcome.OK, total);
       }
       host.counterCalls.clear();
-      refusedInSpike = tick == 300 ? host.rejected.size() : refusedInSpike;
+      rejectedInSpike = tick == 300 ? host.rejected.size() : rejectedInSpike;
     }
-    assertTrue(refusedInSpike > 0, "the spike is seen");
-    assertEquals(1, host.attemptsOf(last).size(), "let in once the store has filled");
+    assertTrue(rejectedInSpike > 0, "rejected during the spike");
+    assertEquals(1, host.attemptsOf(last).size(), "admitted once the token bucket has refilled");
   }
 
   @Test
-  void callsKeepToABudget() {
+  void counterCallsStayWithinTheirBudget() {
     Host host = new Host(new QuotaPlan(10, 30, 0, 1, 0, 1, 0, 0, 0), 300, 0).addEndpoints(20);
-    int most = 0;
+    int maxCallsPerTick = 0;
     for (int tick = 0; tick < 500; tick++) {
-      // A hundred customers at once, each never heard of; the counter turns every call away.
+      // 100 requests at once, each of a customer without known usage; the counter rejects all
+      // calls.
       if (tick % 100 == 0) {
         for (int customer = 0; customer < 100; customer++) {
           host.request(IDEMPOTENT, 0, 1000 * tick + customer, 2, host.nowNanos + 3000 * MS);
         }
       }
       host.advance(10 * MS);
-      most = Math.max(most, host.counterCalls.size());
+      maxCallsPerTick = Math.max(maxCallsPerTick, host.counterCalls.size());
       List<Host.CounterCall> calls = List.copyOf(host.counterCalls);
       host.counterCalls.clear();
       calls.forEach(
           call -> host.policy.counterReplied(host.nowNanos, call.key(), Outcome.REJECTED, 0));
     }
-    assertTrue(most >= 1 && most <= 2, "calls at one moment: " + most);
+    assertTrue(
+        maxCallsPerTick >= 1 && maxCallsPerTick <= 2, "calls in one tick: " + maxCallsPerTick);
   }
 
-  /** Cut to a call a second, the budget once took minutes to grow: it grew by so much an answer. */
+  /**
+   * Guards against a slow recovery of the call budget: it once grew by a fixed amount per reply,
+   * and from one call a second that took minutes.
+   */
   @Test
-  void theBudgetOfCallsComesBackSoonAfterTheCounterDoes() {
+  void theCallBudgetRecoversSoonAfterTheCounter() {
     Host host = new Host(new QuotaPlan(10, 30, 0, 1, 0, 1, 0, 0, 0), 300, 0).addEndpoints(20);
-    int late = 0;
+    int callsAtEnd = 0;
     for (int tick = 0; tick < 1500; tick++) {
-      // For five seconds every call is turned away; then all are answered at once.
+      // For 5 s every call is rejected; then all are answered at once.
       Outcome outcome = tick < 500 ? Outcome.REJECTED : Outcome.OK;
       for (int customer = 0; customer < 3; customer++) {
         host.request(IDEMPOTENT, 0, 3 * tick + customer, 2, host.nowNanos + 3000 * MS);
       }
-      List.copyOf(host.attempts).forEach(s -> host.endAttempt(s.requestId(), Outcome.OK));
+      List.copyOf(host.attempts).forEach(a -> host.endAttempt(a.requestId(), Outcome.OK));
       host.attempts.clear();
       host.advance(10 * MS);
-      late += tick >= 1300 ? host.counterCalls.size() : 0;
+      callsAtEnd += tick >= 1300 ? host.counterCalls.size() : 0;
       List<Host.CounterCall> calls = List.copyOf(host.counterCalls);
       host.counterCalls.clear();
       calls.forEach(
           call -> host.policy.counterReplied(host.nowNanos, call.key(), outcome, call.amount()));
     }
-    assertTrue(late >= 100, "calls in two seconds, eight after the counter is back: " + late);
+    assertTrue(
+        callsAtEnd >= 100, "calls in 2 s, from 8 s after the counter's recovery: " + callsAtEnd);
   }
 
   /**
-   * A long way to the counter once cut the budget to a call a second: each answer took over a third
-   * of its time.
+   * Guards against taking network delay for queueing at the counter: a round trip of 20 ms, more
+   * than a third of the timeout, once reduced the budget to one call a second.
    */
   @Test
-  void aLongWayToTheCounterIsNoQueue() {
+  void aLongRoundTripToTheCounterDoesNotReduceTheCallBudget() {
     Host host = new Host(new QuotaPlan(10, 30, 0, 1, 0, 1, 0, 0, 0), 300, 0).addEndpoints(20);
-    int late = 0;
+    int callsAtEnd = 0;
     for (int tick = 0; tick < 500; tick++) {
       for (int customer = 0; customer < 3; customer++) {
         host.request(IDEMPOTENT, 0, 3 * tick + customer, 2, host.nowNanos + 3000 * MS);
@@ -235,18 +253,18 @@
       host.advance(20 * MS);
       calls.forEach(
           call -> host.policy.counterReplied(host.nowNanos, call.key(), Outcome.OK, call.amount()));
-      List.copyOf(host.attempts).forEach(s -> host.endAttempt(s.requestId(), Outcome.OK));
+      List.copyOf(host.attempts).forEach(a -> host.endAttempt(a.requestId(), Outcome.OK));
       host.attempts.clear();
-      late += tick >= 400 ? calls.size() : 0;
+      callsAtEnd += tick >= 400 ? calls.size() : 0;
     }
-    assertTrue(late >= 40, "calls in the last two seconds of ten: " + late);
+    assertTrue(callsAtEnd >= 40, "calls in the last 2 s of 10 s: " + callsAtEnd);
   }
 
-  /** One part of a counter may be full while another answers at once. */
+  /** One partition of the counter may be overloaded while another answers at once. */
   @Test
-  void callsTurnedAwayCutTheBudgetThoughOthersAreAnsweredAtOnce() {
+  void rejectedCallsReduceTheCallBudgetEvenIfOthersAreAnsweredAtOnce() {
     Host host = new Host(new QuotaPlan(10, 30, 0, 1, 0, 1, 0, 0, 0), 300, 0).addEndpoints(20);
-    int late = 0;
+    int callsAtEnd = 0;
     for (int tick = 0; tick < 500; tick++) {
       for (int customer = 0; customer < 3; customer++) {
         host.request(IDEMPOTENT, 0, 3 * tick + customer, 2, host.nowNanos + 3000 * MS);
@@ -258,38 +276,41 @@
         Outcome outcome = call.key() % 2 == 0 ? Outcome.REJECTED : Outcome.OK;
         host.policy.counterReplied(host.nowNanos, call.key(), outcome, call.amount());
       }
-      List.copyOf(host.attempts).forEach(s -> host.endAttempt(s.requestId(), Outcome.OK));
+      List.copyOf(host.attempts).forEach(a -> host.endAttempt(a.requestId(), Outcome.OK));
       host.attempts.clear();
-      late += tick >= 400 ? calls.size() : 0;
+      callsAtEnd += tick >= 400 ? calls.size() : 0;
     }
-    assertTrue(late >= 2 && late <= 40, "calls in the last two seconds of ten: " + late);
+    assertTrue(callsAtEnd >= 2 && callsAtEnd <= 40, "calls in the last 2 s of 10 s: " + callsAtEnd);
   }
 
   /**
-   * Requests that fit into this gateway's part of a quota once had the calls that others needed.
+   * Guards against wasted calls: requests that fitted into this node's share of a quota once used
+   * up the calls that requests over that share needed.
    */
   @Test
-  void scarceCallsGoToRequestsBeyondThisGatewaysPart() {
+  void scarceCallsGoToRequestsOverThisNodesShare() {
     Host host = new Host(new QuotaPlan(2, 20, 0, 1, 0, 1, 0, 0, 0), 10, 0).addEndpoints(20);
-    int[] asked = new int[2];
+    int[] callsByRequest = new int[2];
     for (int customer = 0; customer < 500; customer++) {
-      // 4 units at a time, of a part of 4: the second is beyond it.
+      // Each request takes 4 units, and the node's share is 4: the second request is over it.
       for (int i = 0; i < 2 && host.counterCalls.isEmpty(); i++) {
         host.request(IDEMPOTENT, 0, customer, 4, host.nowNanos + 3000 * MS);
-        List.copyOf(host.attempts).forEach(s -> host.endAttempt(s.requestId(), Outcome.OK));
+        List.copyOf(host.attempts).forEach(a -> host.endAttempt(a.requestId(), Outcome.OK));
         host.attempts.clear();
-        asked[i] += host.counterCalls.size();
+        callsByRequest[i] += host.counterCalls.size();
       }
       host.advance(20 * MS);
       host.counterCalls.forEach(
           call -> host.policy.counterReplied(host.nowNanos, call.key(), Outcome.OK, call.amount()));
       host.counterCalls.clear();
     }
-    assertTrue(asked[1] > asked[0], "calls by request: " + Arrays.toString(asked));
+    assertTrue(
+        callsByRequest[1] > callsByRequest[0],
+        "calls by request: " + Arrays.toString(callsByRequest));
   }
 
   @Test
-  void oneCallTurnedAwayAfterAPauseIsNoSilence() {
+  void oneRejectedCallAfterAnIdlePeriodDoesNotMakeTheCounterUnreachable() {
     Host host = new Host(new QuotaPlan(10, 30, 0, 1, 0, 1, 0, 0, 0), 3, 0).addEndpoints(20);
     host.advance(5000 * MS);
     host.request(IDEMPOTENT, 1);
@@ -299,52 +320,59 @@
     host.advance(1000 * MS);
     assertTrue(
         host.logs.stream().anyMatch(line -> line.startsWith("counter_unreachable ")),
-        "noticed: " + host.logs);
+        "logged: " + host.logs);
   }
 
   @Test
-  void aCustomerNeverHeardOfIsAskedForFirst() {
+  void aCustomerWithoutKnownUsageIsAdmittedOnlyAfterTheCounterReplies() {
     QuotaPlan plan = new QuotaPlan(10, 30, 0, 1, 0, 1, 0, 0, 0);
-    for (double others : new double[] {0, 100}) {
+    for (double remoteUnits : new double[] {0, 100}) {
       Host host = new Host(plan, 300, 0).addEndpoints(20);
       host.advance(1000 * MS);
       String id = host.request(IDEMPOTENT, 0, 7, 2, host.nowNanos + 3000 * MS);
-      assertEquals(0, host.attempts.size(), "held until the total is there");
+      assertEquals(0, host.attempts.size(), "waits for the total");
       Host.CounterCall call = host.counterCalls.get(0);
-      host.policy.counterReplied(host.nowNanos, call.key(), Outcome.OK, call.amount() + others);
-      assertEquals(others > 0 ? 0 : 1, host.attemptsOf(id).size());
-      assertEquals(others > 0 ? 1 : 0, host.rejected.size());
+      host.policy.counterReplied(
+          host.nowNanos, call.key(), Outcome.OK, call.amount() + remoteUnits);
+      assertEquals(remoteUnits > 0 ? 0 : 1, host.attemptsOf(id).size());
+      assertEquals(remoteUnits > 0 ? 1 : 0, host.rejected.size());
     }
   }
 
   @Test
-  void scarceCallsGoWhereMoreIsAtStake() {
-    // So few gateways that no request waits in the queue, whose end would take its units back
-    // untold.
+  void scarceCallsGoToRequestsOfHigherPriority() {
+    // With 30 nodes no request waits in the queue: one that was rejected from there would take its
+    // units back before they were reported.
     Host host = new Host(new QuotaPlan(10, 30, 0, 1, 0, 1, 0, 0, 0), 30, 0).addEndpoints(20);
-    int[] calls = new int[5];
-    int left = 0;
+    int[] callsByUnits = new int[5];
+    int callsLeft = 0;
     for (int tick = 0; tick < 2000; tick++) {
-      // Each customer once, of 1 or 4 units in turn; far more of them than calls.
+      // One request of each customer, of 1 and 4 units in turn: far more requests than calls.
       int units = tick % 2 == 0 ? 1 : 4;
       String id = host.request(IDEMPOTENT, 0, tick, units, host.nowNanos + 3000 * MS);
       host.advance(20 * MS);
-      // The counter bears five calls a second and turns all others away.
-      left = tick % 50 == 0 ? 5 : left;
+      // The counter answers five calls a second and rejects all others.
+      callsLeft = tick % 50 == 0 ? 5 : callsLeft;
       for (Host.CounterCall call : List.copyOf(host.counterCalls)) {
-        calls[(int) Math.max(0, call.amount())]++;
+        callsByUnits[(int) Math.max(0, call.amount())]++;
         host.policy.counterReplied(
-            host.nowNanos, call.key(), left-- > 0 ? Outcome.OK : Outcome.REJECTED, call.amount());
+            host.nowNanos,
+            call.key(),
+            callsLeft-- > 0 ? Outcome.OK : Outcome.REJECTED,
+            call.amount());
       }
       host.counterCalls.clear();
-      host.attemptsOf(id).forEach(s -> host.endAttempt(s.requestId(), Outcome.OK));
+      host.attemptsOf(id).forEach(a -> host.endAttempt(a.requestId(), Outcome.OK));
     }
-    assertTrue(calls[1] + calls[4] >= 100, "calls by units: " + Arrays.toString(calls));
-    assertTrue(calls[4] > 2 * calls[1], "calls by units: " + Arrays.toString(calls));
+    assertTrue(
+        callsByUnits[1] + callsByUnits[4] >= 100,
+        "calls by units: " + Arrays.toString(callsByUnits));
+    assertTrue(
+        callsByUnits[4] > 2 * callsByUnits[1], "calls by units: " + Arrays.toString(callsByUnits));
   }
 
   @Test
-  void aCallThatNeverEndsDoesNotHoldItsRequest() {
+  void aCounterCallThatNeverEndsDoesNotBlockItsRequest() {
     Host host = new Host(new QuotaPlan(10, 30, 0, 1, 0, 1, 0, 0, 0), 3, 0).addEndpoints(20);
     host.advance(1000 * MS);
     String id = host.request(IDEMPOTENT, 1);
@@ -353,37 +381,41 @@
   }
 
   @Test
-  void gatewaysThatKnowNothingSpreadOverTheFleet() {
-    HashSet<String> used = new HashSet<>();
+  void newNodesSpreadTheirFirstRequestsOverTheEndpoints() {
+    HashSet<String> endpoints = new HashSet<>();
     for (int seed = 0; seed < 40; seed++) {
       Host host = new Host(Host.UNLIMITED_PLAN, 40, 0, true, seed, false).addEndpoints(20);
       host.request(IDEMPOTENT, 1);
-      used.add(host.attempts.get(0).endpointId());
+      endpoints.add(host.attempts.get(0).endpointId());
     }
-    assertTrue(used.size() >= 12, "first requests of 40 gateways went to " + used);
+    assertTrue(endpoints.size() >= 12, "first requests of 40 nodes went to " + endpoints);
   }
 
   @Test
-  void aServerThatTellsNoLoadIsNotIdle() {
+  void anEndpointThatReportsNoLoadIsNotTakenForIdle() {
     Host host = new Host(Host.UNLIMITED_PLAN, 40, 0, true, 7, true).addEndpoints(2);
-    List<Double> busy = List.of(4.0);
-    for (List<Double> other : List.of(busy, List.<Double>of())) {
+    List<Double> busyReport = List.of(4.0);
+    for (List<Double> report : List.of(busyReport, List.<Double>of())) {
       for (int i = 0; i < 20; i++) {
         host.advance(1000 * MS);
-        host.policy.healthChecked(host.nowNanos, "a", Outcome.OK, MS, other);
+        host.policy.healthChecked(host.nowNanos, "a", Outcome.OK, MS, report);
         host.policy.healthChecked(host.nowNanos, "b", Outcome.OK, MS, List.of(1.0));
         String id = host.request(IDEMPOTENT, 1);
-        assertEquals("b", host.attemptsOf(id).get(0).endpointId(), "report of a: " + other);
+        assertEquals("b", host.attemptsOf(id).get(0).endpointId(), "report of a: " + report);
         host.endAttempt(id, Outcome.OK);
       }
     }
     assertTrue(
-        host.healthChecks.size() >= 20, "each request probes, where one's own answers are rare");
+        host.healthChecks.size() >= 20,
+        "a node with few answers of its own checks an endpoint's health with each request");
   }
 
-  /** An attempt at a silent server once was waited for until its request was past its aim. */
+  /**
+   * Guards against an attempt at an unresponsive endpoint that is waited for until its request has
+   * missed its latency objective.
+   */
   @Test
-  void aSilentServerLeavesTimeForAnother() {
+  void anAttemptAtAnUnresponsiveEndpointLeavesTimeForARetry() {
     Host host = new Host(Host.UNLIMITED_PLAN, 1, 0, false).addEndpoints(4);
     for (int i = 0; i < 300; i++) {
       String id = host.request(IDEMPOTENT, 1);
@@ -391,62 +423,65 @@
       host.endAttempt(id, Outcome.OK);
     }
     String id = host.request(IDEMPOTENT, 1);
-    long patience = host.attemptsOf(id).get(0).timeoutNanos();
-    assertTrue(patience < 300 * MS, "waits " + patience);
-    host.advance(patience);
+    long timeoutNanos = host.attemptsOf(id).get(0).timeoutNanos();
+    assertTrue(timeoutNanos < 300 * MS, "first timeout in ns: " + timeoutNanos);
+    host.advance(timeoutNanos);
     host.endAttempt(id, Outcome.TIMEOUT);
     assertEquals(2, host.attemptsOf(id).size());
     assertTrue(
         host.attemptsOf(id).get(1).timeoutNanos() > 600 * MS,
-        "the second may take what time is left");
-    String unsafe = host.request(Host.NOT_IDEMPOTENT, 1);
-    assertTrue(host.attemptsOf(unsafe).get(0).timeoutNanos() > 900 * MS, "it cannot be sent again");
+        "the retry may take all of the time left");
+    String notIdempotent = host.request(NOT_IDEMPOTENT, 1);
+    assertTrue(
+        host.attemptsOf(notIdempotent).get(0).timeoutNanos() > 900 * MS, "it may not be retried");
   }
 
   @Test
-  void oddInputIsAnswered() {
+  void requestsOfUnknownClassOrPlanAreRejectedAndUnknownIdsIgnored() {
     Host host = new Host(Host.UNLIMITED_PLAN, 1, 0, false);
     host.request(9, 1);
     host.request(IDEMPOTENT, 5, 1, 1, host.nowNanos + 3000 * MS);
     assertEquals(2, host.rejected.size());
     host.policy.attemptEnded(
-        host.nowNanos, new AttemptResult("nobody", Outcome.OK, 1, "x", true, 0, 0, List.of()));
-    host.policy.clientDisconnected(host.nowNanos, "nobody");
+        host.nowNanos, new AttemptResult("unknown", Outcome.OK, 1, "x", true, 0, 0, List.of()));
+    host.policy.clientDisconnected(host.nowNanos, "unknown");
     host.policy.counterReplied(host.nowNanos, 5, Outcome.OK, 3);
-    host.policy.healthChecked(host.nowNanos, "nobody", Outcome.TIMEOUT, 1, List.of(1.0, 2.0));
+    host.policy.healthChecked(host.nowNanos, "unknown", Outcome.TIMEOUT, 1, List.of(1.0, 2.0));
     host.addEndpoints(1);
     host.request(IDEMPOTENT, 0);
     assertEquals(1, host.attempts.size());
   }
 
   /**
-   * A process that takes an edge node over goes on where the other was, and under a ceiling the two
-   * are one.
+   * A process that takes over from another one continues with its state, and the two together stay
+   * within this node's share of a ceiling.
    */
   @Test
-  void whoTakesOverGoesOnUnderTheCeilingOfBoth() {
+  void anUpgradeKeepsTheOldAndTheNewProcessWithinOneCeiling() {
     QuotaPlan plan = new QuotaPlan(0, 0, 0, 1, 0, 0, 4, 20, 2);
-    Host old = new Host(plan, 2, 0, false).addEndpoints(4);
-    old.advance(10_000 * MS);
-    int sent = 0;
+    Host oldProcess = new Host(plan, 2, 0, false).addEndpoints(4);
+    oldProcess.advance(10_000 * MS);
+    int servedBefore = 0;
     for (int i = 0; i < 4; i++) {
-      sent += served(old);
+      servedBefore += serve(oldProcess);
     }
-    Host next = new Host(plan, 2, 0, false).addEndpoints(4);
-    Host alone = new Host(plan, 2, 0, false).addEndpoints(4);
-    assertEquals(0, served(alone), "with nothing told, a ceiling begins at nothing");
-    next.policy.importState(next.nowNanos, old.policy.exportState(old.nowNanos));
-    int after = 0;
+    Host newProcess = new Host(plan, 2, 0, false).addEndpoints(4);
+    Host withoutState = new Host(plan, 2, 0, false).addEndpoints(4);
+    assertEquals(0, serve(withoutState), "without the state a ceiling starts with no units");
+    newProcess.policy.importState(
+        newProcess.nowNanos, oldProcess.policy.exportState(oldProcess.nowNanos));
+    int servedAfter = 0;
     for (int i = 0; i < 40; i++) {
-      after += served(old) + served(next);
+      servedAfter += serve(oldProcess) + serve(newProcess);
     }
-    assertTrue(after > 0, "what is told is used");
+    assertTrue(servedAfter > 0, "the transferred units are used");
     assertTrue(
-        sent + after <= 20 / 2 + 1,
-        "this node's part of the ceiling's burst: " + sent + " + " + after);
+        servedBefore + servedAfter <= 20 / 2 + 1,
+        "this node's share of the ceiling's burst: " + servedBefore + " + " + servedAfter);
   }
 
-  private static int served(Host host) {
+  /** Sends a request; returns 1 if it was forwarded, and answers it, else 0. */
+  private static int serve(Host host) {
     String id = host.request(IDEMPOTENT, 1);
     if (host.attemptsOf(id).isEmpty()) {
       return 0;
--- a/edge/src/test/java/edgegateway/policy/RulesTest.java
+++ b/edge/src/test/java/edgegateway/policy/RulesTest.java
@@ -23,12 +23,15 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.EnumSource;
 
-/** The five rules at their edges. */
+/**
+ * Boundary cases of the rules for deadlines, disconnected clients, retries, the concurrency cap,
+ * the endpoint list, slow start and ceilings.
+ */
 class RulesTest {
   private final Host host = new Host(Host.UNLIMITED_PLAN, 3, 0);
 
   @Test
-  void queuedPastItsTimeIsRefusedBeforeTheDeadline() {
+  void aRequestQueuedPastItsObjectiveIsRejectedBeforeTheDeadline() {
     String id = host.request(IDEMPOTENT, 1);
     assertEquals(List.of(), host.attempts);
     host.advance(1000 * MS);
@@ -36,19 +39,19 @@
   }
 
   @Test
-  void shortDeadlineBehindALongOneIsAnsweredToo() {
-    Host full = new Host(Host.UNLIMITED_PLAN, 1, 0).addEndpoints(1);
+  void aShortDeadlineQueuedBehindALongOneIsNotMissed() {
+    Host loaded = new Host(Host.UNLIMITED_PLAN, 1, 0).addEndpoints(1);
     for (int i = 0; i < 6; i++) {
-      full.request(IDEMPOTENT, 1);
+      loaded.request(IDEMPOTENT, 1);
     }
-    full.request(IDEMPOTENT, 0, 1, 1, full.nowNanos + 3000 * MS);
-    String hurried = full.request(IDEMPOTENT, 0, 1, 1, full.nowNanos + 300 * MS);
-    full.advance(300 * MS);
-    assertEquals(List.of(hurried), full.rejected);
+    loaded.request(IDEMPOTENT, 0, 1, 1, loaded.nowNanos + 3000 * MS);
+    String shortDeadline = loaded.request(IDEMPOTENT, 0, 1, 1, loaded.nowNanos + 300 * MS);
+    loaded.advance(300 * MS);
+    assertEquals(List.of(shortDeadline), loaded.rejected);
   }
 
   @Test
-  void arrivingWithNoTimeLeftIsAnsweredAtOnce() {
+  void aRequestThatArrivesWithNoTimeLeftIsRejectedAtOnce() {
     host.addEndpoints(1);
     String id = host.request(IDEMPOTENT, 0, 1, 1, host.nowNanos + MS);
     assertEquals(List.of(id), host.rejected);
@@ -56,7 +59,7 @@
   }
 
   @Test
-  void timeOutAtTheDeadlineStillOwesTheAnswer() {
+  void aTimeoutAtTheDeadlineStillFailsTheRequest() {
     host.addEndpoints(1);
     String id = host.request(NOT_IDEMPOTENT, 1);
     host.nowNanos += 3000 * MS;
@@ -66,7 +69,7 @@
   }
 
   @Test
-  void nothingFollowsWhenTheClientIsGone() {
+  void afterADisconnectThereIsNoRetryAndNoFinalAnswer() {
     host.addEndpoints(2);
     String id = host.request(IDEMPOTENT, 1);
     host.policy.clientDisconnected(host.nowNanos, id);
@@ -77,63 +80,66 @@
     assertEquals(List.of(), host.failed);
   }
 
-  /** In whichever state its client leaves, and however what was under way then ends. */
+  /**
+   * The client disconnects during an attempt, during a counter call or while the request is queued;
+   * whatever is in flight then ends with each outcome.
+   */
   @ParameterizedTest
   @EnumSource(Outcome.class)
-  void nothingBeginsForAClientThatLeftInAnyState(Outcome outcome) {
+  void afterADisconnectInAnyStateNoAttemptIsSent(Outcome outcome) {
     for (int requestClass : new int[] {IDEMPOTENT, NOT_IDEMPOTENT, KEYED_ALL}) {
-      clientLeavesDuringAnAttempt(requestClass, outcome);
-      clientLeavesDuringACounterCall(requestClass, outcome);
-      clientLeavesWhileQueued(requestClass, outcome);
+      disconnectDuringAnAttempt(requestClass, outcome);
+      disconnectDuringACounterCall(requestClass, outcome);
+      disconnectWhileQueued(requestClass, outcome);
     }
   }
 
-  /** An attempt is out, the first or a further one. */
-  private static void clientLeavesDuringAnAttempt(int requestClass, Outcome outcome) {
-    Host out = new Host(Host.UNLIMITED_PLAN, 1, 0).addEndpoints(4);
-    String first = out.request(requestClass, 1);
-    String further = out.request(requestClass, 1);
-    out.endAttempt(further, Outcome.REJECTED, false);
-    out.policy.clientDisconnected(out.nowNanos, first);
-    out.policy.clientDisconnected(out.nowNanos, further);
-    int sent = out.attempts.size();
-    out.endAttempt(first, outcome, false);
-    out.endAttempt(further, outcome, false);
-    out.advance(4_000 * MS);
-    assertEquals(sent, out.attempts.size(), outcome + " of an attempt");
+  /** Disconnects two clients, one during the first attempt, one during a retry. */
+  private static void disconnectDuringAnAttempt(int requestClass, Outcome outcome) {
+    Host host = new Host(Host.UNLIMITED_PLAN, 1, 0).addEndpoints(4);
+    String first = host.request(requestClass, 1);
+    String retried = host.request(requestClass, 1);
+    host.endAttempt(retried, Outcome.REJECTED, false);
+    host.policy.clientDisconnected(host.nowNanos, first);
+    host.policy.clientDisconnected(host.nowNanos, retried);
+    int sentBefore = host.attempts.size();
+    host.endAttempt(first, outcome, false);
+    host.endAttempt(retried, outcome, false);
+    host.advance(4_000 * MS);
+    assertEquals(sentBefore, host.attempts.size(), outcome + " of the attempt in flight");
   }
 
-  /** The counter is asked. */
-  private static void clientLeavesDuringACounterCall(int requestClass, Outcome outcome) {
-    Host asking = new Host(new QuotaPlan(5, 5, 0, 1, 0, 1, 0, 0, 0), 2, 0).addEndpoints(4);
-    String asked = asking.request(requestClass, 0, 1, 1, asking.nowNanos + 3_000 * MS);
-    for (long customer = 2; !asking.attemptsOf(asked).isEmpty(); customer++) {
-      asking.endAttempt(asked, Outcome.OK);
-      asking.advance(1_000 * MS);
-      asking.counterCalls.clear();
-      asked = asking.request(requestClass, 0, customer, 1, asking.nowNanos + 3_000 * MS);
+  /** Disconnects a client whose request waits for the counter. */
+  private static void disconnectDuringACounterCall(int requestClass, Outcome outcome) {
+    Host host = new Host(new QuotaPlan(5, 5, 0, 1, 0, 1, 0, 0, 0), 2, 0).addEndpoints(4);
+    String waiting = host.request(requestClass, 0, 1, 1, host.nowNanos + 3_000 * MS);
+    for (long customer = 2; !host.attemptsOf(waiting).isEmpty(); customer++) {
+      host.endAttempt(waiting, Outcome.OK);
+      host.advance(1_000 * MS);
+      host.counterCalls.clear();
+      waiting = host.request(requestClass, 0, customer, 1, host.nowNanos + 3_000 * MS);
     }
-    asking.policy.clientDisconnected(asking.nowNanos, asked);
-    asking.policy.counterReplied(
-        asking.nowNanos, asking.counterCalls.get(asking.counterCalls.size() - 1).key(), outcome, 1);
-    asking.advance(4_000 * MS);
-    assertEquals(List.of(), asking.attemptsOf(asked), outcome + " of a call");
-    assertFalse(asking.rejected.contains(asked));
+    host.policy.clientDisconnected(host.nowNanos, waiting);
+    host.policy.counterReplied(
+        host.nowNanos, host.counterCalls.get(host.counterCalls.size() - 1).key(), outcome, 1);
+    host.advance(4_000 * MS);
+    assertEquals(List.of(), host.attemptsOf(waiting), outcome + " of the counter call");
+    assertFalse(host.rejected.contains(waiting));
   }
 
-  /** It waits in its queue, and places come free. */
-  private static void clientLeavesWhileQueued(int requestClass, Outcome outcome) {
-    Host queued = new Host(Host.UNLIMITED_PLAN, 1, 0).addEndpoints(1);
-    List<String> before = new ArrayList<>();
-    String waits = queued.request(requestClass, 1);
-    while (!queued.attemptsOf(waits).isEmpty()) {
-      before.add(waits);
-      waits = queued.request(requestClass, 1);
+  /** Disconnects a client whose request is queued, and then ends all attempts. */
+  private static void disconnectWhileQueued(int requestClass, Outcome outcome) {
+    Host host = new Host(Host.UNLIMITED_PLAN, 1, 0).addEndpoints(1);
+    List<String> inFlight = new ArrayList<>();
+    String queued = host.request(requestClass, 1);
+    while (!host.attemptsOf(queued).isEmpty()) {
+      inFlight.add(queued);
+      queued = host.request(requestClass, 1);
     }
-    queued.policy.clientDisconnected(queued.nowNanos, waits);
-    before.forEach(id -> queued.endAttempt(id, outcome, true));
-    queued.advance(4_000 * MS);
-    assertEquals(List.of(), queued.attemptsOf(waits), outcome + " of those before it");
+    host.policy.clientDisconnected(host.nowNanos, queued);
+    inFlight.forEach(id -> host.endAttempt(id, outcome, true));
+    host.advance(4_000 * MS);
+    assertEquals(List.of(), host.attemptsOf(queued), outcome + " of the attempts in flight");
   }
 
   @ParameterizedTest
@@ -141,7 +147,7 @@
       value = Outcome.class,
       names = {"OK"},
       mode = EnumSource.Mode.EXCLUDE)
-  void unsafeGoesOutAgainOnlyWhenItNeverRan(Outcome outcome) {
+  void aRequestThatIsNotIdempotentIsRetriedOnlyIfItNeverRan(Outcome outcome) {
     host.addEndpoints(3);
     String id = host.request(NOT_IDEMPOTENT, 1);
     host.endAttempt(id, outcome, false);
@@ -155,7 +161,7 @@
   }
 
   @Test
-  void keyedStaysInItsCell() {
+  void aKeyedRequestIsRetriedInItsDeduplicationCell() {
     host.addEndpoints(4);
     String id = host.request(KEYED_CELL, 1);
     host.endAttempt(id, Outcome.ERROR, false);
@@ -167,7 +173,7 @@
   }
 
   @Test
-  void keyedIsNotSentAgainAfterItsWindowNorRefused() {
+  void afterItsKeyWindowAKeyedRequestFailsWithoutRetryOrRejection() {
     host.addEndpoints(4);
     String id = host.request(KEYED_CELL, 1);
     host.nowNanos += 700 * MS;
@@ -177,7 +183,7 @@
   }
 
   @Test
-  void keyedOverAllServersMayBeRefused() {
+  void aKeyedRequestDeduplicatedByAllEndpointsMayBeRejected() {
     host.addEndpoints(4);
     String id = host.request(KEYED_ALL, 1);
     host.nowNanos += 700 * MS;
@@ -186,7 +192,7 @@
   }
 
   @Test
-  void attemptsOverTheCapWaitAndHoldUpNobodyElse() {
+  void requestsOverACustomersConcurrencyCapWaitWithoutDelayingOthers() {
     Host capped = new Host(new QuotaPlan(100, 100, 3, 1, 0, 1, 0, 0, 0), 1, 0).addEndpoints(4);
     for (int i = 0; i < 4; i++) {
       capped.request(IDEMPOTENT, 1);
@@ -199,7 +205,7 @@
   }
 
   @Test
-  void drainToldWhileQueuedIsKept() {
+  void aDrainingEndpointGetsNoRequestsUntilItIsReadyAgain() {
     host.addEndpoints(1);
     host.updateEndpoint("a", 0, EndpointState.DRAINING, 0);
     host.request(IDEMPOTENT, 1);
@@ -210,7 +216,7 @@
   }
 
   @Test
-  void goneAndBackUnderTheSameIdIsCold() {
+  void anEndpointRemovedAndListedAgainIsInSlowStart() {
     host.addEndpoints(1);
     host.updateEndpoint("a", 0, EndpointState.REMOVED, 0);
     host.request(IDEMPOTENT, 1);
@@ -219,11 +225,13 @@
     for (int i = 0; i < 20; i++) {
       host.request(IDEMPOTENT, 1);
     }
-    assertTrue(host.attempts.size() <= 1, "sent at once to a cold server: " + host.attempts.size());
+    assertTrue(
+        host.attempts.size() <= 1,
+        "sent at once to an endpoint in slow start: " + host.attempts.size());
   }
 
   @Test
-  void absentFromAFullListIsGone() {
+  void anEndpointMissingFromAFullListGetsNoRequests() {
     host.addEndpoints(2);
     host.policy.endpointsUpdated(host.nowNanos, EndpointListKind.FULL, List.of());
     host.request(IDEMPOTENT, 1);
@@ -231,83 +239,91 @@
   }
 
   @Test
-  void coldServerGetsASmallPart() {
+  void anEndpointInSlowStartGetsAReducedPartOfTheTraffic() {
     host.addEndpoints(4);
     host.updateEndpoint("z", 0, EndpointState.READY, host.nowNanos);
-    Map<String, Integer> sends = new HashMap<>();
+    Map<String, Integer> sentByEndpoint = new HashMap<>();
     for (int i = 0; i < 300; i++) {
       String id = host.request(IDEMPOTENT, 1);
       host.advance(10 * MS);
       host.endAttempt(id, Outcome.OK);
     }
-    host.attempts.forEach(s -> sends.merge(s.endpointId(), 1, Integer::sum));
-    int warm = (300 - sends.getOrDefault("z", 0)) / 4;
-    assertTrue(sends.getOrDefault("z", 0) > 0, "a cold server must warm");
-    assertTrue(sends.get("z") < 0.6 * warm, "cold " + sends.get("z") + " against warm " + warm);
+    host.attempts.forEach(attempt -> sentByEndpoint.merge(attempt.endpointId(), 1, Integer::sum));
+    int warmAverage = (300 - sentByEndpoint.getOrDefault("z", 0)) / 4;
+    assertTrue(sentByEndpoint.getOrDefault("z", 0) > 0, "an endpoint in slow start needs traffic");
+    assertTrue(
+        sentByEndpoint.get("z") < 0.6 * warmAverage,
+        "in slow start " + sentByEndpoint.get("z") + ", past it on average " + warmAverage);
   }
 
   /**
-   * After a power loss nothing is warm, and this gateway has sent nothing: it begins by its part of
-   * a core of each.
+   * After a power loss all endpoints are in slow start, and this node has sent no work from which
+   * it could tell what an endpoint may be sent: it starts with its part of one core of each
+   * endpoint.
    */
   @Test
-  void whereNoServerIsWarmTheColdOnesTakeTheFirstRequests() {
+  void withAllEndpointsInSlowStartTheFirstRequestsAreSentAtAGrowingRate() {
     Host host = new Host(Host.UNLIMITED_PLAN, 4, 0, false);
     for (int i = 0; i < 8; i++) {
       host.updateEndpoint("c" + i, 0, EndpointState.READY, host.nowNanos);
     }
-    int[] sends = new int[3];
+    int[] sentPerSecond = new int[3];
     for (int i = 0; i < 300; i++) {
-      int before = host.attempts.size();
+      int sentBefore = host.attempts.size();
       host.request(IDEMPOTENT, 1);
       host.advance(10 * MS);
-      List.copyOf(host.attempts.subList(before, host.attempts.size()))
-          .forEach(sent -> host.endAttempt(sent.requestId(), Outcome.OK));
-      sends[i / 100] += host.attempts.size() - before;
+      List.copyOf(host.attempts.subList(sentBefore, host.attempts.size()))
+          .forEach(attempt -> host.endAttempt(attempt.requestId(), Outcome.OK));
+      sentPerSecond[i / 100] += host.attempts.size() - sentBefore;
     }
-    // A quarter of 8 cores by four gateways, at the 0.125 s that a request is taken to need at
-    // first: 4 a second.
-    assertTrue(sends[0] >= 1 && sends[0] <= 20, "in the first second " + sends[0]);
-    assertTrue(sends[2] > 2 * sends[0], "it does not grow: " + Arrays.toString(sends));
+    // A quarter of the capacity of 8 cores, divided over 4 nodes, at the initial estimate of
+    // 0.125 s of service time per request: 4 requests a second.
+    assertTrue(
+        sentPerSecond[0] >= 1 && sentPerSecond[0] <= 20,
+        "sent in the first second: " + sentPerSecond[0]);
+    assertTrue(
+        sentPerSecond[2] > 2 * sentPerSecond[0],
+        "sent in each second: " + Arrays.toString(sentPerSecond));
   }
 
-  /** A request that is given up is refused at once, and its client told when to come back. */
+  /** Requests over the length limit of the queue are rejected at once, with a Retry-After. */
   @Test
-  void whoIsGivenUpIsToldWhenToComeBack() {
+  void requestsShedFromAFullQueueGetARetryAfter() {
     Host host = new Host(Host.UNLIMITED_PLAN, 1, 0, false).addEndpoints(1);
     for (int i = 0; i < 200; i++) {
       host.request(IDEMPOTENT, 1);
     }
-    assertTrue(host.rejected.size() > 0, "the queue is too long");
+    assertTrue(host.rejected.size() > 0, "requests shed from the queue");
     host.advance(2_000 * MS);
     assertTrue(
-        host.retryAfterNanos.stream().allMatch(span -> span > 0 && span <= 500 * MS),
-        "told " + host.retryAfterNanos);
+        host.retryAfterNanos.stream().allMatch(nanos -> nanos > 0 && nanos <= 500 * MS),
+        "Retry-After in ns: " + host.retryAfterNanos);
   }
 
   @Test
-  void ceilingHoldsForAllGatewaysTogetherWithoutTheCounterAndOverARestart() {
+  void theCeilingHoldsOverAllNodesWithoutTheCounterAndOverRestarts() {
     QuotaPlan plan = new QuotaPlan(5, 20, 0, 1, 0, 1, 8, 32, 4);
-    double sent = 0;
-    for (int me = 0; me < 3; me++) {
-      Host one = new Host(plan, 3, me).addEndpoints(6);
-      sent += flood(one, 300);
-      // The same number starts again a moment later, with nothing in hand.
-      Host again = new Host(plan, 3, me).addEndpoints(6);
-      sent += flood(again, 100);
+    double unitsSent = 0;
+    for (int node = 0; node < 3; node++) {
+      Host first = new Host(plan, 3, node).addEndpoints(6);
+      unitsSent += flood(first, 300);
+      // The same node restarts without state: its ceiling must start with no units.
+      Host restarted = new Host(plan, 3, node).addEndpoints(6);
+      unitsSent += flood(restarted, 100);
     }
-    assertTrue(sent > 0, "something is let in");
-    assertTrue(sent <= 32 + 8 * 4 + 4, "sent " + sent);
+    assertTrue(unitsSent > 0, "some requests are admitted");
+    assertTrue(unitsSent <= 32 + 8 * 4 + 4, "units sent: " + unitsSent);
   }
 
+  /** Sends a request of 2 units every 10 ms; returns the units that were forwarded. */
   private static double flood(Host host, int ticks) {
     for (int i = 0; i < ticks; i++) {
-      int before = host.attempts.size();
+      int sentBefore = host.attempts.size();
       host.advance(10 * MS);
       host.request(IDEMPOTENT, 2);
-      host.attempts.subList(before, host.attempts.size()).stream()
+      host.attempts.subList(sentBefore, host.attempts.size()).stream()
           .toList()
-          .forEach(s -> host.endAttempt(s.requestId(), Outcome.OK));
+          .forEach(attempt -> host.endAttempt(attempt.requestId(), Outcome.OK));
     }
     return 2.0 * host.attempts.size();
   }
