--- a/edge/src/main/java/edgegateway/node/WarmUp.java
+++ b/edge/src/main/java/edgegateway/node/WarmUp.java
@@ -190,7 +190,7 @@
         + "\r\nCookie: customer=00000000000000"
         + (FIRST_CUSTOMER + number % CUSTOMERS)
         + "\r\nX-Expires-In-Ms: "
-        + TimeUnit.NANOSECONDS.toMillis(terms.deadlineNanos())
+        + TimeUnit.NANOSECONDS.toMillis(terms.clientTimeoutNanos())
         + "\r\nX-Quota: units=1,spread="
         + config.settings().nodeCount()
         + ",first=0"
--- a/edge/src/main/java/edgegateway/policy/api/RequestClass.java
+++ b/edge/src/main/java/edgegateway/policy/api/RequestClass.java
@@ -4,7 +4,7 @@
  * A request class.
  *
  * @param latencyObjectiveNanos an answer within this time earns the full value, nanoseconds
- * @param deadlineNanos how long a client waits over all its tries, nanoseconds
+ * @param clientTimeoutNanos how long a client waits over all its attempts, nanoseconds
  * @param idempotency whether requests may be executed more than once
  * @param deduplicationScope which endpoints drop repeats, for {@link Idempotency#KEYED}
  * @param idempotencyKeyWindowNanos for how long they do, in nanoseconds from the start of the first
@@ -15,7 +15,7 @@
  */
 public record RequestClass(
     long latencyObjectiveNanos,
-    long deadlineNanos,
+    long clientTimeoutNanos,
     Idempotency idempotency,
     DeduplicationScope deduplicationScope,
     long idempotencyKeyWindowNanos,
--- a/edge/src/main/java/edgegateway/protocol/PolicySettingsReader.java
+++ b/edge/src/main/java/edgegateway/protocol/PolicySettingsReader.java
@@ -85,7 +85,7 @@
   private RequestClass requestClass(String prefix) {
     return new RequestClass(
         whole(prefix + SettingKeys.RequestClasses.LATENCY_OBJECTIVE_NANOS),
-        whole(prefix + SettingKeys.RequestClasses.DEADLINE_NANOS),
+        whole(prefix + SettingKeys.RequestClasses.CLIENT_TIMEOUT_NANOS),
         idempotency(text(prefix + SettingKeys.RequestClasses.IDEMPOTENCY)),
         deduplicationScope(text(prefix + SettingKeys.RequestClasses.DEDUPLICATION_SCOPE)),
         whole(prefix + SettingKeys.RequestClasses.IDEMPOTENCY_KEY_WINDOW_NANOS),
--- a/edge/src/main/java/edgegateway/protocol/SettingKeys.java
+++ b/edge/src/main/java/edgegateway/protocol/SettingKeys.java
@@ -59,8 +59,8 @@
     /** Duration: {@code RequestClass.latencyObjectiveNanos}. */
     static final String LATENCY_OBJECTIVE_NANOS = "aim-ns";
 
-    /** Duration: {@code RequestClass.deadlineNanos}. */
-    static final String DEADLINE_NANOS = "deadline-ns";
+    /** Duration: {@code RequestClass.clientTimeoutNanos}. */
+    static final String CLIENT_TIMEOUT_NANOS = "deadline-ns";
 
     /** {@link #IDEMPOTENT} or {@link #KEYED}; else, and by default, not idempotent. */
     static final String IDEMPOTENCY = "idempotency";
