--- a/edge/src/main/java/edgegateway/node/zones/ZoneConsensus.java
+++ b/edge/src/main/java/edgegateway/node/zones/ZoneConsensus.java
@@ -276,8 +276,9 @@
   /** How long the traffic of a zone grows on its return. */
   long returnRampNanos(int zone) {
     ZoneHealth health = healthByZone.get(zone);
-    boolean noneWarming = discoveryCurrent && health != null && health.warmingEndpoints() == 0;
-    return noneWarming ? fleet.rampNanos() : fleet.slowStartRampNanos();
+    boolean noneInSlowStart =
+        discoveryCurrent && health != null && health.slowStartEndpoints() == 0;
+    return noneInSlowStart ? fleet.rampNanos() : fleet.slowStartRampNanos();
   }
 
   /** Number of the voting window at a time. */
--- a/edge/src/main/java/edgegateway/policy/api/ZoneHealth.java
+++ b/edge/src/main/java/edgegateway/policy/api/ZoneHealth.java
@@ -16,7 +16,7 @@
  *     or that have an attempt in flight for too long
  * @param failingEndpoints observed endpoints whose last attempt failed
  * @param unresponsiveEndpoints observed endpoints that did not answer it at all
- * @param warmingEndpoints endpoints of the zone in slow start, as far as is known
+ * @param slowStartEndpoints endpoints of the zone in slow start, as far as is known
  * @param endpointFraction the zone's fraction of all endpoints in the list, 0 to 1
  * @param totalAttempts attempts that ever ended
  * @param totalFailures attempts that ever failed
@@ -32,7 +32,7 @@
     int observedEndpoints,
     int failingEndpoints,
     int unresponsiveEndpoints,
-    int warmingEndpoints,
+    int slowStartEndpoints,
     double endpointFraction,
     long totalAttempts,
     long totalFailures,
