--- a/edge/src/test/java/edgegateway/policy/ColdFleetTest.java
+++ b/edge/src/test/java/edgegateway/policy/ColdFleetTest.java
@@ -18,188 +18,239 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * What all gateways of a fleet together send to servers that are cold, against what these may be
- * sent.
+ * Simulates a fleet of nodes and checks that all of them together send no more to an endpoint in
+ * slow start than it may be sent.
  */
 class ColdFleetTest {
   private static final long MS = 1_000_000L;
-  private static final long SPAN = 2_000 * MS;
-  private static final long RAMP = 10_000 * MS;
-  private static final int SERVERS = 20;
-  private static final int CORES = 4;
-  private static final int MOST_HELD = 40;
-  private static final double WORK_S = 0.2;
-  private static final double COLD_FROM = 0.25;
-
-  /** An attempt that ends at a moment. */
-  private record End(long at, int gateway, String id, String server, long sentAt, Outcome how) {}
-
-  private final List<Host> gateways = new ArrayList<>();
-  private final Map<String, ArrayDeque<Long>> arrived = new HashMap<>();
-  private final Map<String, Integer> held = new HashMap<>();
-  private final PriorityQueue<End> ends = new PriorityQueue<>(Comparator.comparingLong(End::at));
-  private long began;
-  private double most;
-  private double multiple;
-
-  private double warmth(String server, long nowNanos, int cold) {
-    boolean is = Integer.parseInt(server.substring(1)) < cold;
-    return is ? Math.min(1, COLD_FROM + (1 - COLD_FROM) * (nowNanos - began) / RAMP) : 1;
+
+  /** The requests sent to an endpoint are counted over this time. */
+  private static final long WINDOW_NANOS = 2_000 * MS;
+
+  private static final long SLOW_START_NANOS = 10_000 * MS;
+  private static final int ENDPOINTS = 20;
+  private static final int CORES_PER_ENDPOINT = 4;
+
+  /** An endpoint rejects further requests while it has this many. */
+  private static final int MAX_CONCURRENT_REQUESTS = 40;
+
+  private static final double SERVICE_SECONDS = 0.2;
+  private static final double SLOW_START_INITIAL_FRACTION = 0.25;
+
+  /** The end of an attempt, at a time to come. */
+  private record AttemptEnd(
+      long atNanos,
+      int node,
+      String requestId,
+      String endpointId,
+      long sentAtNanos,
+      Outcome outcome) {}
+
+  private final List<Host> nodes = new ArrayList<>();
+
+  /**
+   * Times, in nanoseconds, of the attempts sent to an endpoint in slow start in the last window.
+   */
+  private final Map<String, ArrayDeque<Long>> sentTimes = new HashMap<>();
+
+  private final Map<String, Integer> inFlight = new HashMap<>();
+  private final PriorityQueue<AttemptEnd> attemptEnds =
+      new PriorityQueue<>(Comparator.comparingLong(AttemptEnd::atNanos));
+  private long slowStartBeginNanos;
+  private double maxSentFraction;
+  private double allowedFactor;
+
+  /** The fraction of its capacity that an endpoint has; the first {@code warming} restarted. */
+  private double capacityFraction(String endpointId, long nowNanos, int warming) {
+    boolean inSlowStart = Integer.parseInt(endpointId.substring(1)) < warming;
+    return inSlowStart
+        ? Math.min(
+            1,
+            SLOW_START_INITIAL_FRACTION
+                + (1 - SLOW_START_INITIAL_FRACTION)
+                    * (nowNanos - slowStartBeginNanos)
+                    / SLOW_START_NANOS)
+        : 1;
   }
 
-  /** Carries what a gateway just asked for to its servers. */
-  private void carry(int at, int from, SplittableRandom random, int cold, int failing) {
-    Host host = gateways.get(at);
-    for (Host.Attempt sent : host.attempts.subList(from, host.attempts.size())) {
-      String server = sent.endpointId();
-      double warmth = warmth(server, host.nowNanos, cold);
-      if (Integer.parseInt(server.substring(1)) < cold) {
-        ArrayDeque<Long> window = arrived.computeIfAbsent(server, key -> new ArrayDeque<>());
+  /** Delivers the attempts that a node has sent since its attempt number {@code from}. */
+  private void deliver(int node, int from, SplittableRandom random, int warming, int failing) {
+    Host host = nodes.get(node);
+    for (Host.Attempt attempt : host.attempts.subList(from, host.attempts.size())) {
+      String endpointId = attempt.endpointId();
+      double capacityFraction = capacityFraction(endpointId, host.nowNanos, warming);
+      if (Integer.parseInt(endpointId.substring(1)) < warming) {
+        ArrayDeque<Long> window = sentTimes.computeIfAbsent(endpointId, key -> new ArrayDeque<>());
         window.add(host.nowNanos);
-        while (window.peek() < host.nowNanos - SPAN) {
+        while (window.peek() < host.nowNanos - WINDOW_NANOS) {
           window.poll();
         }
-        double allowed = multiple * warmth * CORES * SPAN / 1e9 / WORK_S;
-        most = Math.max(most, (window.size() - 2 * Math.sqrt(allowed) - 2) / allowed);
+        double allowed =
+            allowedFactor
+                * capacityFraction
+                * CORES_PER_ENDPOINT
+                * WINDOW_NANOS
+                / 1e9
+                / SERVICE_SECONDS;
+        maxSentFraction =
+            Math.max(maxSentFraction, (window.size() - 2 * Math.sqrt(allowed) - 2) / allowed);
       }
-      int inWork = held.merge(server, 1, Integer::sum);
-      boolean fails = Integer.parseInt(server.substring(1)) < failing;
-      double work = -WORK_S * Math.log(1 - random.nextDouble());
-      double took =
+      int concurrent = inFlight.merge(endpointId, 1, Integer::sum);
+      boolean fails = Integer.parseInt(endpointId.substring(1)) < failing;
+      double serviceSeconds = -SERVICE_SECONDS * Math.log(1 - random.nextDouble());
+      double durationSeconds =
           fails
               ? 0.002
-              : inWork > MOST_HELD ? 0.001 : work * Math.max(1, inWork / (CORES * warmth));
-      Outcome how =
+              : concurrent > MAX_CONCURRENT_REQUESTS
+                  ? 0.001
+                  : serviceSeconds
+                      * Math.max(1, concurrent / (CORES_PER_ENDPOINT * capacityFraction));
+      Outcome outcome =
           fails
               ? Outcome.ERROR
-              : inWork > MOST_HELD
+              : concurrent > MAX_CONCURRENT_REQUESTS
                   ? Outcome.REJECTED
-                  : took * 1e9 > sent.timeoutNanos() ? Outcome.TIMEOUT : Outcome.OK;
-      ends.add(
-          new End(
-              host.nowNanos + (long) Math.min(took * 1e9, sent.timeoutNanos()),
-              at,
-              sent.requestId(),
-              server,
+                  : durationSeconds * 1e9 > attempt.timeoutNanos() ? Outcome.TIMEOUT : Outcome.OK;
+      attemptEnds.add(
+          new AttemptEnd(
+              host.nowNanos + (long) Math.min(durationSeconds * 1e9, attempt.timeoutNanos()),
+              node,
+              attempt.requestId(),
+              endpointId,
               host.nowNanos,
-              how));
+              outcome));
     }
   }
 
   /**
-   * The most that a cold server was sent in a span, chance taken off, in parts of what it may be
-   * sent.
+   * Simulates 12 s of a fleet in which some endpoints restart after 3 s.
+   *
+   * @param warming number of endpoints that restart
+   * @param failing number of endpoints that answer each request with an error, the first ones
+   * @param load requests in parts of what all endpoints can serve
+   * @return the maximum number of attempts that an endpoint in slow start was sent in a window,
+   *     less two standard deviations and 2, as a fraction of the number allowed
    */
-  private double play(int fleet, int cold, int failing, double load, long seed) {
+  private double simulate(int nodeCount, int warming, int failing, double load, long seed) {
     SplittableRandom random = new SplittableRandom(seed);
-    gateways.clear();
-    arrived.clear();
-    held.clear();
-    ends.clear();
-    most = 0;
-    // Beside warm ones a cold server gets no more than it can do; where none is warm, less than any
-    // site lets it fall by.
-    multiple = cold == SERVERS ? 2 : 1;
-    double[] weights = new double[fleet];
-    double sum = 0;
-    for (int i = 0; i < fleet; i++) {
-      gateways.add(new Host(Host.UNLIMITED_PLAN, fleet, i, false, random.nextLong(), false));
+    nodes.clear();
+    sentTimes.clear();
+    inFlight.clear();
+    attemptEnds.clear();
+    maxSentFraction = 0;
+    // If other endpoints are past their slow start, one in slow start may get no more than its
+    // present capacity. If all are in slow start, it may get twice that, which is less than the
+    // overload factor of any site.
+    allowedFactor = warming == ENDPOINTS ? 2 : 1;
+    double[] weights = new double[nodeCount];
+    double weightSum = 0;
+    for (int i = 0; i < nodeCount; i++) {
+      nodes.add(new Host(Host.UNLIMITED_PLAN, nodeCount, i, false, random.nextLong(), false));
       weights[i] = Math.pow(random.nextDouble(), 2) + 0.1;
-      sum += weights[i];
+      weightSum += weights[i];
     }
-    long nowNanos = gateways.get(0).nowNanos;
-    began = Long.MAX_VALUE;
-    double rate = load * SERVERS * CORES / WORK_S;
-    long end = nowNanos + 12_000 * MS;
-    long restart = nowNanos + 3_000 * MS;
-    long tick = nowNanos;
-    long next = nowNanos;
-    while (nowNanos < end) {
-      long ending = ends.isEmpty() ? Long.MAX_VALUE : ends.peek().at;
-      nowNanos = Math.min(Math.min(tick, next), ending);
-      if (nowNanos >= restart && began == Long.MAX_VALUE
-          || began == Long.MAX_VALUE && tick == nowNanos && nowNanos == gateways.get(0).nowNanos) {
-        boolean begins = nowNanos >= restart;
-        began = begins ? nowNanos : began;
-        list(nowNanos, begins ? cold : 0);
+    long nowNanos = nodes.get(0).nowNanos;
+    slowStartBeginNanos = Long.MAX_VALUE;
+    double requestsPerSecond = load * ENDPOINTS * CORES_PER_ENDPOINT / SERVICE_SECONDS;
+    long endNanos = nowNanos + 12_000 * MS;
+    long restartNanos = nowNanos + 3_000 * MS;
+    long nextTimerNanos = nowNanos;
+    long nextRequestNanos = nowNanos;
+    while (nowNanos < endNanos) {
+      long nextEndNanos = attemptEnds.isEmpty() ? Long.MAX_VALUE : attemptEnds.peek().atNanos;
+      nowNanos = Math.min(Math.min(nextTimerNanos, nextRequestNanos), nextEndNanos);
+      if (nowNanos >= restartNanos && slowStartBeginNanos == Long.MAX_VALUE
+          || slowStartBeginNanos == Long.MAX_VALUE
+              && nextTimerNanos == nowNanos
+              && nowNanos == nodes.get(0).nowNanos) {
+        boolean restarts = nowNanos >= restartNanos;
+        slowStartBeginNanos = restarts ? nowNanos : slowStartBeginNanos;
+        listEndpoints(nowNanos, restarts ? warming : 0);
       }
-      for (Host host : gateways) {
+      for (Host host : nodes) {
         host.nowNanos = nowNanos;
       }
-      if (nowNanos == ending) {
-        End done = ends.poll();
-        held.merge(done.server, -1, Integer::sum);
-        Host host = gateways.get(done.gateway);
+      if (nowNanos == nextEndNanos) {
+        AttemptEnd end = attemptEnds.poll();
+        inFlight.merge(end.endpointId, -1, Integer::sum);
+        Host host = nodes.get(end.node);
         int from = host.attempts.size();
         host.policy.attemptEnded(
             nowNanos,
             new AttemptResult(
-                done.id,
-                done.how,
-                nowNanos - done.sentAt,
-                done.server,
-                done.how == Outcome.OK,
+                end.requestId,
+                end.outcome,
+                nowNanos - end.sentAtNanos,
+                end.endpointId,
+                end.outcome == Outcome.OK,
                 0,
                 0,
                 List.of()));
-        carry(done.gateway, from, random, began <= nowNanos ? cold : 0, failing);
-      } else if (nowNanos == next) {
-        next = nowNanos - (long) (1e9 / rate * Math.log(1 - random.nextDouble()));
-        double drawn = random.nextDouble() * sum;
-        int at = 0;
-        while (at < fleet - 1 && (drawn -= weights[at]) > 0) {
-          at++;
+        deliver(end.node, from, random, slowStartBeginNanos <= nowNanos ? warming : 0, failing);
+      } else if (nowNanos == nextRequestNanos) {
+        nextRequestNanos =
+            nowNanos - (long) (1e9 / requestsPerSecond * Math.log(1 - random.nextDouble()));
+        double drawn = random.nextDouble() * weightSum;
+        int node = 0;
+        while (node < nodeCount - 1 && (drawn -= weights[node]) > 0) {
+          node++;
         }
-        int from = gateways.get(at).attempts.size();
-        gateways.get(at).request(Host.IDEMPOTENT, 1);
-        carry(at, from, random, began <= nowNanos ? cold : 0, failing);
+        int from = nodes.get(node).attempts.size();
+        nodes.get(node).request(Host.IDEMPOTENT, 1);
+        deliver(node, from, random, slowStartBeginNanos <= nowNanos ? warming : 0, failing);
       } else {
-        tick = nowNanos + 10 * MS;
-        for (int at = 0; at < fleet; at++) {
-          int from = gateways.get(at).attempts.size();
-          gateways.get(at).policy.timerFired(nowNanos, 0);
-          carry(at, from, random, began <= nowNanos ? cold : 0, failing);
+        nextTimerNanos = nowNanos + 10 * MS;
+        for (int node = 0; node < nodeCount; node++) {
+          int from = nodes.get(node).attempts.size();
+          nodes.get(node).policy.timerFired(nowNanos, 0);
+          deliver(node, from, random, slowStartBeginNanos <= nowNanos ? warming : 0, failing);
         }
       }
     }
-    return most;
+    return maxSentFraction;
   }
 
-  private void list(long nowNanos, int cold) {
-    List<Endpoint> all = new ArrayList<>();
-    for (int i = 0; i < SERVERS; i++) {
-      all.add(new Endpoint("s" + i, 1, 0, 0, 0, EndpointState.READY, i < cold ? began : 0));
+  /** Gives all nodes a full list in which the first {@code warming} endpoints have restarted. */
+  private void listEndpoints(long nowNanos, int warming) {
+    List<Endpoint> endpoints = new ArrayList<>();
+    for (int i = 0; i < ENDPOINTS; i++) {
+      endpoints.add(
+          new Endpoint(
+              "s" + i, 1, 0, 0, 0, EndpointState.READY, i < warming ? slowStartBeginNanos : 0));
     }
-    for (Host host : gateways) {
+    for (Host host : nodes) {
       host.nowNanos = nowNanos;
-      host.policy.endpointsUpdated(nowNanos, EndpointListKind.FULL, all);
+      host.policy.endpointsUpdated(nowNanos, EndpointListKind.FULL, endpoints);
     }
   }
 
-  /** N calls are allowed, 2 x root of N + 2 are chance, however many processes send. */
+  /**
+   * With N attempts allowed in a window, up to 2 x sqrt(N) + 2 more are put down to chance, however
+   * many nodes send.
+   */
   @Test
-  void theFleetTogetherKeepsToWhatColdServersMayBeSent() {
-    StringBuilder told = new StringBuilder();
+  void allNodesTogetherKeepToTheLimitOfEndpointsInSlowStart() {
+    StringBuilder report = new StringBuilder();
     double worst = 0;
-    for (int fleet : new int[] {2, 20, 30}) {
-      for (int cold : new int[] {2, 10, SERVERS}) {
+    for (int nodeCount : new int[] {2, 20, 30}) {
+      for (int warming : new int[] {2, 10, ENDPOINTS}) {
         for (int failing : new int[] {0, 1}) {
           for (double load : new double[] {0.3, 0.8}) {
-            double part = 0;
+            double fraction = 0;
             for (long seed = 1; seed <= 4; seed++) {
-              part = Math.max(part, play(fleet, cold, failing, load, seed));
+              fraction = Math.max(fraction, simulate(nodeCount, warming, failing, load, seed));
             }
-            worst = Math.max(worst, part);
-            told.append(
+            worst = Math.max(worst, fraction);
+            report.append(
                 String.format(
-                    "%n%d gateways, %d of %d cold, %d failing, load %.1f: %.2f",
-                    fleet, cold, SERVERS, failing, load, part));
+                    "%n%d nodes, %d of %d in slow start, %d failing, load %.1f: %.2f",
+                    nodeCount, warming, ENDPOINTS, failing, load, fraction));
           }
         }
       }
     }
     System.out.println(
-        "sent to a cold server, in parts of what is allowed, chance taken off:" + told);
-    assertTrue(worst <= 1, told.toString());
+        "sent to an endpoint in slow start, less chance, as a fraction of the limit:" + report);
+    assertTrue(worst <= 1, report.toString());
   }
 }
--- a/edge/src/test/java/edgegateway/policy/ListsTest.java
+++ b/edge/src/test/java/edgegateway/policy/ListsTest.java
@@ -14,32 +14,32 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * Lists as they should not be: the module goes on with what they say, and its memory follows what
- * is named, not what ever was.
+ * Unusual endpoint lists: duplicate ids, empty lists and very many entries. The policy follows the
+ * list, and its memory use depends on the endpoints listed now, not on all that were ever listed.
  */
 class ListsTest {
   private static final long MS = 1_000_000L;
   private static final long MINUTE = 60_000 * MS;
-  private static final long MB = 1 << 20;
-  private static final int MANY = 100_000;
+  private static final long BYTES_PER_MB = 1 << 20;
+  private static final int MANY_ENDPOINTS = 100_000;
   private static final int REQUESTS = 50;
 
   private final Host host = new Host(Host.UNLIMITED_PLAN, 1, 0, false);
 
-  private static Endpoint server(String id, EndpointState readiness, long startedAt) {
-    return new Endpoint(id, 1, 0, 0, 0, readiness, startedAt);
+  private static Endpoint endpoint(String id, EndpointState state, long startedAtNanos) {
+    return new Endpoint(id, 1, 0, 0, 0, state, startedAtNanos);
   }
 
-  private static List<Endpoint> many(String prefix) {
-    List<Endpoint> all = new ArrayList<>();
-    for (int i = 0; i < MANY; i++) {
-      all.add(server(prefix + i, EndpointState.READY, 0));
+  private static List<Endpoint> manyEndpoints(String idPrefix) {
+    List<Endpoint> endpoints = new ArrayList<>();
+    for (int i = 0; i < MANY_ENDPOINTS; i++) {
+      endpoints.add(endpoint(idPrefix + i, EndpointState.READY, 0));
     }
-    return all;
+    return endpoints;
   }
 
-  /** The servers that requests go to now, all answered. */
-  private Set<String> reached() {
+  /** Sends and answers {@link #REQUESTS}; returns the ids of the endpoints that they went to. */
+  private Set<String> endpointsUsed() {
     List<String> ids = new ArrayList<>();
     for (int i = 0; i < REQUESTS; i++) {
       String id = host.request(Host.IDEMPOTENT, 1);
@@ -55,8 +55,8 @@
   }
 
   @Test
-  void ofAnIdThatIsListedTwiceTheLastEntryCounts() {
-    Endpoint other = server("b", EndpointState.READY, 0);
+  void ofTwoEntriesWithTheSameIdTheLastOneApplies() {
+    Endpoint other = endpoint("b", EndpointState.READY, 0);
     for (EndpointListKind kind :
         new EndpointListKind[] {
           EndpointListKind.CACHED, EndpointListKind.FULL, EndpointListKind.DELTA
@@ -64,86 +64,93 @@
       host.policy.endpointsUpdated(
           host.nowNanos,
           kind,
-          List.of(server("a", EndpointState.READY, 0), other, server("a", EndpointState.READY, 0)));
-      assertTrue(Set.of("a", "b").containsAll(reached()), kind.toString());
+          List.of(
+              endpoint("a", EndpointState.READY, 0), other, endpoint("a", EndpointState.READY, 0)));
+      assertTrue(Set.of("a", "b").containsAll(endpointsUsed()), kind.toString());
       host.policy.endpointsUpdated(
           host.nowNanos,
           kind,
           List.of(
-              server("a", EndpointState.READY, 0), other, server("a", EndpointState.DRAINING, 0)));
-      assertEquals(Set.of("b"), reached(), kind.toString());
+              endpoint("a", EndpointState.READY, 0),
+              other,
+              endpoint("a", EndpointState.DRAINING, 0)));
+      assertEquals(Set.of("b"), endpointsUsed(), kind.toString());
       host.policy.endpointsUpdated(
           host.nowNanos,
           kind,
           List.of(
-              server("a", EndpointState.DRAINING, 0),
-              server("b", EndpointState.DRAINING, 0),
-              server("a", EndpointState.READY, 0)));
-      assertEquals(Set.of("a"), reached(), kind.toString());
+              endpoint("a", EndpointState.DRAINING, 0),
+              endpoint("b", EndpointState.DRAINING, 0),
+              endpoint("a", EndpointState.READY, 0)));
+      assertEquals(Set.of("a"), endpointsUsed(), kind.toString());
     }
   }
 
-  /** The attempt at the first life ends while the list names two further ones. */
+  /** The attempt ends after a list that names its endpoint twice, with two later start times. */
   @Test
-  void anAttemptUnderWayOutlivesAnIdThatIsListedTwiceWithTwoLives() {
+  void anAttemptInFlightSurvivesAListThatNamesItsEndpointTwiceAsRestarted() {
     host.policy.endpointsUpdated(
-        host.nowNanos, EndpointListKind.FULL, List.of(server("a", EndpointState.READY, 0)));
-    String under = host.request(Host.IDEMPOTENT, 1);
+        host.nowNanos, EndpointListKind.FULL, List.of(endpoint("a", EndpointState.READY, 0)));
+    String inFlight = host.request(Host.IDEMPOTENT, 1);
     host.policy.endpointsUpdated(
         host.nowNanos,
         EndpointListKind.FULL,
         List.of(
-            server("a", EndpointState.READY, host.nowNanos - 2 * MS),
-            server("a", EndpointState.READY, host.nowNanos - MS)));
-    host.endAttempt(under, Outcome.OK);
+            endpoint("a", EndpointState.READY, host.nowNanos - 2 * MS),
+            endpoint("a", EndpointState.READY, host.nowNanos - MS)));
+    host.endAttempt(inFlight, Outcome.OK);
     host.advance(20_000 * MS);
-    assertEquals(Set.of("a"), reached());
+    assertEquals(Set.of("a"), endpointsUsed());
     assertEquals(List.of(), host.failed);
   }
 
   @Test
-  void withNoServerLeftRequestsAreRefusedAndServiceComesBackWithTheList() {
+  void withAnEmptyListRequestsAreRejectedUntilEndpointsAreListedAgain() {
     host.policy.endpointsUpdated(
-        host.nowNanos, EndpointListKind.FULL, List.of(server("a", EndpointState.READY, 0)));
-    String under = host.request(Host.IDEMPOTENT, 1);
+        host.nowNanos, EndpointListKind.FULL, List.of(endpoint("a", EndpointState.READY, 0)));
+    String inFlight = host.request(Host.IDEMPOTENT, 1);
     host.policy.endpointsUpdated(host.nowNanos, EndpointListKind.FULL, List.of());
     host.policy.endpointsUpdated(host.nowNanos, EndpointListKind.DELTA, List.of());
-    host.endAttempt(under, Outcome.OK);
-    String waits = host.request(Host.IDEMPOTENT, 1);
+    host.endAttempt(inFlight, Outcome.OK);
+    String queued = host.request(Host.IDEMPOTENT, 1);
     host.advance(1_500 * MS);
     assertTrue(
-        host.attemptsOf(waits).isEmpty() && host.rejected.contains(waits),
+        host.attemptsOf(queued).isEmpty() && host.rejected.contains(queued),
         host.rejected.toString());
     host.policy.endpointsUpdated(
-        host.nowNanos, EndpointListKind.FULL, List.of(server("a", EndpointState.READY, 0)));
-    assertEquals(Set.of("a"), reached());
+        host.nowNanos, EndpointListKind.FULL, List.of(endpoint("a", EndpointState.READY, 0)));
+    assertEquals(Set.of("a"), endpointsUsed());
   }
 
   @Test
-  void aHundredThousandEntriesAreTakenAndThoseNoLongerNamedForgotten() {
-    host.policy.endpointsUpdated(host.nowNanos, EndpointListKind.CACHED, many("first"));
-    served();
-    long before = used();
+  void aListOfAHundredThousandEntriesIsUsedAndUnlistedEndpointsAreFreed() {
+    host.policy.endpointsUpdated(host.nowNanos, EndpointListKind.CACHED, manyEndpoints("first"));
+    assertAllSent();
+    long bytesBefore = usedHeapBytes();
     for (int i = 0; i < 5; i++) {
       host.advance(2 * MINUTE);
-      host.policy.endpointsUpdated(host.nowNanos, EndpointListKind.FULL, many("list" + i + "-"));
+      host.policy.endpointsUpdated(
+          host.nowNanos, EndpointListKind.FULL, manyEndpoints("list" + i + "-"));
     }
-    served();
-    long more = (used() - before) / MB;
-    assertTrue(more < 30, "the fifth list of as many holds " + more + " MB more than the first");
+    assertAllSent();
+    long grownMb = (usedHeapBytes() - bytesBefore) / BYTES_PER_MB;
+    assertTrue(
+        grownMb < 30,
+        "after five more lists the heap holds " + grownMb + " MB more than after the first");
     host.policy.endpointsUpdated(host.nowNanos, EndpointListKind.FULL, List.of());
-    assertEquals(Set.of(), reached());
+    assertEquals(Set.of(), endpointsUsed());
   }
 
-  private void served() {
-    int before = host.attempts.size();
-    Set<String> reached = reached();
+  /** Asserts that all of {@link #REQUESTS} are forwarded. */
+  private void assertAllSent() {
+    int sentBefore = host.attempts.size();
+    Set<String> endpointIds = endpointsUsed();
     assertTrue(
-        host.attempts.size() == before + REQUESTS && !reached.isEmpty(),
-        "sent " + (host.attempts.size() - before) + " of " + REQUESTS);
+        host.attempts.size() == sentBefore + REQUESTS && !endpointIds.isEmpty(),
+        "sent " + (host.attempts.size() - sentBefore) + " of " + REQUESTS);
   }
 
-  private static long used() {
+  private static long usedHeapBytes() {
     System.gc();
     return Runtime.getRuntime().totalMemory() - Runtime.getRuntime().freeMemory();
   }
