--- a/edge/src/test/java/edgegateway/policy/ScaleMeasure.java
+++ b/edge/src/test/java/edgegateway/policy/ScaleMeasure.java
@@ -24,9 +24,9 @@
 import org.junit.jupiter.api.Timeout;
 
 /**
- * What the list, a request and a customer cost the module, by the size of the fleet, on a clock of
- * its own. Each figure is the median of five runs with the least and the most. Bounded in count;
- * not part of the build's tests. As an edge node's process runs: {@code
+ * Measures what endpoint lists, requests and customers cost the policy in time and memory, by fleet
+ * size, on a simulated clock. Each printed figure is the median of five runs, with the minimum and
+ * the maximum. Not part of the build's tests; run it with the JVM options of an edge node: {@code
  * -DargLine="-XX:TieredStopAtLevel=1 -XX:+UseSerialGC -Xms512m -Xmx512m"}.
  */
 @Tag("measure")
@@ -39,163 +39,176 @@
   private static final int ZONES = 10;
   private static final int CELLS = 180;
   private static final int CUSTOMERS = 74;
-  private static final int RATE = 70;
+  private static final int REQUESTS_PER_SECOND = 70;
   private static final int REQUESTS = 2_100;
   private static final int LISTS = 5;
   private static final int CHANGES = 500;
-  private static final int MANY = 20_000;
+  private static final int MANY_CUSTOMERS = 20_000;
 
-  /** Edge nodes and archive servers: today's size to the target's. */
-  private static final int[][] SIZES = {{100, 200}, {100, 1_000}, {300, 3_000}, {950, 8_900}};
+  /** Numbers of edge nodes and archive servers, from the present size to the planned one. */
+  private static final int[][] FLEET_SIZES = {{100, 200}, {100, 1_000}, {300, 3_000}, {950, 8_900}};
 
   private static final QuotaPlan PLAN = new QuotaPlan(2, 10, 0, 1, 0, 1, 0, 0, 0);
-  private static final ThreadMXBean THREADS = (ThreadMXBean) ManagementFactory.getThreadMXBean();
+  private static final ThreadMXBean THREAD_BEAN =
+      (ThreadMXBean) ManagementFactory.getThreadMXBean();
 
-  /** What was weighed stays: nothing that becomes free may be taken off the next one. */
-  private static final List<Node> WEIGHED = new ArrayList<>();
+  /**
+   * Keeps the policies whose heap was measured reachable: if one were collected during a later
+   * measurement, the later figure would be too small.
+   */
+  private static final List<MeasuredNode> RETAINED = new ArrayList<>();
 
   /**
-   * A module whose attempts are all served after 100 ms and whose calls to the counter are answered
-   * after 1 ms.
+   * Hosts one policy: answers each attempt after 100 ms and each call to the counter after 1 ms.
    */
-  private static final class Node implements PolicyActions {
-    private record Attempt(long at, String id, String server) {}
+  private static final class MeasuredNode implements PolicyActions {
+    private record Attempt(long sentAtNanos, String requestId, String endpointId) {}
 
-    private record Call(long at, long name, double amount) {}
+    private record CounterCall(long sentAtNanos, long key, double amount) {}
 
-    private final ArrayDeque<Attempt> sent = new ArrayDeque<>();
-    private final ArrayDeque<Call> called = new ArrayDeque<>();
-    private final SplittableRandom chance = new SplittableRandom(SEED);
+    private final ArrayDeque<Attempt> attempts = new ArrayDeque<>();
+    private final ArrayDeque<CounterCall> counterCalls = new ArrayDeque<>();
+    private final SplittableRandom random = new SplittableRandom(SEED);
     private final GatewayPolicy policy;
-    private final int nodes;
+    private final int nodeCount;
     private long nowNanos = SECOND;
-    private int ids;
+    private int requestIds;
     private int served;
 
-    Node(int nodes) {
-      this.nodes = nodes;
-      policy = new GatewayPolicy(Host.settings(PLAN, nodes, 0, true, false), SEED, nowNanos, this);
+    MeasuredNode(int nodeCount) {
+      this.nodeCount = nodeCount;
+      policy =
+          new GatewayPolicy(Host.settings(PLAN, nodeCount, 0, true, false), SEED, nowNanos, this);
     }
 
-    /**
-     * Passes so many requests of so many customers, evenly over time, with all timers due and all
-     * answers.
-     */
-    void requests(int count, int customers) {
+    /** Reports requests at an even rate; meanwhile fires the timer and delivers due answers. */
+    void receiveRequests(int count, int customers) {
       for (int i = 0; i < count; i++) {
-        for (long until = nowNanos + SECOND / RATE; nowNanos < until; ) {
-          nowNanos += Math.min(10 * MS, until - nowNanos);
-          answers();
+        for (long untilNanos = nowNanos + SECOND / REQUESTS_PER_SECOND; nowNanos < untilNanos; ) {
+          nowNanos += Math.min(10 * MS, untilNanos - nowNanos);
+          deliverAnswers();
           policy.timerFired(nowNanos, 0);
         }
         policy.requestReceived(
             nowNanos,
             new Request(
-                "r" + ids++,
+                "r" + requestIds++,
                 Host.IDEMPOTENT,
                 0,
-                chance.nextInt(customers),
+                random.nextInt(customers),
                 nowNanos + 3_000 * MS,
                 1,
-                Math.min(nodes, 3),
+                Math.min(nodeCount, 3),
                 0,
                 false));
       }
     }
 
-    private void answers() {
-      while (!called.isEmpty() && called.peek().at + MS <= nowNanos) {
-        Call call = called.poll();
-        policy.counterReplied(nowNanos, call.name, Outcome.OK, call.amount);
+    /** Ends the counter calls and attempts whose answers are due. */
+    private void deliverAnswers() {
+      while (!counterCalls.isEmpty() && counterCalls.peek().sentAtNanos + MS <= nowNanos) {
+        CounterCall call = counterCalls.poll();
+        policy.counterReplied(nowNanos, call.key, Outcome.OK, call.amount);
       }
-      while (!sent.isEmpty() && sent.peek().at + 100 * MS <= nowNanos) {
-        Attempt one = sent.poll();
+      while (!attempts.isEmpty() && attempts.peek().sentAtNanos + 100 * MS <= nowNanos) {
+        Attempt attempt = attempts.poll();
         served++;
         policy.attemptEnded(
             nowNanos,
             new AttemptResult(
-                one.id, Outcome.OK, nowNanos - one.at, one.server, true, 0, 0, List.of()));
+                attempt.requestId,
+                Outcome.OK,
+                nowNanos - attempt.sentAtNanos,
+                attempt.endpointId,
+                true,
+                0,
+                0,
+                List.of()));
       }
     }
 
     @Override
-    public void sendAttempt(String id, String server, long patience) {
-      sent.add(new Attempt(nowNanos, id, server));
+    public void sendAttempt(String requestId, String endpointId, long timeoutNanos) {
+      attempts.add(new Attempt(nowNanos, requestId, endpointId));
     }
 
     @Override
-    public void addToCounter(long name, double amount, long lifetime) {
-      called.add(new Call(nowNanos, name, amount));
+    public void addToCounter(long key, double amount, long lifetimeNanos) {
+      counterCalls.add(new CounterCall(nowNanos, key, amount));
     }
 
     @Override
-    public void reject(String id, long retryAfter) {}
+    public void reject(String requestId, long retryAfterNanos) {}
 
     @Override
-    public void fail(String id) {}
+    public void fail(String requestId) {}
 
     @Override
-    public void healthCheck(String server) {}
+    public void healthCheck(String endpointId) {}
 
     @Override
-    public void scheduleTimer(long token, long span) {}
+    public void scheduleTimer(long token, long delayNanos) {}
 
     @Override
     public void subscribeToEndpoints() {}
 
     @Override
-    public void log(String text) {}
+    public void log(String message) {}
   }
 
-  private static Endpoint server(int number, long startedAt) {
+  private static Endpoint endpoint(int index, long startedAtNanos) {
     return new Endpoint(
-        "s-" + Integer.toHexString(0x5be00000 + number),
+        "s-" + Integer.toHexString(0x5be00000 + index),
         1,
-        number % ZONES,
-        number % CELLS,
+        index % ZONES,
+        index % CELLS,
         0,
         EndpointState.READY,
-        startedAt);
+        startedAtNanos);
   }
 
-  private static List<Endpoint> list(int servers) {
-    List<Endpoint> all = new ArrayList<>();
-    for (int i = 0; i < servers; i++) {
-      all.add(server(i, 0));
+  private static List<Endpoint> endpoints(int count) {
+    List<Endpoint> endpoints = new ArrayList<>();
+    for (int i = 0; i < count; i++) {
+      endpoints.add(endpoint(i, 0));
     }
-    return all;
+    return endpoints;
   }
 
-  /** Nanoseconds and allocated bytes of one of {@code times} goes. */
-  private static double[] cost(int times, Runnable all) {
-    long bytes = THREADS.getCurrentThreadAllocatedBytes();
-    long begun = System.nanoTime();
-    all.run();
-    long took = System.nanoTime() - begun;
+  /**
+   * Runs an action that consists of {@code steps} equal steps; returns the nanoseconds and the
+   * allocated bytes of one step.
+   */
+  private static double[] cost(int steps, Runnable action) {
+    long bytesBefore = THREAD_BEAN.getCurrentThreadAllocatedBytes();
+    long startNanos = System.nanoTime();
+    action.run();
+    long durationNanos = System.nanoTime() - startNanos;
     return new double[] {
-      (double) took / times, (double) (THREADS.getCurrentThreadAllocatedBytes() - bytes) / times
+      (double) durationNanos / steps,
+      (double) (THREAD_BEAN.getCurrentThreadAllocatedBytes() - bytesBefore) / steps
     };
   }
 
-  private static double[] listed(int[] size) {
-    Node node = new Node(size[0]);
-    node.policy.endpointsUpdated(node.nowNanos, EndpointListKind.FULL, list(size[1]));
-    List<Endpoint> again = list(size[1]);
+  private static double[] repeatedListCost(int[] fleetSize) {
+    MeasuredNode node = new MeasuredNode(fleetSize[0]);
+    node.policy.endpointsUpdated(node.nowNanos, EndpointListKind.FULL, endpoints(fleetSize[1]));
+    List<Endpoint> repeated = endpoints(fleetSize[1]);
     return cost(
         LISTS,
         () -> {
           for (int i = 0; i < LISTS; i++) {
-            node.policy.endpointsUpdated(++node.nowNanos, EndpointListKind.FULL, again);
+            node.policy.endpointsUpdated(++node.nowNanos, EndpointListKind.FULL, repeated);
           }
         });
   }
 
-  private static double[] first(int[] size) {
-    List<Node> nodes = new ArrayList<>();
+  private static double[] firstListCost(int[] fleetSize) {
+    List<MeasuredNode> nodes = new ArrayList<>();
     for (int i = 0; i < LISTS; i++) {
-      nodes.add(new Node(size[0]));
+      nodes.add(new MeasuredNode(fleetSize[0]));
     }
-    List<Endpoint> list = list(size[1]);
+    List<Endpoint> list = endpoints(fleetSize[1]);
     return cost(
         LISTS,
         () ->
@@ -203,12 +216,12 @@
                 node -> node.policy.endpointsUpdated(node.nowNanos, EndpointListKind.FULL, list)));
   }
 
-  private static double[] changed(int[] size) {
-    Node node = new Node(size[0]);
-    node.policy.endpointsUpdated(node.nowNanos, EndpointListKind.FULL, list(size[1]));
+  private static double[] changedEntryCost(int[] fleetSize) {
+    MeasuredNode node = new MeasuredNode(fleetSize[0]);
+    node.policy.endpointsUpdated(node.nowNanos, EndpointListKind.FULL, endpoints(fleetSize[1]));
     List<List<Endpoint>> changes = new ArrayList<>();
     for (int i = 0; i < CHANGES; i++) {
-      changes.add(List.of(server(i * 7 % size[1], SECOND)));
+      changes.add(List.of(endpoint(i * 7 % fleetSize[1], SECOND)));
     }
     return cost(
         CHANGES,
@@ -218,47 +231,47 @@
                     node.policy.endpointsUpdated(++node.nowNanos, EndpointListKind.DELTA, change)));
   }
 
-  private static double[] asked(int[] size) {
-    Node node = new Node(size[0]);
-    node.policy.endpointsUpdated(node.nowNanos, EndpointListKind.FULL, list(size[1]));
-    node.requests(REQUESTS / 3, CUSTOMERS);
-    int before = node.served;
-    double[] cost = cost(REQUESTS, () -> node.requests(REQUESTS, CUSTOMERS));
+  private static double[] requestCost(int[] fleetSize) {
+    MeasuredNode node = new MeasuredNode(fleetSize[0]);
+    node.policy.endpointsUpdated(node.nowNanos, EndpointListKind.FULL, endpoints(fleetSize[1]));
+    node.receiveRequests(REQUESTS / 3, CUSTOMERS);
+    int servedBefore = node.served;
+    double[] cost = cost(REQUESTS, () -> node.receiveRequests(REQUESTS, CUSTOMERS));
     assertTrue(
-        node.served - before > REQUESTS / 2,
-        "seed " + SEED + ": served " + (node.served - before) + " of " + REQUESTS);
+        node.served - servedBefore > REQUESTS / 2,
+        "seed " + SEED + ": served " + (node.served - servedBefore) + " of " + REQUESTS);
     return cost;
   }
 
-  private static long heap() {
+  private static long usedHeapBytes() {
     Runtime runtime = Runtime.getRuntime();
-    long least = Long.MAX_VALUE;
+    long minBytes = Long.MAX_VALUE;
     for (int i = 0; i < 3; i++) {
       System.gc();
-      least = Math.min(least, runtime.totalMemory() - runtime.freeMemory());
+      minBytes = Math.min(minBytes, runtime.totalMemory() - runtime.freeMemory());
     }
-    return least;
+    return minBytes;
   }
 
-  /** Bytes that stay for each listed server, the entry's own strings with them. */
-  private static double[] heldByServer(int[] size) {
-    Node node = new Node(size[0]);
-    WEIGHED.add(node);
-    long before = heap();
-    node.policy.endpointsUpdated(node.nowNanos, EndpointListKind.FULL, list(size[1]));
-    double bytes = heap() - before;
+  /** Heap bytes for each listed endpoint, including the strings of its list entry. */
+  private static double[] heapPerEndpoint(int[] fleetSize) {
+    MeasuredNode node = new MeasuredNode(fleetSize[0]);
+    RETAINED.add(node);
+    long bytesBefore = usedHeapBytes();
+    node.policy.endpointsUpdated(node.nowNanos, EndpointListKind.FULL, endpoints(fleetSize[1]));
+    double bytes = usedHeapBytes() - bytesBefore;
     assertEquals(0, node.policy.skippedEndpoints().size());
-    return new double[] {bytes / size[1], 0};
+    return new double[] {bytes / fleetSize[1], 0};
   }
 
-  /** Bytes that stay for each customer that asked once. */
-  private static double[] heldByCustomer(int[] size) {
-    Node node = new Node(size[0]);
-    node.policy.endpointsUpdated(node.nowNanos, EndpointListKind.FULL, list(size[1]));
-    node.requests(RATE, CUSTOMERS);
-    WEIGHED.add(node);
-    long before = heap();
-    for (int i = 0; i < MANY; i++) {
+  /** Heap bytes for each customer with one past request. */
+  private static double[] heapPerCustomer(int[] fleetSize) {
+    MeasuredNode node = new MeasuredNode(fleetSize[0]);
+    node.policy.endpointsUpdated(node.nowNanos, EndpointListKind.FULL, endpoints(fleetSize[1]));
+    node.receiveRequests(REQUESTS_PER_SECOND, CUSTOMERS);
+    RETAINED.add(node);
+    long bytesBefore = usedHeapBytes();
+    for (int i = 0; i < MANY_CUSTOMERS; i++) {
       node.policy.requestReceived(
           node.nowNanos,
           new Request(
@@ -272,55 +285,60 @@
               0,
               false));
       node.nowNanos += MS / 10;
-      node.answers();
+      node.deliverAnswers();
     }
     node.nowNanos += 200 * MS;
-    node.answers();
-    node.called.clear();
-    double bytes = heap() - before;
-    assertTrue(node.policy.exportState(node.nowNanos).quotaUsages().size() >= MANY);
-    return new double[] {bytes / MANY, 0};
+    node.deliverAnswers();
+    node.counterCalls.clear();
+    double bytes = usedHeapBytes() - bytesBefore;
+    assertTrue(node.policy.exportState(node.nowNanos).quotaUsages().size() >= MANY_CUSTOMERS);
+    return new double[] {bytes / MANY_CUSTOMERS, 0};
   }
 
-  private interface Measure {
-    double[] of(int[] size);
+  private interface Measurement {
+    /** Returns a time in nanoseconds or a size in bytes, and the allocated bytes or 0. */
+    double[] run(int[] fleetSize);
   }
 
-  private static void row(String name, String unit, double scale, Measure measure) {
-    for (int[] size : SIZES) {
-      double[] spans = new double[RUNS];
-      double[] bytes = new double[RUNS];
-      measure.of(size);
+  /**
+   * Prints a line for each fleet size; {@code scale} is the printed unit in nanoseconds or bytes.
+   */
+  private static void printMeasurement(
+      String name, String unit, double scale, Measurement measurement) {
+    for (int[] fleetSize : FLEET_SIZES) {
+      double[] values = new double[RUNS];
+      double[] allocatedBytes = new double[RUNS];
+      measurement.run(fleetSize);
       for (int i = 0; i < RUNS; i++) {
-        double[] one = measure.of(size);
-        spans[i] = one[0] / scale;
-        bytes[i] = one[1];
+        double[] result = measurement.run(fleetSize);
+        values[i] = result[0] / scale;
+        allocatedBytes[i] = result[1];
       }
-      Arrays.sort(spans);
-      Arrays.sort(bytes);
+      Arrays.sort(values);
+      Arrays.sort(allocatedBytes);
       System.out.printf(
           Locale.ROOT,
           "%-34s %4d x %-5d %10.2f (%.2f to %.2f) %s%s%n",
           name,
-          size[0],
-          size[1],
-          spans[RUNS / 2],
-          spans[0],
-          spans[RUNS - 1],
+          fleetSize[0],
+          fleetSize[1],
+          values[RUNS / 2],
+          values[0],
+          values[RUNS - 1],
           unit,
-          bytes[RUNS / 2] > 0
-              ? String.format(Locale.ROOT, ", allocates %.0f bytes", bytes[RUNS / 2])
+          allocatedBytes[RUNS / 2] > 0
+              ? String.format(Locale.ROOT, ", allocates %.0f bytes", allocatedBytes[RUNS / 2])
               : "");
     }
   }
 
   @Test
-  void slopes() {
-    row("whole list, all new", "ms", MS, ScaleMeasure::first);
-    row("whole list again", "ms", MS, ScaleMeasure::listed);
-    row("one changed entry", "us", 1_000, ScaleMeasure::changed);
-    row("request with answer and timers", "us", 1_000, ScaleMeasure::asked);
-    row("heap for a listed server", "bytes", 1, ScaleMeasure::heldByServer);
-    row("heap for a customer", "bytes", 1, ScaleMeasure::heldByCustomer);
+  void costByFleetSize() {
+    printMeasurement("complete list, all new", "ms", MS, ScaleMeasure::firstListCost);
+    printMeasurement("complete list, unchanged", "ms", MS, ScaleMeasure::repeatedListCost);
+    printMeasurement("one changed entry", "us", 1_000, ScaleMeasure::changedEntryCost);
+    printMeasurement("request with answer and timers", "us", 1_000, ScaleMeasure::requestCost);
+    printMeasurement("heap for a listed endpoint", "bytes", 1, ScaleMeasure::heapPerEndpoint);
+    printMeasurement("heap for a customer", "bytes", 1, ScaleMeasure::heapPerCustomer);
   }
 }
