--- a/edge/src/main/java/edgegateway/policy/GatewayPolicy.java
+++ b/edge/src/main/java/edgegateway/policy/GatewayPolicy.java
@@ -180,7 +180,7 @@
     if (result == EjectionResult.CHANGED) {
       endpointsChanged();
     }
-    return result != EjectionResult.REFUSED;
+    return result != EjectionResult.REJECTED;
   }
 
   @Override
--- a/edge/src/main/java/edgegateway/policy/routing/EndpointRouter.java
+++ b/edge/src/main/java/edgegateway/policy/routing/EndpointRouter.java
@@ -52,7 +52,7 @@
   /** Ejects an endpoint for an operator, or readmits it in slow start. */
   public EjectionResult setEndpointEjected(String id, boolean ejected) {
     if (registry.get(id) == null && !registry.ejectedByOperator().contains(id)) {
-      return EjectionResult.REFUSED;
+      return EjectionResult.REJECTED;
     }
     if (ejected) {
       registry.eject(id);
@@ -81,7 +81,7 @@
    */
   public EjectionResult setZoneEjected(int zone, boolean ejected, long rampNanos) {
     if (ejected && noneRoutableOutside(zone)) {
-      return EjectionResult.REFUSED;
+      return EjectionResult.REJECTED;
     }
     if (ejected == zones.isEjectedByOperator(zone)) {
       return EjectionResult.UNCHANGED;
