--- a/edge/src/main/java/edgegateway/policy/GatewayPolicy.java
+++ b/edge/src/main/java/edgegateway/policy/GatewayPolicy.java
@@ -244,7 +244,7 @@
 
   /** The listed endpoints that are avoided now: ejected by an operator, draining, or outliers. */
   public List<String> avoidedEndpoints() {
-    return router.avoidedEndpoints();
+    return router.skippedEndpoints();
   }
 
   /** What the usable endpoints bear sets the concurrency limit, and that the slow start. */
--- a/edge/src/main/java/edgegateway/policy/routing/EndpointRouter.java
+++ b/edge/src/main/java/edgegateway/policy/routing/EndpointRouter.java
@@ -259,14 +259,14 @@
   }
 
   /** The listed endpoints that are avoided: ejected by an operator, draining, or outliers. */
-  public List<String> avoidedEndpoints() {
-    List<String> avoided = new ArrayList<>();
+  public List<String> skippedEndpoints() {
+    List<String> skipped = new ArrayList<>();
     for (EndpointTracker endpoint : registry.all()) {
       boolean outlier = endpoint.statistics().isOutlier(endpoint.entry());
       if (endpoint.listed() && (!endpoint.usable() || outlier)) {
-        avoided.add(endpoint.id());
+        skipped.add(endpoint.id());
       }
     }
-    return avoided;
+    return skipped;
   }
 }
