--- a/edge/src/main/java/edgegateway/policy/GatewayPolicy.java
+++ b/edge/src/main/java/edgegateway/policy/GatewayPolicy.java
@@ -199,7 +199,7 @@
   @Override
   public void restoreEjectedZones(long nowNanos, Set<Integer> ejected) {
     clock.set(nowNanos);
-    for (int zone : router.zonesChangedByOperator()) {
+    for (int zone : router.zonesEverEjectedByOperator()) {
       if (!ejected.contains(zone)) {
         applied(router.setZoneEjected(zone, false, settings.rules().slowStartNanos()));
       }
--- a/edge/src/main/java/edgegateway/policy/routing/EndpointRouter.java
+++ b/edge/src/main/java/edgegateway/policy/routing/EndpointRouter.java
@@ -116,8 +116,8 @@
   }
 
   /** The zones that operators have ever ejected. */
-  public List<Integer> zonesChangedByOperator() {
-    return zones.changedByOperator();
+  public List<Integer> zonesEverEjectedByOperator() {
+    return zones.everEjectedByOperator();
   }
 
   /** Sets a zone's traffic by decision of the fleet; null: all of it. */
--- a/edge/src/main/java/edgegateway/policy/routing/ZoneTraffic.java
+++ b/edge/src/main/java/edgegateway/policy/routing/ZoneTraffic.java
@@ -59,7 +59,7 @@
   }
 
   /** The zones that operators have ever ejected, in their order. */
-  List<Integer> changedByOperator() {
+  List<Integer> everEjectedByOperator() {
     return List.copyOf(operatorRamps.keySet());
   }
 
