--- a/edge/src/main/java/edgegateway/policy/RequestLifecycle.java
+++ b/edge/src/main/java/edgegateway/policy/RequestLifecycle.java
@@ -136,7 +136,7 @@
   private void enqueue(PendingRequest request) {
     request.queue().add(request);
     shedLoad(request.queue());
-    router.checkHealthIfRarelyUsed(request);
+    router.checkHealthIfTrafficLow(request);
   }
 
   private void shedLoad(RequestClassQueue queue) {
--- a/edge/src/main/java/edgegateway/policy/routing/EndpointRouter.java
+++ b/edge/src/main/java/edgegateway/policy/routing/EndpointRouter.java
@@ -214,13 +214,13 @@
    * Asks one random endpoint for its load, where own answers come less than once a second from each
    * and the settings allow health checks.
    */
-  public void checkHealthIfRarelyUsed(RoutableRequest request) {
+  public void checkHealthIfTrafficLow(RoutableRequest request) {
     List<EndpointTracker> routable = registry.routable();
-    boolean rarelyUsed =
+    boolean trafficLow =
         slowStart.workPerSecond() < request.expectedServiceSeconds() * routable.size();
     boolean reportsLoad =
         settings.limits().healthChecksAllowed() && !settings.loadReportNames().isEmpty();
-    if (rarelyUsed && reportsLoad) {
+    if (trafficLow && reportsLoad) {
       actions.healthCheck(routable.get(random.nextInt(routable.size())).id());
     }
   }
