--- a/edge/src/main/java/edgegateway/policy/routing/EndpointSelector.java
+++ b/edge/src/main/java/edgegateway/policy/routing/EndpointSelector.java
@@ -129,7 +129,7 @@
 
   private List<EndpointTracker> withinScope(RoutableRequest request) {
     List<EndpointTracker> within = new ArrayList<>();
-    EndpointTracker first = request.mayHaveExecutedAt();
+    EndpointTracker first = request.possibleExecutionEndpoint();
     boolean byZone = request.requestClass().deduplicationScope() == DeduplicationScope.ZONE;
     for (EndpointTracker endpoint : registry.routable()) {
       boolean same =
--- a/edge/src/main/java/edgegateway/policy/routing/RoutableRequest.java
+++ b/edge/src/main/java/edgegateway/policy/routing/RoutableRequest.java
@@ -14,7 +14,7 @@
   boolean mayHaveExecuted();
 
   /** The endpoint of the first attempt that may have been executed; null if there is none. */
-  EndpointTracker mayHaveExecutedAt();
+  EndpointTracker possibleExecutionEndpoint();
 
   /** When the present attempt was sent, in nanoseconds. */
   long sentAtNanos();
--- a/edge/src/main/java/edgegateway/policy/scheduling/PendingRequest.java
+++ b/edge/src/main/java/edgegateway/policy/scheduling/PendingRequest.java
@@ -19,7 +19,7 @@
   private EndpointTracker endpoint;
   private long sentAtNanos;
   private long mayHaveExecutedSinceNanos;
-  private EndpointTracker mayHaveExecutedAt;
+  private EndpointTracker possibleExecutionEndpoint;
   private boolean bodyForwarded;
   private boolean clientGone;
 
@@ -74,8 +74,8 @@
   }
 
   @Override
-  public EndpointTracker mayHaveExecutedAt() {
-    return mayHaveExecutedAt;
+  public EndpointTracker possibleExecutionEndpoint() {
+    return possibleExecutionEndpoint;
   }
 
   /** When the first attempt that may have been executed was sent; 0 if there is none. */
@@ -164,7 +164,7 @@
   public void attemptEnded(boolean provesNotExecuted) {
     if (!provesNotExecuted && mayHaveExecutedSinceNanos == 0) {
       mayHaveExecutedSinceNanos = sentAtNanos;
-      mayHaveExecutedAt = endpoint;
+      possibleExecutionEndpoint = endpoint;
     }
     endpoint = null;
   }
