--- a/edge/src/main/java/edgegateway/policy/routing/EjectionResult.java
+++ b/edge/src/main/java/edgegateway/policy/routing/EjectionResult.java
@@ -1,10 +1,13 @@
 package edgegateway.policy.routing;
 
-/** What came of an operator's command to eject or readmit. */
+/** Result of an operator's command to eject or readmit an endpoint or a zone. */
 public enum EjectionResult {
-  /** Not done: the endpoint is not known, or no other zone's endpoint could be chosen. */
+  /**
+   * Not done: the endpoint is unknown, or ejecting the zone would leave no endpoint that may be
+   * chosen.
+   */
   REJECTED,
-  /** It was so already. */
+  /** Nothing to do: the zone was already in the requested state. */
   UNCHANGED,
   /** Done. */
   CHANGED
--- a/edge/src/main/java/edgegateway/policy/routing/EndpointRegistry.java
+++ b/edge/src/main/java/edgegateway/policy/routing/EndpointRegistry.java
@@ -137,7 +137,7 @@
   private boolean canBeForgotten(EndpointTracker endpoint) {
     boolean needed =
         endpoint.listed()
-            || endpoint.outstanding() > 0
+            || endpoint.inFlightCount() > 0
             || ejectedByOperator.contains(endpoint.id());
     long idleNanos = clock.nowNanos() - endpoint.statistics().lastResultNanos();
     return !needed && idleNanos > FORGET_AFTER_NANOS;
--- a/edge/src/main/java/edgegateway/policy/routing/EndpointRouter.java
+++ b/edge/src/main/java/edgegateway/policy/routing/EndpointRouter.java
@@ -166,17 +166,17 @@
   /** Counts an attempt that is sent to an endpoint. */
   public void attemptSent(RoutableRequest request, EndpointTracker endpoint) {
     slowStart.attemptSent(request.expectedServiceSeconds());
-    endpoint.add(request);
+    endpoint.addInFlight(request);
   }
 
   /** While its client sends the body, an attempt is no load: a slow client holds no place. */
   public void bodyForwarded(RoutableRequest request, EndpointTracker endpoint) {
-    endpoint.remove(request);
+    endpoint.removeInFlight(request);
   }
 
   /** From now on the endpoint works on the attempt. */
   public void uploadCompleted(RoutableRequest request, EndpointTracker endpoint) {
-    endpoint.add(request);
+    endpoint.addInFlight(request);
   }
 
   /**
@@ -186,7 +186,7 @@
    */
   public boolean attemptEnded(
       RoutableRequest request, EndpointTracker endpoint, AttemptResult result) {
-    boolean inProgress = endpoint.remove(request);
+    boolean inProgress = endpoint.removeInFlight(request);
     Outcome outcome = result.outcome();
     if (outcome == Outcome.CANCELLED || outcome == Outcome.NOT_SENT) {
       return inProgress;
@@ -194,7 +194,8 @@
     EndpointStatistics statistics = endpoint.statistics();
     statistics.attemptEnded(
         endpoint.entry(), result, request.expectedServiceSeconds(), registry.routable().size());
-    zoneHealth.attemptEnded(endpoint.zone(), statistics.lastFailed(), statistics.lastUnanswered());
+    zoneHealth.attemptEnded(
+        endpoint.zone(), statistics.lastAttemptFailed(), statistics.lastAttemptUnanswered());
     if (outcome == Outcome.OK) {
       recent.add(endpoint);
     }
@@ -205,7 +206,7 @@
   public void healthChecked(String id, List<Double> report) {
     EndpointTracker endpoint = registry.get(id);
     if (endpoint != null) {
-      endpoint.loadReported(loads.read(report));
+      endpoint.loadReported(loads.add(report));
       recent.add(endpoint);
     }
   }
--- a/edge/src/main/java/edgegateway/policy/routing/EndpointSelector.java
+++ b/edge/src/main/java/edgegateway/policy/routing/EndpointSelector.java
@@ -101,7 +101,7 @@
     }
     List<EndpointTracker> candidates = new ArrayList<>();
     addRandom(candidates, routable, count);
-    for (EndpointTracker endpoint : recent.places()) {
+    for (EndpointTracker endpoint : recent.slots()) {
       if (endpoint != null && endpoint.usable()) {
         candidates.add(endpoint);
       }
--- a/edge/src/main/java/edgegateway/policy/routing/EndpointStatistics.java
+++ b/edge/src/main/java/edgegateway/policy/routing/EndpointStatistics.java
@@ -8,26 +8,30 @@
 import edgegateway.policy.time.EventClock;
 
 /**
- * What the attempts at one endpoint tell of it: averages of latency and errors that decay towards
- * those of its peers, and from them the ejection of outliers. An ejected endpoint is not barred: by
- * its errors its score is so high that it is chosen only where all others are as bad, or once its
- * errors have decayed.
+ * Moving averages of the latency and errors of attempts at one endpoint, and outlier ejection based
+ * on them. Between attempts the averages decay towards those of the endpoint's peers. An ejected
+ * endpoint is not blocked: its error rate raises its score so far that it is chosen only if all
+ * others are as bad, or once its error rate has decayed.
  */
 final class EndpointStatistics {
-  /** An endpoint with a higher rate of errors than this is ejected. */
+  /** An endpoint with a higher error rate than this is ejected as an outlier. */
   static final double EJECTION_ERROR_RATE = 0.5;
 
-  /** What is known of one endpoint decays towards the averages of its peers with this time. */
-  static final double DECAY_SECONDS = 4;
+  /** Time constant of the exponential decay of the averages towards those of the peers. */
+  static final double DECAY_TIME_CONSTANT_SECONDS = 4;
 
+  // Weights of one attempt in the moving averages, 0 to 1.
   private static final double LATENCY_WEIGHT = 0.12;
   private static final double SUCCESS_WEIGHT = 0.2;
   private static final double FAILURE_WEIGHT = 2 * SUCCESS_WEIGHT;
   private static final double CONNECT_FAILURE_WEIGHT = 1;
+
+  /** A rejection counts as this part of an error. */
   private static final double REJECTION_ERROR = 0.5;
+
   private static final double MAX_LATENCY_RATIO = 20;
 
-  /** A fast failure must not look fast. */
+  /** Failures count as at least this slow: an endpoint that fails fast must not look fast. */
   private static final double MIN_FAILURE_LATENCY_RATIO = 3;
 
   private final EventClock clock;
@@ -37,11 +41,11 @@
   private double errorRate;
   private long lastResultNanos;
 
-  /** Whether the last log line said that the endpoint is ejected as an outlier. */
-  private boolean ejected;
+  /** Whether the last log line about the endpoint says that it was ejected. */
+  private boolean loggedAsEjected;
 
-  private boolean lastFailed;
-  private boolean lastUnanswered;
+  private boolean lastAttemptFailed;
+  private boolean lastAttemptUnanswered;
 
   EndpointStatistics(
       EventClock clock, PeerAverages peers, PolicyActions actions, Endpoint endpoint) {
@@ -53,29 +57,30 @@
     lastResultNanos = clock.nowNanos();
   }
 
-  /** When the last attempt ended; at first when the endpoint became known, in nanoseconds. */
+  /** When the last attempt ended; before the first, when tracking began. In nanoseconds. */
   long lastResultNanos() {
     return lastResultNanos;
   }
 
-  /** Whether the last attempt failed; a rejection is no failure. */
-  boolean lastFailed() {
-    return lastFailed;
+  /** Whether the last attempt failed; a rejection does not count as a failure. */
+  boolean lastAttemptFailed() {
+    return lastAttemptFailed;
   }
 
-  /** Whether the last attempt failed without any answer. */
-  boolean lastUnanswered() {
-    return lastUnanswered;
+  /** Whether the last attempt failed without any answer from the endpoint. */
+  boolean lastAttemptUnanswered() {
+    return lastAttemptUnanswered;
   }
 
-  /** Whether the rate of errors to expect now is that of an endpoint to be ejected. */
+  /** Whether the expected error rate is now above the ejection threshold. */
   boolean isOutlier(Endpoint endpoint) {
-    // What is expected lies between the two: it need seldom be worked out.
-    double highest = Math.max(errorRate, peers.errorRate(endpoint.zone()));
-    return highest > EJECTION_ERROR_RATE && expectedErrorRate(endpoint) > EJECTION_ERROR_RATE;
+    // The expected rate lies between the endpoint's own and that of its peers. If both are below
+    // the threshold, as they nearly always are, the exponential need not be computed.
+    double upperBound = Math.max(errorRate, peers.errorRate(endpoint.zone()));
+    return upperBound > EJECTION_ERROR_RATE && expectedErrorRate(endpoint) > EJECTION_ERROR_RATE;
   }
 
-  /** The rate of errors to expect now, 0 to 1. */
+  /** The error rate to expect now, 0 to 1. */
   double expectedErrorRate(Endpoint endpoint) {
     return decayed(errorRate, peers.errorRate(endpoint.zone()));
   }
@@ -86,25 +91,29 @@
   }
 
   private double decayed(double own, double peerAverage) {
-    double kept = Math.exp(-clock.secondsSince(lastResultNanos) / DECAY_SECONDS);
-    return peerAverage + (own - peerAverage) * kept;
+    double decayFactor =
+        Math.exp(-clock.secondsSince(lastResultNanos) / DECAY_TIME_CONSTANT_SECONDS);
+    return peerAverage + (own - peerAverage) * decayFactor;
   }
 
   /**
    * Counts the end of an attempt that was sent and not cancelled.
    *
-   * @param expectedServiceSeconds the service time that was to be expected
-   * @param endpoints how many endpoints may be chosen now
+   * @param expectedServiceSeconds the attempt's expected service time
+   * @param routableEndpoints how many endpoints may be chosen now
    */
   void attemptEnded(
-      Endpoint endpoint, AttemptResult result, double expectedServiceSeconds, int endpoints) {
+      Endpoint endpoint,
+      AttemptResult result,
+      double expectedServiceSeconds,
+      int routableEndpoints) {
     Outcome outcome = result.outcome();
     boolean succeeded = outcome == Outcome.OK;
-    lastFailed = !succeeded && outcome != Outcome.REJECTED;
-    lastUnanswered = lastFailed && outcome != Outcome.ERROR;
-    double error = error(outcome);
+    lastAttemptFailed = !succeeded && outcome != Outcome.REJECTED;
+    lastAttemptUnanswered = lastAttemptFailed && outcome != Outcome.ERROR;
+    double error = errorFraction(outcome);
     double ratio = latencyRatio(result, expectedServiceSeconds);
-    double peerWeight = 2 * LATENCY_WEIGHT / Math.max(1, endpoints);
+    double peerWeight = 2 * LATENCY_WEIGHT / Math.max(1, routableEndpoints);
     peers.addLatencyRatio(endpoint.machineType(), ratio, peerWeight);
     peers.addError(endpoint.zone(), error, peerWeight);
     latencyRatio = expectedLatencyRatio(endpoint);
@@ -112,7 +121,7 @@
     lastResultNanos = clock.nowNanos();
     latencyRatio += LATENCY_WEIGHT * (ratio - latencyRatio);
     errorRate += errorWeight(outcome) * (error - errorRate);
-    updateEjection(endpoint, outcome);
+    logEjectionChange(endpoint, outcome);
   }
 
   private static double latencyRatio(AttemptResult result, double expectedServiceSeconds) {
@@ -121,7 +130,7 @@
     return result.outcome() == Outcome.OK ? ratio : Math.max(MIN_FAILURE_LATENCY_RATIO, ratio);
   }
 
-  private static double error(Outcome outcome) {
+  private static double errorFraction(Outcome outcome) {
     return switch (outcome) {
       case OK -> 0;
       case REJECTED -> REJECTION_ERROR;
@@ -137,17 +146,14 @@
     };
   }
 
-  /**
-   * Logs when the endpoint becomes an outlier and when it no longer is. An outlier is not barred:
-   * its error rate makes its score so bad that it is chosen only where nothing better is left.
-   */
-  private void updateEjection(Endpoint endpoint, Outcome cause) {
+  /** Logs when an attempt makes the endpoint an outlier, and when one makes it normal again. */
+  private void logEjectionChange(Endpoint endpoint, Outcome cause) {
     boolean outlier = errorRate > EJECTION_ERROR_RATE;
-    if (outlier == ejected) {
+    if (outlier == loggedAsEjected) {
       return;
     }
-    ejected = outlier;
-    String event = ejected ? "endpoint_ejected" : "endpoint_readmitted";
+    loggedAsEjected = outlier;
+    String event = loggedAsEjected ? "endpoint_ejected" : "endpoint_readmitted";
     actions.log(event + " id=" + endpoint.id() + " cause=" + cause);
   }
 }
--- a/edge/src/main/java/edgegateway/policy/routing/EndpointTracker.java
+++ b/edge/src/main/java/edgegateway/policy/routing/EndpointTracker.java
@@ -6,21 +6,27 @@
 import edgegateway.policy.time.EventClock;
 import java.util.LinkedHashSet;
 
-/** What this node knows of an endpoint: its entry in the list, its attempts and its load. */
+/**
+ * What this node knows of an endpoint: its entry in the endpoint list, its attempts in flight,
+ * their statistics, and the load that it reported. A restarted endpoint gets a new tracker.
+ */
 public final class EndpointTracker {
-  /** An attempt that takes this many expected service times is overdue: most end sooner. */
-  private static final double OVERDUE_SERVICE_TIMES = 3;
+  /**
+   * An attempt in flight for longer than this multiple of its expected service time is overdue;
+   * most attempts end sooner.
+   */
+  private static final double OVERDUE_SERVICE_TIME_FACTOR = 3;
 
   private final String id;
   private final EventClock clock;
   private final EndpointStatistics statistics;
   private final SlowStart slowStart;
-  private final LinkedHashSet<RoutableRequest> outstanding = new LinkedHashSet<>();
+  private final LinkedHashSet<RoutableRequest> inFlight = new LinkedHashSet<>();
   private Endpoint entry;
   private boolean listed;
   private boolean usable;
   private double load;
-  private long loadReportedNanos;
+  private long loadReportedAtNanos;
 
   EndpointTracker(
       EventClock clock, Endpoint entry, EndpointStatistics statistics, SlowStart slowStart) {
@@ -29,15 +35,15 @@
     this.entry = entry;
     this.statistics = statistics;
     this.slowStart = slowStart;
-    loadReportedNanos = clock.startNanos();
+    loadReportedAtNanos = clock.startNanos();
   }
 
-  /** The endpoint's name in the list. */
+  /** The endpoint's id in the endpoint list. */
   public String id() {
     return id;
   }
 
-  /** The endpoint's last entry in the list. */
+  /** The endpoint's latest entry in the endpoint list. */
   Endpoint entry() {
     return entry;
   }
@@ -54,12 +60,12 @@
     return slowStart;
   }
 
-  /** Whether the list names the endpoint. */
+  /** Whether the endpoint list contains the endpoint. */
   boolean listed() {
     return listed;
   }
 
-  /** Whether the list has it ready and no operator has ejected it or its zone. */
+  /** Whether the endpoint is listed as ready and no operator has ejected it or its zone. */
   boolean usable() {
     return usable;
   }
@@ -77,56 +83,58 @@
     usable = isUsable;
   }
 
-  /** The load by the last report. */
+  /** The load that the endpoint last reported; 0 before its first report. */
   double load() {
     return load;
   }
 
-  /** When the last report came, or the policy began, in nanoseconds. */
-  long loadReportedNanos() {
-    return loadReportedNanos;
+  /** When the last load report came, in nanoseconds; before the first, when the policy started. */
+  long loadReportedAtNanos() {
+    return loadReportedAtNanos;
   }
 
   void loadReported(double newLoad) {
     load = newLoad;
-    loadReportedNanos = clock.nowNanos();
+    loadReportedAtNanos = clock.nowNanos();
   }
 
-  /** Counts an attempt as in progress at this endpoint. */
-  void add(RoutableRequest request) {
-    outstanding.add(request);
+  /** Counts the request's attempt as in flight at this endpoint. */
+  void addInFlight(RoutableRequest request) {
+    inFlight.add(request);
   }
 
   /**
-   * Counts an attempt as in progress no longer.
+   * Counts the request's attempt as no longer in flight.
    *
-   * @return whether it was
+   * @return whether it was in flight
    */
-  boolean remove(RoutableRequest request) {
-    return outstanding.remove(request);
+  boolean removeInFlight(RoutableRequest request) {
+    return inFlight.remove(request);
   }
 
-  /** How many attempts are in progress. */
-  int outstanding() {
-    return outstanding.size();
+  /** How many attempts are in flight. */
+  int inFlightCount() {
+    return inFlight.size();
   }
 
-  /** The attempt that has been in progress for longest; null if there is none. */
-  RoutableRequest oldestOutstanding() {
-    return outstanding.isEmpty() ? null : outstanding.iterator().next();
+  /** The request whose attempt has been in flight for longest; null if there is none. */
+  RoutableRequest oldestInFlight() {
+    return inFlight.isEmpty() ? null : inFlight.iterator().next();
   }
 
-  /** How many attempts sent since a moment (in nanoseconds) are overdue. */
-  long overdue(long sinceNanos) {
-    if (outstanding.isEmpty()) {
+  /** How many of the attempts in flight that were sent after {@code sentAfterNanos} are overdue. */
+  long overdueCount(long sentAfterNanos) {
+    if (inFlight.isEmpty()) {
       return 0;
     }
     long count = 0;
-    for (RoutableRequest request : outstanding) {
+    for (RoutableRequest request : inFlight) {
       double limitNanos =
-          OVERDUE_SERVICE_TIMES * request.expectedServiceSeconds() * Durations.NANOS_PER_SECOND;
+          OVERDUE_SERVICE_TIME_FACTOR
+              * request.expectedServiceSeconds()
+              * Durations.NANOS_PER_SECOND;
       long ageNanos = clock.nowNanos() - request.sentAtNanos();
-      if (request.sentAtNanos() > sinceNanos && ageNanos > limitNanos) {
+      if (request.sentAtNanos() > sentAfterNanos && ageNanos > limitNanos) {
         count++;
       }
     }
--- a/edge/src/main/java/edgegateway/policy/routing/PeerAverages.java
+++ b/edge/src/main/java/edgegateway/policy/routing/PeerAverages.java
@@ -4,31 +4,34 @@
 import java.util.Map;
 
 /**
- * Averages over endpoints that are alike: latency by machine type, errors by zone. Where a node
- * hears little of one endpoint, it goes by what it hears of its peers.
+ * Moving averages over similar endpoints: latency by machine type, errors by zone. They stand in
+ * for an endpoint's own averages where this node has sent it few attempts lately.
  */
 final class PeerAverages {
-  private static final double UNKNOWN_LATENCY_RATIO = 1;
-  private static final double UNKNOWN_ERROR_RATE = 0;
+  private static final double INITIAL_LATENCY_RATIO = 1;
+  private static final double INITIAL_ERROR_RATE = 0;
 
   private final Map<Integer, Double> latencyRatios = new HashMap<>();
   private final Map<Integer, Double> errorRates = new HashMap<>();
 
   /** The average latency of a machine type, as a multiple of the expected service time. */
   double latencyRatio(int machineType) {
-    return latencyRatios.getOrDefault(machineType, UNKNOWN_LATENCY_RATIO);
+    return latencyRatios.getOrDefault(machineType, INITIAL_LATENCY_RATIO);
   }
 
-  /** The average rate of errors in a zone, 0 to 1. */
+  /** The average error rate in a zone, 0 to 1. */
   double errorRate(int zone) {
-    return errorRates.getOrDefault(zone, UNKNOWN_ERROR_RATE);
+    return errorRates.getOrDefault(zone, INITIAL_ERROR_RATE);
   }
 
   void addLatencyRatio(int machineType, double ratio, double weight) {
-    latencyRatios.merge(machineType, ratio, (known, added) -> known + weight * (added - known));
+    latencyRatios.merge(
+        machineType, ratio, (average, sample) -> average + weight * (sample - average));
   }
 
   void addError(int zone, double error, double weight) {
-    errorRates.merge(zone, weight * error, (known, first) -> known + weight * (error - known));
+    // The second argument is the first average of a zone: one sample added to an error rate of 0.
+    errorRates.merge(
+        zone, weight * error, (average, first) -> average + weight * (error - average));
   }
 }
--- a/edge/src/main/java/edgegateway/policy/routing/RecentResponders.java
+++ b/edge/src/main/java/edgegateway/policy/routing/RecentResponders.java
@@ -1,19 +1,22 @@
 package edgegateway.policy.routing;
 
-/** The endpoints that answered last: a node that looks at few endpoints looks at these too. */
+/**
+ * The endpoints of the most recent successful attempts and of the most recent health checks,
+ * successful or not. A node that scores only a random few endpoints scores these as well.
+ */
 final class RecentResponders {
-  private static final int SIZE = 6;
+  private static final int CAPACITY = 6;
 
-  private final EndpointTracker[] endpoints = new EndpointTracker[SIZE];
-  private int added;
+  private final EndpointTracker[] endpoints = new EndpointTracker[CAPACITY];
+  private int addedCount;
 
   void add(EndpointTracker endpoint) {
-    endpoints[added % SIZE] = endpoint;
-    added++;
+    endpoints[addedCount % CAPACITY] = endpoint;
+    addedCount++;
   }
 
-  /** A fixed number of places; those not yet filled are null, and one may be in several. */
-  EndpointTracker[] places() {
+  /** A fixed number of slots. Unfilled ones are null, and an endpoint may be in several. */
+  EndpointTracker[] slots() {
     return endpoints;
   }
 }
--- a/edge/src/main/java/edgegateway/policy/routing/RoutableRequest.java
+++ b/edge/src/main/java/edgegateway/policy/routing/RoutableRequest.java
@@ -2,23 +2,23 @@
 
 import edgegateway.policy.api.RequestClass;
 
-/** What routing has to know of a request. */
+/** What routing needs to know about a request. */
 public interface RoutableRequest {
   /** The request's class. */
   RequestClass requestClass();
 
-  /** How many attempts were sent so far. */
+  /** How many attempts have been sent so far. */
   int attempts();
 
-  /** Whether an attempt may have been executed. */
+  /** Whether any attempt may have been executed. */
   boolean mayHaveExecuted();
 
   /** The endpoint of the first attempt that may have been executed; null if there is none. */
   EndpointTracker possibleExecutionEndpoint();
 
-  /** When the present attempt was sent, in nanoseconds. */
+  /** When the current attempt was sent, or its long upload completed, in nanoseconds. */
   long sentAtNanos();
 
-  /** The service time to expect of an attempt, in seconds, above 0. */
+  /** The expected service time of an attempt, in seconds, above 0. */
   double expectedServiceSeconds();
 }
--- a/edge/src/main/java/edgegateway/policy/routing/ZoneHealthMonitor.java
+++ b/edge/src/main/java/edgegateway/policy/routing/ZoneHealthMonitor.java
@@ -12,7 +12,7 @@
 final class ZoneHealthMonitor {
   /** Endpoints are counted as observed if an attempt ended there in this time. */
   private static final long OBSERVED_WITHIN_NANOS =
-      Durations.toNanos(EndpointStatistics.DECAY_SECONDS);
+      Durations.toNanos(EndpointStatistics.DECAY_TIME_CONSTANT_SECONDS);
 
   private final EventClock clock;
   private final Map<Integer, ZoneAttempts> attempts = new TreeMap<>();
@@ -56,14 +56,14 @@
     int warming = 0;
     for (EndpointTracker endpoint : endpoints) {
       // What is overdue counts as failed: an outage must not wait for the end of its attempts.
-      long overdue = endpoint.overdue(zoneAttempts.lastAnswerNanos());
+      long overdue = endpoint.overdueCount(zoneAttempts.lastAnswerNanos());
       allOverdue += overdue;
       EndpointStatistics statistics = endpoint.statistics();
       boolean recent = clock.nowNanos() - statistics.lastResultNanos() < OBSERVED_WITHIN_NANOS;
       if (recent || overdue > 0) {
         observed++;
-        unresponsive += statistics.lastUnanswered() || overdue > 0 ? 1 : 0;
-        failing += statistics.lastFailed() || overdue > 0 ? 1 : 0;
+        unresponsive += statistics.lastAttemptUnanswered() || overdue > 0 ? 1 : 0;
+        failing += statistics.lastAttemptFailed() || overdue > 0 ? 1 : 0;
       }
       warming += endpoint.slowStart().inProgress() ? 1 : 0;
     }
--- a/edge/src/main/java/edgegateway/policy/routing/package-info.java
+++ b/edge/src/main/java/edgegateway/policy/routing/package-info.java
@@ -1,6 +1,6 @@
 /**
- * The endpoints and the choice among them: the endpoint registry, scores, outlier ejection, slow
- * start, and zones with their traffic ramps and evidence of health. {@link
- * edgegateway.policy.routing.EndpointRouter} is the entry.
+ * Choice of an endpoint for each attempt: the registry of endpoints, scores, outlier ejection, slow
+ * start, and zones with their traffic ramps and health. {@link
+ * edgegateway.policy.routing.EndpointRouter} is the entry point.
  */
 package edgegateway.policy.routing;
--- a/edge/src/test/java/edgegateway/policy/routing/EndpointStatisticsTest.java
+++ b/edge/src/test/java/edgegateway/policy/routing/EndpointStatisticsTest.java
@@ -53,11 +53,11 @@
   @Test
   void aRejectionIsNoFailure() {
     attemptEnded(Outcome.REJECTED);
-    assertFalse(statistics.lastFailed());
+    assertFalse(statistics.lastAttemptFailed());
     attemptEnded(Outcome.ERROR);
-    assertTrue(statistics.lastFailed());
-    assertFalse(statistics.lastUnanswered());
+    assertTrue(statistics.lastAttemptFailed());
+    assertFalse(statistics.lastAttemptUnanswered());
     attemptEnded(Outcome.TIMEOUT);
-    assertTrue(statistics.lastUnanswered());
+    assertTrue(statistics.lastAttemptUnanswered());
   }
 }
