--- a/edge/src/main/java/edgegateway/policy/GatewayPolicy.java
+++ b/edge/src/main/java/edgegateway/policy/GatewayPolicy.java
@@ -180,7 +180,7 @@
     if (result == EjectionResult.CHANGED) {
       endpointsChanged();
     }
-    return result != EjectionResult.REFUSED;
+    return result != EjectionResult.REJECTED;
   }
 
   @Override
@@ -199,7 +199,7 @@
   @Override
   public void restoreEjectedZones(long nowNanos, Set<Integer> ejected) {
     clock.set(nowNanos);
-    for (int zone : router.zonesChangedByOperator()) {
+    for (int zone : router.zonesEverEjectedByOperator()) {
       if (!ejected.contains(zone)) {
         applied(router.setZoneEjected(zone, false, settings.rules().slowStartNanos()));
       }
@@ -247,7 +247,7 @@
    * zone, draining, or outliers.
    */
   public List<String> skippedEndpoints() {
-    return router.avoidedEndpoints();
+    return router.skippedEndpoints();
   }
 
   /** What the usable endpoints bear sets the concurrency limit, and that the slow start. */
