--- a/edge/src/main/java/edgegateway/policy/admission/ConcurrencyCap.java
+++ b/edge/src/main/java/edgegateway/policy/admission/ConcurrencyCap.java
@@ -16,7 +16,7 @@
   }
 
   @Override
-  public boolean hasRoom() {
+  public boolean hasCapacity() {
     return inFlight < maxInFlight;
   }
 
--- a/edge/src/main/java/edgegateway/policy/scheduling/PendingRequest.java
+++ b/edge/src/main/java/edgegateway/policy/scheduling/PendingRequest.java
@@ -128,7 +128,7 @@
 
   /** Whether the customer's concurrency cap lets the request be sent now. */
   boolean mayBeSent() {
-    return permit.hasRoom();
+    return permit.hasCapacity();
   }
 
   /** The endpoint of the present attempt; null if none is in progress. */
--- a/edge/src/test/java/edgegateway/policy/admission/ConcurrencyCapsTest.java
+++ b/edge/src/test/java/edgegateway/policy/admission/ConcurrencyCapsTest.java
@@ -17,12 +17,12 @@
   void aCapIsDividedByTheCustomersNodesAndLeavesOneAtLeast() {
     ConcurrencyCap two = caps.of(1, plan(6), 3);
     two.acquire();
-    assertTrue(two.hasRoom());
+    assertTrue(two.hasCapacity());
     two.acquire();
-    assertFalse(caps.of(1, plan(6), 3).hasRoom(), "the same customer's");
+    assertFalse(caps.of(1, plan(6), 3).hasCapacity(), "the same customer's");
     two.release();
-    assertTrue(two.hasRoom());
-    assertTrue(caps.of(2, plan(2), 3).hasRoom(), "one at least");
+    assertTrue(two.hasCapacity());
+    assertTrue(caps.of(2, plan(2), 3).hasCapacity(), "one at least");
   }
 
   @Test
@@ -31,6 +31,6 @@
     for (int i = 0; i < 1000; i++) {
       none.acquire();
     }
-    assertTrue(none.hasRoom());
+    assertTrue(none.hasCapacity());
   }
 }
