--- a/edge/src/main/java/edgegateway/policy/RequestLifecycle.java
+++ b/edge/src/main/java/edgegateway/policy/RequestLifecycle.java
@@ -163,7 +163,7 @@
 
   /** Sends requests in the order of the fair queue while the concurrency limit has room. */
   void dispatch() {
-    while (inFlight.mayRelease()) {
+    while (inFlight.mayDispatch()) {
       PendingRequest next = queues.next();
       if (next == null) {
         return;
@@ -177,7 +177,7 @@
       if (endpoint == null) {
         return;
       }
-      queues.release(next);
+      queues.dequeue(next);
       send(next, endpoint);
     }
   }
--- a/edge/src/main/java/edgegateway/policy/scheduling/FairQueue.java
+++ b/edge/src/main/java/edgegateway/policy/scheduling/FairQueue.java
@@ -69,10 +69,10 @@
   }
 
   /** Removes the request that {@link #next} returned, as it is sent. */
-  public void release(PendingRequest next) {
+  public void dequeue(PendingRequest next) {
     RequestClassQueue queue = next.queue();
     virtualTime = queue.startTag(next);
-    queue.release(next, virtualTime);
+    queue.dequeue(next, virtualTime);
   }
 
   /** The shares of all classes in which requests wait, 0 to 1. */
--- a/edge/src/main/java/edgegateway/policy/scheduling/InFlightAttempts.java
+++ b/edge/src/main/java/edgegateway/policy/scheduling/InFlightAttempts.java
@@ -22,7 +22,7 @@
   }
 
   /** Whether the next request may be released now. */
-  public boolean mayRelease() {
+  public boolean mayDispatch() {
     return belowLimit() && clock.nowNanos() >= pausedUntilNanos;
   }
 
--- a/edge/src/main/java/edgegateway/policy/scheduling/RequestClassQueue.java
+++ b/edge/src/main/java/edgegateway/policy/scheduling/RequestClassQueue.java
@@ -106,7 +106,7 @@
   }
 
   /** Removes a request that is sent, and sets the finish tag by the class's share. */
-  void release(PendingRequest request, double startTag) {
+  void dequeue(PendingRequest request, double startTag) {
     waiting.remove(request);
     finishTag = startTag + 1 / share();
   }
