--- a/edge/src/main/java/edgegateway/policy/RequestLifecycle.java
+++ b/edge/src/main/java/edgegateway/policy/RequestLifecycle.java
@@ -94,7 +94,7 @@
       giveUp(pending);
     } else {
       double priorityWeight = pending.requestClass().priorityWeight();
-      apply(pending, quotas.admit(reservation, priorityWeight, pending.objectiveNanos()));
+      apply(pending, quotas.admit(reservation, priorityWeight, pending.objectiveAtNanos()));
     }
     dispatch();
   }
--- a/edge/src/main/java/edgegateway/policy/admission/DeadlinePolicy.java
+++ b/edge/src/main/java/edgegateway/policy/admission/DeadlinePolicy.java
@@ -30,6 +30,6 @@
             ? Durations.toNanos(FIRST_ATTEMPT_SERVICE_TIMES * request.expectedServiceSeconds())
             : 0;
     long answeredNanos = clock.nowNanos() + Math.max(neededNanos, minLeftNanos);
-    return answeredNanos >= request.objectiveNanos();
+    return answeredNanos >= request.objectiveAtNanos();
   }
 }
--- a/edge/src/main/java/edgegateway/policy/retry/AttemptTimeouts.java
+++ b/edge/src/main/java/edgegateway/policy/retry/AttemptTimeouts.java
@@ -34,7 +34,7 @@
    */
   public long timeoutNanos(PendingRequest request, boolean belowConcurrencyLimit) {
     boolean lateIsWorthless = request.requestClass().lateValueFraction() <= 0;
-    long untilNanos = lateIsWorthless ? request.objectiveNanos() : request.deadlineNanos();
+    long untilNanos = lateIsWorthless ? request.objectiveAtNanos() : request.deadlineNanos();
     long leftNanos = untilNanos - clock.nowNanos();
     double serviceSeconds = request.expectedServiceSeconds();
     long shortNanos = Durations.toNanos(UNRESPONSIVE_SERVICE_TIMES * serviceSeconds);
--- a/edge/src/main/java/edgegateway/policy/retry/RetryPolicy.java
+++ b/edge/src/main/java/edgegateway/policy/retry/RetryPolicy.java
@@ -33,7 +33,7 @@
     double halfServiceSeconds = request.queue().serviceTime().averageSeconds() / 2;
     long answeredNanos = clock.nowNanos() + Durations.toNanos(halfServiceSeconds);
     return mayExecuteAgain(request)
-        && answeredNanos < request.objectiveNanos()
+        && answeredNanos < request.objectiveAtNanos()
         && budget.has(price(provesNotExecuted))
         && !request.isBodyForwarded()
         && request.attempts() < limits.maxAttempts();
--- a/edge/src/main/java/edgegateway/policy/scheduling/PendingRequest.java
+++ b/edge/src/main/java/edgegateway/policy/scheduling/PendingRequest.java
@@ -108,7 +108,7 @@
   }
 
   /** The moment by which an answer has its whole value, in nanoseconds. */
-  public long objectiveNanos() {
+  public long objectiveAtNanos() {
     long objective = arrivedNanos + requestClass().latencyObjectiveNanos();
     return Math.min(objective, request.deadlineNanos());
   }
--- a/edge/src/main/java/edgegateway/policy/scheduling/RequestClassQueue.java
+++ b/edge/src/main/java/edgegateway/policy/scheduling/RequestClassQueue.java
@@ -123,7 +123,7 @@
           (request.sentAtNanos() - request.arrivedNanos()) * Durations.SECONDS_PER_NANO,
           seconds);
     } else if (outcome != Outcome.CANCELLED && outcome != Outcome.NOT_SENT) {
-      boolean cutShort = outcome == Outcome.TIMEOUT && nowNanos < request.objectiveNanos();
+      boolean cutShort = outcome == Outcome.TIMEOUT && nowNanos < request.objectiveAtNanos();
       statistics.attemptFailed(seconds, cutShort);
     }
   }
