--- a/edge/src/main/java/edgegateway/policy/RequestLifecycle.java
+++ b/edge/src/main/java/edgegateway/policy/RequestLifecycle.java
@@ -114,7 +114,7 @@
   /** A request's wait for the shared counter is over. */
   void counterAnswered(String requestId, boolean answered) {
     PendingRequest request = requests.get(requestId);
-    if (request.isClientGone()) {
+    if (request.isClientDisconnected()) {
       finish(request);
     } else {
       apply(request, quotas.decide(request.reservation(), answered));
@@ -208,7 +208,7 @@
     if (result.outcome() == Outcome.OK) {
       quotas.requestServed(request.reservation(), result.actualUnits());
     }
-    if (result.requestComplete() || request.isClientGone()) {
+    if (result.requestComplete() || request.isClientDisconnected()) {
       finish(request);
     } else {
       retryOrGiveUp(request, provesNotExecuted);
--- a/edge/src/main/java/edgegateway/policy/scheduling/PendingRequest.java
+++ b/edge/src/main/java/edgegateway/policy/scheduling/PendingRequest.java
@@ -21,7 +21,7 @@
   private long mayHaveExecutedSinceNanos;
   private EndpointTracker mayHaveExecutedAt;
   private boolean bodyForwarded;
-  private boolean clientGone;
+  private boolean clientDisconnected;
 
   PendingRequest(
       Request request,
@@ -142,8 +142,8 @@
   }
 
   /** Whether the client has disconnected. */
-  public boolean isClientGone() {
-    return clientGone;
+  public boolean isClientDisconnected() {
+    return clientDisconnected;
   }
 
   /** An attempt is sent now. */
@@ -182,7 +182,7 @@
 
   /** The client has disconnected. */
   public void clientDisconnected() {
-    clientGone = true;
+    clientDisconnected = true;
   }
 
   /** The request is over; it must not be used any more. */
