--- a/edge/src/main/java/edgegateway/policy/scheduling/FairQueue.java
+++ b/edge/src/main/java/edgegateway/policy/scheduling/FairQueue.java
@@ -10,9 +10,9 @@
 import java.util.List;
 
 /**
- * Start-time fair queueing over the request classes: of the classes' oldest requests the one with
- * the lowest start tag is released next, and the virtual time is the start tag of the last one
- * released. Each request counts 1, divided by its class's share.
+ * Start-time fair queueing over the request classes. Among the oldest sendable request of each
+ * class, the one with the lowest start tag is dequeued next; the virtual time is the start tag of
+ * the request dequeued last. The cost of each request is 1, divided by the share of its class.
  */
 public final class FairQueue {
   private final EventClock clock;
@@ -20,11 +20,11 @@
   private double virtualTime;
 
   /**
-   * Creates empty queues.
+   * Creates an empty queue for each request class.
    *
    * @param classes the request classes
-   * @param statistics those of each class, in the same order
-   * @param shares gives the share of each class, by the same order
+   * @param statistics the statistics of each class, in the order of {@code classes}
+   * @param shares the share of each class, by its index in {@code classes}
    */
   public FairQueue(
       EventClock clock,
@@ -37,12 +37,15 @@
     }
   }
 
-  /** The queue of each request class. */
+  /** The queues of the request classes, in the order of the classes. */
   public List<RequestClassQueue> queues() {
     return queues;
   }
 
-  /** Creates a request that arrives now; it is not queued yet. */
+  /**
+   * Creates a request that arrives now, and counts it in the statistics of its class. It is not
+   * queued yet.
+   */
   public PendingRequest newRequest(
       Request request, QuotaReservation reservation, SendPermit permit) {
     RequestClassQueue queue = queues.get(request.requestClass());
@@ -50,12 +53,12 @@
     return new PendingRequest(request, queue, reservation, permit, clock.nowNanos(), virtualTime);
   }
 
-  /** The request to be released next; null if none may be sent. */
+  /** The request to be sent next, which stays queued; null if none may be sent. */
   public PendingRequest next() {
     PendingRequest next = null;
     double lowestStartTag = 0;
     for (RequestClassQueue queue : queues) {
-      PendingRequest first = queue.first();
+      PendingRequest first = queue.firstSendable();
       if (first == null) {
         continue;
       }
@@ -68,25 +71,25 @@
     return next;
   }
 
-  /** Removes the request that {@link #next} returned, as it is sent. */
+  /** Removes the request that {@link #next} returned, and advances the virtual time. */
   public void dequeue(PendingRequest next) {
     RequestClassQueue queue = next.queue();
     virtualTime = queue.startTag(next);
     queue.dequeue(next, virtualTime);
   }
 
-  /** The shares of all classes in which requests wait, 0 to 1. */
+  /** The sum of the shares of all classes in which requests wait, 0 to 1. */
   public double backloggedShare() {
-    // Not a plain loop: a stream's sum compensates rounding.
+    // DoubleStream.sum compensates for rounding errors; a plain loop does not.
     return queues.stream().mapToDouble(queue -> queue.size() == 0 ? 0 : queue.share()).sum();
   }
 
-  /** Begins the next control interval. */
+  /** Resets the statistics of all classes at the start of a control interval. */
   public void resetStatistics() {
     queues.forEach(RequestClassQueue::resetStatistics);
   }
 
-  /** The average service time of each class, in seconds. */
+  /** The average service time of each class, in seconds, in the order of the classes. */
   public List<Double> averageServiceSeconds() {
     List<Double> averages = new ArrayList<>(queues.size());
     for (RequestClassQueue queue : queues) {
@@ -95,7 +98,11 @@
     return averages;
   }
 
-  /** Goes on from the averages (in seconds) of the process that this one replaces. */
+  /**
+   * Sets the average service times, in seconds, to those of the process that this one replaces.
+   *
+   * @param averages one per class; if the lists differ in length, the rest is ignored
+   */
   public void setAverageServiceSeconds(List<Double> averages) {
     for (int i = 0; i < Math.min(queues.size(), averages.size()); i++) {
       queues.get(i).serviceTime().setAverageSeconds(averages.get(i));
--- a/edge/src/main/java/edgegateway/policy/scheduling/InFlightAttempts.java
+++ b/edge/src/main/java/edgegateway/policy/scheduling/InFlightAttempts.java
@@ -3,14 +3,14 @@
 import edgegateway.policy.control.ConcurrencyController;
 import edgegateway.policy.time.EventClock;
 
-/** The attempts in flight, held to the concurrency limit. */
+/** Counts the attempts in flight, and enforces the concurrency limit on them. */
 public final class InFlightAttempts {
   private final EventClock clock;
   private final ConcurrencyController concurrency;
   private int count;
-  private long pausedUntilNanos;
+  private long earliestDispatchNanos;
 
-  /** Creates the count, 0, for the limit of a controller. */
+  /** Starts with no attempt in flight; the controller sets the limit. */
   public InFlightAttempts(EventClock clock, ConcurrencyController concurrency) {
     this.clock = clock;
     this.concurrency = concurrency;
@@ -21,9 +21,9 @@
     return count < concurrency.limit();
   }
 
-  /** Whether the next request may be released now. */
+  /** Whether the next request may be taken from the queue and sent now. */
   public boolean mayDispatch() {
-    return belowLimit() && clock.nowNanos() >= pausedUntilNanos;
+    return belowLimit() && clock.nowNanos() >= earliestDispatchNanos;
   }
 
   /** An attempt was sent. */
@@ -35,23 +35,26 @@
   }
 
   /**
-   * An attempt ended. A limit below 1 is kept over time, by a pause after each attempt: with
+   * An attempt ended. A limit below 1 holds on average over time: the next request is delayed by
+   * {@code 1 / limit - 1} times the duration of this attempt. Such limits occur because with
    * hundreds of nodes, one attempt of each may be too many for a few endpoints.
    *
-   * @param inProgress whether it counted until now
+   * @param wasInFlight whether the attempt was counted as in flight until now; false for a
+   *     suspended one
+   * @param durationNanos duration of the attempt
    */
-  public void attemptEnded(boolean inProgress, long durationNanos) {
-    count -= inProgress ? 1 : 0;
-    double pauseDurations = Math.max(0, 1 / concurrency.limit() - 1);
-    pausedUntilNanos = clock.nowNanos() + (long) (durationNanos * pauseDurations);
+  public void attemptEnded(boolean wasInFlight, long durationNanos) {
+    count -= wasInFlight ? 1 : 0;
+    double delayInDurations = Math.max(0, 1 / concurrency.limit() - 1);
+    earliestDispatchNanos = clock.nowNanos() + (long) (durationNanos * delayInDurations);
   }
 
-  /** An attempt waits for its client and counts no longer. */
+  /** Stops counting an attempt that waits for the rest of the request body from its client. */
   public void suspended() {
     count--;
   }
 
-  /** A suspended attempt counts again. */
+  /** Counts a suspended attempt again, as the request body was forwarded completely. */
   public void resumed() {
     count++;
   }
--- a/edge/src/main/java/edgegateway/policy/scheduling/PendingRequest.java
+++ b/edge/src/main/java/edgegateway/policy/scheduling/PendingRequest.java
@@ -7,14 +7,14 @@
 import edgegateway.policy.routing.EndpointTracker;
 import edgegateway.policy.routing.RoutableRequest;
 
-/** A request that was received and has no final answer yet. */
+/** A request that was received and has no final answer yet, with the state of its attempts. */
 public final class PendingRequest implements RoutableRequest {
   private final Request request;
   private final RequestClassQueue queue;
   private final QuotaReservation reservation;
   private final SendPermit permit;
   private final double virtualTimeAtArrival;
-  private long arrivedNanos;
+  private long arrivedAtNanos;
   private int attempts;
   private EndpointTracker endpoint;
   private long sentAtNanos;
@@ -28,32 +28,32 @@
       RequestClassQueue queue,
       QuotaReservation reservation,
       SendPermit permit,
-      long arrivedNanos,
+      long arrivedAtNanos,
       double virtualTimeAtArrival) {
     this.request = request;
     this.queue = queue;
     this.reservation = reservation;
     this.permit = permit;
-    this.arrivedNanos = arrivedNanos;
+    this.arrivedAtNanos = arrivedAtNanos;
     this.virtualTimeAtArrival = virtualTimeAtArrival;
   }
 
-  /** The request's name. */
+  /** The unique id of the request. */
   public String id() {
     return request.id();
   }
 
-  /** The units that the request takes from the quota. */
+  /** The units that the request takes from the quota, as far as known at its arrival. */
   double units() {
     return request.units();
   }
 
-  /** The queue of the request's class. */
+  /** The queue of the request's class, whether or not the request waits in it. */
   public RequestClassQueue queue() {
     return queue;
   }
 
-  /** What the request holds of its customer's quota. */
+  /** The request's reservation in its customer's quota. */
   public QuotaReservation reservation() {
     return reservation;
   }
@@ -78,7 +78,10 @@
     return mayHaveExecutedAt;
   }
 
-  /** When the first attempt that may have been executed was sent; 0 if there is none. */
+  /**
+   * When the first attempt that may have been executed was sent, in nanoseconds; 0 if there is
+   * none.
+   */
   public long mayHaveExecutedSinceNanos() {
     return mayHaveExecutedSinceNanos;
   }
@@ -93,50 +96,58 @@
     return queue.serviceTime().expectedSeconds(request.units());
   }
 
-  /** When the request arrived; after a long body when its rest had been sent, in nanoseconds. */
-  long arrivedNanos() {
-    return arrivedNanos;
+  /**
+   * When the request arrived, or when the forwarding of its long body was completed, in
+   * nanoseconds.
+   */
+  long arrivedAtNanos() {
+    return arrivedAtNanos;
   }
 
+  /** The virtual time of the fair queue when the request arrived. */
   double virtualTimeAtArrival() {
     return virtualTimeAtArrival;
   }
 
-  /** The moment at which the client stops waiting, in nanoseconds. */
+  /** When the client stops waiting, in nanoseconds. */
   public long deadlineNanos() {
     return request.deadlineNanos();
   }
 
-  /** The moment by which an answer has its whole value, in nanoseconds. */
+  /** When the latency objective ends, in nanoseconds: until then an answer has its full value. */
   public long objectiveAtNanos() {
-    long objective = arrivedNanos + requestClass().latencyObjectiveNanos();
-    return Math.min(objective, request.deadlineNanos());
+    long objectiveAtNanos = arrivedAtNanos + requestClass().latencyObjectiveNanos();
+    return Math.min(objectiveAtNanos, request.deadlineNanos());
   }
 
   /**
-   * The value of answering the request: its class's weight times its plan's price, and beyond the
-   * quota only the part that it earns more than it costs.
+   * The value of answering the request: the priority weight of its class times the price factor of
+   * its plan. Over quota, this is multiplied by the fraction that the request still earns less the
+   * fraction that forwarding it costs.
    */
   public double value() {
     QuotaPlan plan = reservation.quota().plan();
-    double earned =
+    double valueFraction =
         reservation.withinQuota()
             ? 1
             : plan.overQuotaValueFraction() - plan.overQuotaCostFraction();
-    return requestClass().priorityWeight() * plan.priceFactor() * earned;
+    return requestClass().priorityWeight() * plan.priceFactor() * valueFraction;
   }
 
-  /** Whether the customer's concurrency cap lets the request be sent now. */
-  boolean mayBeSent() {
+  /** Whether the customer's concurrency cap allows the request to be sent now. */
+  boolean isSendPermitted() {
     return permit.hasCapacity();
   }
 
-  /** The endpoint of the present attempt; null if none is in progress. */
+  /** The endpoint of the attempt in progress; null if there is none. */
   public EndpointTracker endpoint() {
     return endpoint;
   }
 
-  /** Whether a part of the body was forwarded and is no longer held: no retry is possible. */
+  /**
+   * Whether a part of the body was forwarded and is no longer buffered, so that no retry is
+   * possible.
+   */
   public boolean isBodyForwarded() {
     return bodyForwarded;
   }
@@ -146,20 +157,20 @@
     return clientDisconnected;
   }
 
-  /** An attempt is sent now. */
-  public void attemptSent(EndpointTracker to, long nowNanos) {
+  /** An attempt is sent now; the first one acquires the send permit. */
+  public void attemptSent(EndpointTracker endpoint, long nowNanos) {
     if (attempts == 0) {
       permit.acquire();
     }
     attempts++;
-    endpoint = to;
+    this.endpoint = endpoint;
     sentAtNanos = nowNanos;
   }
 
   /**
-   * The present attempt ended.
+   * The attempt in progress ended.
    *
-   * @param provesNotExecuted whether it proved that it had no effect
+   * @param provesNotExecuted whether its outcome proves that the endpoint did not execute it
    */
   public void attemptEnded(boolean provesNotExecuted) {
     if (!provesNotExecuted && mayHaveExecutedSinceNanos == 0) {
@@ -169,23 +180,26 @@
     endpoint = null;
   }
 
-  /** A part of the body was forwarded and is no longer held. */
+  /** A part of the body was forwarded and is no longer buffered. */
   public void bodyForwarded() {
     bodyForwarded = true;
   }
 
-  /** The endpoint has the whole body only now: the spans count from this moment. */
+  /**
+   * The body was forwarded completely. Latency, attempt duration and the latency objective are
+   * measured from now, since the endpoint starts only when it has the complete body.
+   */
   public void uploadCompleted(long nowNanos) {
-    arrivedNanos = nowNanos;
+    arrivedAtNanos = nowNanos;
     sentAtNanos = nowNanos;
   }
 
-  /** The client has disconnected. */
+  /** The client has disconnected; the attempt in progress goes on. */
   public void clientDisconnected() {
     clientDisconnected = true;
   }
 
-  /** The request is over; it must not be used any more. */
+  /** Returns the send permit of a request that ended; the request must not be used afterwards. */
   public void finished() {
     if (attempts > 0) {
       permit.release();
--- a/edge/src/main/java/edgegateway/policy/scheduling/RequestClassQueue.java
+++ b/edge/src/main/java/edgegateway/policy/scheduling/RequestClassQueue.java
@@ -11,7 +11,7 @@
 import java.util.List;
 import java.util.function.Predicate;
 
-/** The queue of one request class, with its finish tag and what its requests take. */
+/** The queue of one request class, with its finish tag and the statistics of its attempts. */
 public final class RequestClassQueue {
   private final int index;
   private final RequestClass requestClass;
@@ -33,7 +33,7 @@
     serviceTime = new ServiceTimeEstimate(requestClass);
   }
 
-  /** The class. */
+  /** The request class of the queue. */
   public RequestClass requestClass() {
     return requestClass;
   }
@@ -43,37 +43,37 @@
     return shares.share(index);
   }
 
-  /** What requests of the class take. */
+  /** The estimate of the service time of the class's requests. */
   public ServiceTimeEstimate serviceTime() {
     return serviceTime;
   }
 
-  /** How many requests wait. */
+  /** The number of waiting requests. */
   public int size() {
     return waiting.size();
   }
 
-  /** The requests that wait, the oldest first; it must not be changed while it is read. */
+  /** The waiting requests, oldest first; the queue must not be changed during the iteration. */
   public Iterable<PendingRequest> waiting() {
     return waiting;
   }
 
-  /** Counts a request that was received, whether it will be queued or not. */
+  /** Counts a request that was received, whether or not it will be queued. */
   void requestArrived() {
     statistics.requestArrived();
   }
 
-  /** Appends a request. */
+  /** Adds a request at the end of the queue. */
   public void add(PendingRequest request) {
     waiting.add(request);
   }
 
-  /** Removes a request if it waits here. */
+  /** Removes a request that is not sent; does nothing if it is not in this queue. */
   public void remove(PendingRequest request) {
     waiting.remove(request);
   }
 
-  /** Returns the waiting requests that a condition holds for, the oldest first. */
+  /** Returns the waiting requests that fulfil a condition, oldest first, as a new list. */
   public List<PendingRequest> matching(Predicate<PendingRequest> condition) {
     if (waiting.isEmpty()) {
       return List.of();
@@ -88,9 +88,9 @@
   }
 
   /** The oldest request that may be sent; null if there is none. */
-  PendingRequest first() {
+  PendingRequest firstSendable() {
     for (PendingRequest request : waiting) {
-      if (request.mayBeSent()) {
+      if (request.isSendPermitted()) {
         return request;
       }
     }
@@ -98,37 +98,38 @@
   }
 
   /**
-   * The start tag of a request if it is released now: not set at its arrival, so that a changed
-   * share acts on what is queued too.
+   * The start tag of a request if it is dequeued now. It is not set at arrival, so that a changed
+   * share also affects the requests that are queued already.
    */
-  double startTag(PendingRequest first) {
-    return Math.max(first.virtualTimeAtArrival(), finishTag);
+  double startTag(PendingRequest request) {
+    return Math.max(request.virtualTimeAtArrival(), finishTag);
   }
 
-  /** Removes a request that is sent, and sets the finish tag by the class's share. */
+  /** Removes a request that is sent, and sets the finish tag to its start tag plus 1 / share. */
   void dequeue(PendingRequest request, double startTag) {
     waiting.remove(request);
     finishTag = startTag + 1 / share();
   }
 
-  /** Counts the end of an attempt that was sent and not cancelled. */
+  /** Adds an attempt that ended to the statistics, unless it was cancelled or not sent. */
   public void attemptEnded(PendingRequest request, AttemptResult result, long nowNanos) {
     Outcome outcome = result.outcome();
-    double seconds = result.durationNanos() * Durations.SECONDS_PER_NANO;
+    double serviceSeconds = result.durationNanos() * Durations.SECONDS_PER_NANO;
     if (outcome == Outcome.OK) {
-      serviceTime.attemptSucceeded(seconds, request.units());
+      serviceTime.attemptSucceeded(serviceSeconds, request.units());
       statistics.attemptSucceeded(
           request.reservation().quota().plan().priceFactor() * request.units(),
-          (nowNanos - request.arrivedNanos()) * Durations.SECONDS_PER_NANO,
-          (request.sentAtNanos() - request.arrivedNanos()) * Durations.SECONDS_PER_NANO,
-          seconds);
+          (nowNanos - request.arrivedAtNanos()) * Durations.SECONDS_PER_NANO,
+          (request.sentAtNanos() - request.arrivedAtNanos()) * Durations.SECONDS_PER_NANO,
+          serviceSeconds);
     } else if (outcome != Outcome.CANCELLED && outcome != Outcome.NOT_SENT) {
-      boolean cutShort = outcome == Outcome.TIMEOUT && nowNanos < request.objectiveAtNanos();
-      statistics.attemptFailed(seconds, cutShort);
+      boolean timedOutBeforeObjective =
+          outcome == Outcome.TIMEOUT && nowNanos < request.objectiveAtNanos();
+      statistics.attemptFailed(serviceSeconds, timedOutBeforeObjective);
     }
   }
 
-  /** Begins the next control interval. */
+  /** Resets the statistics at the start of a control interval. */
   void resetStatistics() {
     statistics.reset();
   }
--- a/edge/src/main/java/edgegateway/policy/scheduling/SendPermit.java
+++ b/edge/src/main/java/edgegateway/policy/scheduling/SendPermit.java
@@ -1,13 +1,16 @@
 package edgegateway.policy.scheduling;
 
-/** A limit, outside the fair queue, on which requests may be sent at once. */
+/**
+ * A limit on concurrent requests, such as a customer's concurrency cap. The fair queue skips a
+ * waiting request whose permit has no capacity.
+ */
 public interface SendPermit {
   /** Whether one more request may be sent now. */
   boolean hasCapacity();
 
-  /** Counts a request that is sent for the first time. */
+  /** Counts a request whose first attempt is sent. */
   void acquire();
 
-  /** Counts the end of a request that was sent. */
+  /** Stops counting a request that has ended, for which {@link #acquire} was called. */
   void release();
 }
--- a/edge/src/main/java/edgegateway/policy/scheduling/ServiceTimeEstimate.java
+++ b/edge/src/main/java/edgegateway/policy/scheduling/ServiceTimeEstimate.java
@@ -3,17 +3,21 @@
 import edgegateway.policy.api.RequestClass;
 import edgegateway.policy.time.Durations;
 
-/** The average service time of a request class, and what a request of it is expected to take. */
+/**
+ * Estimates the service time of a request of one class, from the moving averages of the service
+ * time and of the units of the class's successful attempts.
+ */
 public final class ServiceTimeEstimate {
-  private static final double AVERAGE_WEIGHT = 0.02;
+  /** Weight of an attempt in the moving averages. */
+  private static final double SMOOTHING_FACTOR = 0.02;
 
-  /** Before the first answer: this part of the latency objective. */
-  private static final int INITIAL_PARTS_OF_OBJECTIVE = 8;
+  /** Until the first answer, the average is the latency objective divided by this. */
+  private static final int INITIAL_OBJECTIVE_DIVISOR = 8;
 
-  /** A request's units count within these factors of the average. */
-  private static final double MIN_UNITS_FACTOR = 0.3;
+  /** Bounds of the ratio of a request's units to the average units. */
+  private static final double MIN_UNITS_RATIO = 0.3;
 
-  private static final double MAX_UNITS_FACTOR = 3;
+  private static final double MAX_UNITS_RATIO = 3;
   private static final double MIN_AVERAGE_UNITS = 1e-9;
 
   private double averageSeconds;
@@ -21,7 +25,7 @@
 
   ServiceTimeEstimate(RequestClass requestClass) {
     double objectiveSeconds = requestClass.latencyObjectiveNanos() * Durations.SECONDS_PER_NANO;
-    averageSeconds = objectiveSeconds / INITIAL_PARTS_OF_OBJECTIVE;
+    averageSeconds = objectiveSeconds / INITIAL_OBJECTIVE_DIVISOR;
   }
 
   /** The average service time in seconds. */
@@ -29,20 +33,20 @@
     return averageSeconds;
   }
 
-  /** Goes on from the average (in seconds) of the process that this one replaces. */
+  /** Sets the average, in seconds, to that of the process that this one replaces. */
   public void setAverageSeconds(double seconds) {
     averageSeconds = seconds;
   }
 
-  /** The service time to expect of a request of some units, in seconds. */
+  /** The expected service time, in seconds, of a request that takes some units of the quota. */
   double expectedSeconds(double units) {
-    double factor = units / Math.max(MIN_AVERAGE_UNITS, averageUnits);
-    return averageSeconds * Math.max(MIN_UNITS_FACTOR, Math.min(MAX_UNITS_FACTOR, factor));
+    double ratio = units / Math.max(MIN_AVERAGE_UNITS, averageUnits);
+    return averageSeconds * Math.max(MIN_UNITS_RATIO, Math.min(MAX_UNITS_RATIO, ratio));
   }
 
-  /** Counts an attempt that succeeded. */
-  void attemptSucceeded(double seconds, double units) {
-    averageSeconds += AVERAGE_WEIGHT * (seconds - averageSeconds);
-    averageUnits += AVERAGE_WEIGHT * (units - averageUnits);
+  /** Adds a successful attempt to the averages. */
+  void attemptSucceeded(double serviceSeconds, double units) {
+    averageSeconds += SMOOTHING_FACTOR * (serviceSeconds - averageSeconds);
+    averageUnits += SMOOTHING_FACTOR * (units - averageUnits);
   }
 }
