--- a/edge/src/main/java/edgegateway/policy/control/ClassIntervalStatistics.java
+++ b/edge/src/main/java/edgegateway/policy/control/ClassIntervalStatistics.java
@@ -5,20 +5,23 @@
 import java.util.List;
 
 /**
- * What one control interval saw of a request class. {@link #reset} begins the next interval; only
- * the average of the priced units lives on.
+ * Statistics of a request class over one control interval. {@link #reset} starts the next interval;
+ * only the moving average of the priced units is kept across intervals.
  */
 public final class ClassIntervalStatistics {
-  /** Normalized inverse latency is 1 where the mean latency is a tenth of the objective. */
+  /**
+   * The normalized inverse latency is 1 where the mean latency is the latency objective divided by
+   * this.
+   */
   static final double INVERSE_LATENCY_SCALE = 10;
 
   private static final double SECONDS_PER_NANO = 1e-9;
 
-  /** Weight of a request in the average of priced units. */
+  /** Weight of a request in the moving average of the priced units. */
   private static final double PRICE_SMOOTHING = 0.02;
 
-  /** A failure counts as at least this many latency objectives. */
-  private static final double FAILURE_OBJECTIVES = 2;
+  /** Minimum service time that a failed attempt counts with, in latency objectives. */
+  private static final double MIN_FAILURE_OBJECTIVES = 2;
 
   private static final double MIN_LATENCY_SUM_SECONDS = 1e-6;
 
@@ -30,7 +33,7 @@
   private int arrivals;
   private int succeeded;
 
-  /** Statistics of a class before its first interval. */
+  /** Creates empty statistics of a class. */
   public ClassIntervalStatistics(RequestClass requestClass) {
     this.requestClass = requestClass;
   }
@@ -44,8 +47,8 @@
    * An attempt succeeded.
    *
    * @param pricedUnits units of the request times the price factor of its plan
-   * @param latencySeconds from the arrival of the request to its answer
-   * @param waitSeconds from the arrival of the request to the start of this attempt
+   * @param latencySeconds time from the arrival of the request to its answer
+   * @param waitSeconds time from the arrival of the request to the start of this attempt
    * @param serviceSeconds duration of this attempt
    */
   public void attemptSucceeded(
@@ -58,19 +61,21 @@
   }
 
   /**
-   * An attempt failed. It counts as slow, however fast it was: errors must not raise the
+   * An attempt failed. It counts as slow even if it failed fast, because errors must not raise the
    * concurrency limit.
    *
    * @param serviceSeconds duration of this attempt
-   * @param cutShort whether the node itself ended it early to try another endpoint; such an attempt
-   *     was slow already and counts as it was
+   * @param timedOutBeforeObjective whether the node ended the attempt by a timeout before the
+   *     latency objective, so that a retry on another endpoint is still possible; such an attempt
+   *     was slow already and counts with its actual duration
    */
-  public void attemptFailed(double serviceSeconds, boolean cutShort) {
-    double slow = Math.max(serviceSeconds, FAILURE_OBJECTIVES * latencyObjectiveSeconds());
-    serviceTimesSeconds.add(cutShort ? serviceSeconds : slow);
+  public void attemptFailed(double serviceSeconds, boolean timedOutBeforeObjective) {
+    double failureSeconds =
+        Math.max(serviceSeconds, MIN_FAILURE_OBJECTIVES * latencyObjectiveSeconds());
+    serviceTimesSeconds.add(timedOutBeforeObjective ? serviceSeconds : failureSeconds);
   }
 
-  /** Begins the next interval. */
+  /** Starts the next interval. */
   public void reset() {
     arrivals = 0;
     succeeded = 0;
@@ -99,19 +104,25 @@
     return requestClass.latencyObjectiveNanos() * SECONDS_PER_NANO;
   }
 
-  /** Value of an average request of this class that is answered in time: weight times price. */
+  /**
+   * Value of an average request of this class that is answered in time: priority weight times
+   * average priced units.
+   */
   double valuePerRequest() {
     return requestClass.priorityWeight() * averagePricedUnits;
   }
 
-  /** Mean wait of a successful request before its last attempt, in seconds; 0 if there is none. */
+  /**
+   * Mean time from the arrival of a successful request to the start of its last attempt, in
+   * seconds; 0 if no request succeeded in this interval.
+   */
   double meanWaitSeconds() {
     return waitSumSeconds / Math.max(1, succeeded);
   }
 
   /**
-   * Latency objective over mean latency, in units of {@link #INVERSE_LATENCY_SCALE}, to be of one
-   * size with the shares: 0 to 1.
+   * Latency objective divided by mean latency and by {@link #INVERSE_LATENCY_SCALE}, at most 1. The
+   * range of 0 to 1 is the same as that of the shares.
    */
   double normalizedInverseLatency() {
     double inverse =
@@ -122,7 +133,7 @@
   }
 
   /**
-   * A quantile of the service times of this interval, in seconds.
+   * A quantile of the service times in this interval, in seconds; failed attempts included.
    *
    * @param quantile 0 to 1
    * @throws ArrayIndexOutOfBoundsException if no attempt ended in this interval
--- a/edge/src/main/java/edgegateway/policy/control/ConcurrencyController.java
+++ b/edge/src/main/java/edgegateway/policy/control/ConcurrencyController.java
@@ -5,44 +5,57 @@
 import org.ejml.simple.SimpleMatrix;
 
 /**
- * The limit on concurrent attempts of this node. Its maximum is the node's part of what the
- * endpoints may be sent at once; below that, it moves once an interval so that the slow answers of
- * the class with the tightest latency objective come within that objective.
+ * Controls the limit on concurrent attempts of this node. The maximum of the limit is the node's
+ * part of the attempts that all endpoints may have in flight. Below the maximum, the limit is
+ * adjusted once per control interval so that a high quantile of the service times of the class with
+ * the tightest latency objective, plus the wait in the queue, meets that objective.
  */
 public final class ConcurrencyController {
-  /** Operators' limit: concurrent attempts per endpoint, over all nodes. */
-  private static final double ATTEMPTS_PER_ENDPOINT = 6;
+  /** The operators' limit on concurrent attempts per endpoint, over all nodes. */
+  private static final double MAX_ATTEMPTS_PER_ENDPOINT = 6;
 
-  /** Least limit, least fraction of the maximum, and least number of endpoints reckoned with. */
+  /**
+   * Minimum of the limit, of the limit as a fraction of its maximum, and of effective endpoints.
+   */
   private static final double MIN_LIMIT = 0.25;
 
-  /** Penalty on a change of the limit; larger than that of the shares, as this loop is slower. */
+  /** Larger than the actuation penalty of the shares, as this control loop is slower. */
   private static final double ACTUATION_PENALTY = 0.7;
 
-  private static final double SLOW_QUANTILE = 0.9;
+  /** The quantile of the service times that is controlled. */
+  private static final double SERVICE_TIME_QUANTILE = 0.9;
 
-  /** Part of the latency objective that the wait in the queue never takes from the service. */
+  /**
+   * Minimum fraction of the latency objective that remains for the service time, however long
+   * requests wait in the queue.
+   */
   private static final double MIN_SERVICE_FRACTION = 0.25;
 
-  /** Updates before the fitted slope is used. */
+  /** Number of updates of the estimator before its slope is used. */
   private static final int MIN_UPDATES = 3;
 
   private final List<ClassIntervalStatistics> classes;
   private final int nodeCount;
 
-  /** From the last change of inverse latency and the change of the limit to that of the latency. */
+  /**
+   * Predicts the change of the inverse latency over an interval. The inputs are its change over the
+   * previous interval, and the change of the limit as a fraction of its maximum.
+   */
   private final RecursiveLeastSquares estimator = new RecursiveLeastSquares(1, 2);
 
   private double effectiveEndpoints = 1;
-  private double maximum = 1;
+  private double maxLimit = 1;
   private double limit = 1;
   private boolean limitReached;
   private double previousInverseLatency;
-  private double previousInverseChange;
+  private double previousInverseLatencyChange;
   private double previousFraction;
 
   /**
-   * A controller for a node of {@code nodeCount}; it reads the statistics and never resets them.
+   * Creates a controller, which reads the statistics and never resets them.
+   *
+   * @param classes the statistics of all request classes
+   * @param nodeCount number of nodes in the fleet
    */
   public ConcurrencyController(List<ClassIntervalStatistics> classes, int nodeCount) {
     this.classes = List.copyOf(classes);
@@ -50,100 +63,121 @@
   }
 
   /**
-   * Concurrent attempts that this node may have now, above 0; below 1 it must pause between two.
+   * How many concurrent attempts this node may have now, above 0. A limit below 1 means one attempt
+   * at a time with a delay between two attempts.
    */
   public double limit() {
     return limit;
   }
 
-  /** Usable endpoints, each in slow start counted by its factor; at least 0.25. */
+  /**
+   * The number of usable endpoints, where an endpoint in slow start counts as its present fraction
+   * of full capacity; at least 0.25.
+   */
   public double effectiveEndpoints() {
     return effectiveEndpoints;
   }
 
-  /** The limit kept a request waiting in this interval, or might have. */
+  /** Records that the limit was reached in this interval, so that it may have delayed a request. */
   public void markLimitReached() {
     limitReached = true;
   }
 
   /**
-   * The endpoints or their slow start changed. What an endpoint in slow start cannot do yet waits
-   * in this node's queue, where priority weights decide, and not in the endpoint's own.
+   * The usable endpoints or their slow start changed. The maximum of the limit follows their
+   * capacity, so that requests which an endpoint in slow start cannot serve yet wait in this node's
+   * queue, where priority weights apply, and not in the queue of the endpoint.
    *
-   * @param slowStartFactorSum sum over the usable endpoints of 1, or of their factor in slow start
+   * @param usableCapacity sum over the usable endpoints of 1 each, or of the fraction of full
+   *     capacity for an endpoint in slow start
    */
-  public void capacityChanged(double slowStartFactorSum) {
-    double previousMaximum = maximum;
-    effectiveEndpoints = Math.max(MIN_LIMIT, slowStartFactorSum);
-    maximum =
-        roundAboveOne(Math.max(MIN_LIMIT, ATTEMPTS_PER_ENDPOINT * effectiveEndpoints / nodeCount));
-    boolean unbounded = estimator.updateCount() == 0 || limit >= previousMaximum;
-    limit = unbounded ? maximum : Math.min(limit, maximum);
+  public void capacityChanged(double usableCapacity) {
+    double previousMaxLimit = maxLimit;
+    effectiveEndpoints = Math.max(MIN_LIMIT, usableCapacity);
+    maxLimit =
+        roundAboveOne(
+            Math.max(MIN_LIMIT, MAX_ATTEMPTS_PER_ENDPOINT * effectiveEndpoints / nodeCount));
+    boolean followsMaximum = estimator.updateCount() == 0 || limit >= previousMaxLimit;
+    limit = followsMaximum ? maxLimit : Math.min(limit, maxLimit);
   }
 
-  /** Fits the model to the interval that ends now, and sets the limit of the next one. */
+  /** Updates the model with the interval that ends now, and sets the limit for the next one. */
   public void intervalEnded() {
-    ClassIntervalStatistics tightest = tightestClass();
-    if (tightest == null) {
+    ClassIntervalStatistics tightestClass = tightestClass();
+    if (tightestClass == null) {
       return;
     }
-    double objectiveSeconds = tightest.latencyObjectiveSeconds();
-    double inverseLatency = objectiveSeconds / tightest.serviceTimeQuantileSeconds(SLOW_QUANTILE);
-    double fraction = limit / maximum;
+    double objectiveSeconds = tightestClass.latencyObjectiveSeconds();
+    double inverseLatency =
+        objectiveSeconds / tightestClass.serviceTimeQuantileSeconds(SERVICE_TIME_QUANTILE);
+    double fraction = limit / maxLimit;
     fit(inverseLatency, fraction);
-    double next =
+    double nextFraction =
         limitReached
-            ? steer(tightest, inverseLatency, fraction)
-            // A limit that was not reached tells nothing; it drifts back to the maximum.
+            ? nextFraction(tightestClass, inverseLatency, fraction)
+            // A limit that was not reached had no effect: it returns to the maximum gradually.
             : (fraction + 1) / 2;
     previousInverseLatency = inverseLatency;
     limitReached = false;
-    limit = roundAboveOne(clip(next) * maximum);
+    limit = roundAboveOne(clampFraction(nextFraction) * maxLimit);
   }
 
-  /** Of the classes with an attempt that ended in this interval; null if there is none. */
+  /**
+   * The class with the tightest latency objective among those with an attempt that ended in this
+   * interval; null if there is none.
+   */
   private ClassIntervalStatistics tightestClass() {
     return classes.stream()
         .filter(ClassIntervalStatistics::hasServiceTimes)
-        .min(Comparator.comparingLong(one -> one.requestClass().latencyObjectiveNanos()))
+        .min(
+            Comparator.comparingLong(
+                statistics -> statistics.requestClass().latencyObjectiveNanos()))
         .orElse(null);
   }
 
-  /** Fits changes, not values: a limit that does not vary tells nothing. */
+  /**
+   * Updates the estimator with the changes since the previous interval, and not with the values,
+   * because only a change of the limit gives information on its effect. An interval in which the
+   * limit was not reached or did not change is left out.
+   */
   private void fit(double inverseLatency, double fraction) {
-    boolean known = previousInverseLatency > 0;
+    boolean hasPrevious = previousInverseLatency > 0;
     double change = inverseLatency - previousInverseLatency;
-    if (known && limitReached && fraction != previousFraction) {
+    if (hasPrevious && limitReached && fraction != previousFraction) {
       SimpleMatrix regressor =
-          LinearModel.column(previousInverseChange, fraction - previousFraction);
+          LinearModel.column(previousInverseLatencyChange, fraction - previousFraction);
       estimator.update(regressor, change);
     }
-    previousInverseChange = known ? change : 0;
+    previousInverseLatencyChange = hasPrevious ? change : 0;
     previousFraction = fraction;
   }
 
-  private double steer(ClassIntervalStatistics tightest, double inverseLatency, double fraction) {
-    double objectiveSeconds = tightest.latencyObjectiveSeconds();
+  /** The limit for the next interval by the control law, as a fraction of its maximum. */
+  private double nextFraction(
+      ClassIntervalStatistics tightestClass, double inverseLatency, double fraction) {
+    double objectiveSeconds = tightestClass.latencyObjectiveSeconds();
     double serviceObjectiveSeconds =
         Math.max(
-            objectiveSeconds * MIN_SERVICE_FRACTION, objectiveSeconds - tightest.meanWaitSeconds());
+            objectiveSeconds * MIN_SERVICE_FRACTION,
+            objectiveSeconds - tightestClass.meanWaitSeconds());
     double slope = slope(inverseLatency, fraction);
     LinearModel model =
         new LinearModel(
             LinearModel.column(inverseLatency - slope * fraction), LinearModel.column(slope));
-    SimpleMatrix next =
+    SimpleMatrix nextInput =
         ControlLaw.nextInput(
             model,
             LinearModel.column(1),
             ACTUATION_PENALTY,
             LinearModel.column(objectiveSeconds / serviceObjectiveSeconds),
             LinearModel.column(fraction));
-    return next.get(0);
+    return nextInput.get(0);
   }
 
   /**
-   * Effect of the limit, as a fraction of its maximum, on the inverse latency. Until the fit has
-   * the known sign, it is that of Little's law: latency in proportion to the attempts in flight.
+   * Effect of the limit, as a fraction of its maximum, on the inverse latency; it is negative.
+   * Until the estimator has had enough updates and its slope is negative, the slope follows
+   * Little's law: latency is proportional to the number of attempts in flight.
    */
   private double slope(double inverseLatency, double fraction) {
     double fitted = estimator.parameters(1, 2).get(0);
@@ -152,10 +186,11 @@
         : -inverseLatency / fraction;
   }
 
-  private static double clip(double fraction) {
+  private static double clampFraction(double fraction) {
     return Double.isFinite(fraction) ? Math.max(MIN_LIMIT, Math.min(1, fraction)) : 1;
   }
 
+  /** Rounds a limit above 1 to an integer. */
   private static double roundAboveOne(double value) {
     return value > 1 ? Math.rint(value) : value;
   }
--- a/edge/src/main/java/edgegateway/policy/control/LinearModel.java
+++ b/edge/src/main/java/edgegateway/policy/control/LinearModel.java
@@ -3,13 +3,19 @@
 import org.ejml.simple.SimpleMatrix;
 
 /**
- * A linear model of a plant over the next interval: {@code output = offset + gain · input}.
+ * A linear model of the plant over the next control interval: {@code output = offset + gain ·
+ * input}.
  *
- * @param offset predicted outputs at an input of 0; a column with one row per output
+ * @param offset predicted outputs if all inputs are 0; a column with one row per output
  * @param gain effect of each input on each output; one row per output, one column per input
  */
 record LinearModel(SimpleMatrix offset, SimpleMatrix gain) {
-  /** Predicted outputs for the given inputs, one value per column of {@link #gain}. */
+  /**
+   * Predicts the outputs for the given inputs.
+   *
+   * @param inputs one value per column of {@link #gain}
+   * @return a column with one row per output
+   */
   SimpleMatrix predict(double... inputs) {
     return offset.plus(gain.mult(column(inputs)));
   }
--- a/edge/src/main/java/edgegateway/policy/control/RecursiveLeastSquares.java
+++ b/edge/src/main/java/edgegateway/policy/control/RecursiveLeastSquares.java
@@ -4,13 +4,16 @@
 
 /**
  * Recursive least squares with a forgetting factor: fits {@code output = parameters · regressor}
- * for several outputs that share one covariance. The parameters begin at 0.
+ * for several outputs that share one covariance matrix. All parameters are 0 initially.
  */
 final class RecursiveLeastSquares {
-  /** A memory of some 50 updates: 1 / (1 - 0.98). */
+  /** Corresponds to a memory of about 50 updates: 1 / (1 - 0.98). */
   private static final double FORGETTING_FACTOR = 0.98;
 
-  /** Bound on the trace of the covariance per input; without it, it grows in quiet intervals. */
+  /**
+   * Upper bound of the trace of the covariance matrix, per input. Without a bound the covariance
+   * grows exponentially while the regressor stays near 0, as in intervals with little traffic.
+   */
   private static final double MAX_TRACE_PER_INPUT = 100;
 
   private static final double INITIAL_VARIANCE = 10;
@@ -19,24 +22,30 @@
   private SimpleMatrix covariance;
   private int updateCount;
 
-  /** A model of the given number of outputs, each a linear function of the given inputs. */
+  /**
+   * Creates a model whose parameters are all 0.
+   *
+   * @param outputs number of outputs
+   * @param inputs number of rows of the regressor, of which each output is a linear function
+   */
   RecursiveLeastSquares(int outputs, int inputs) {
     parameters = new SimpleMatrix(outputs, inputs);
     covariance = SimpleMatrix.identity(inputs).scale(INITIAL_VARIANCE);
   }
 
   /**
-   * Folds one observation into the fit.
+   * Updates the fit with one observation.
    *
    * @param regressor a column with one row per input
-   * @param outputs one value per output; one that is NaN was not observed and keeps its parameters
+   * @param outputs one value per output; NaN marks an output that was not observed, whose
+   *     parameters do not change
    */
   void update(SimpleMatrix regressor, double... outputs) {
     SimpleMatrix direction = covariance.mult(regressor);
     SimpleMatrix gain = direction.divide(FORGETTING_FACTOR + regressor.dot(direction));
     for (int output = 0; output < outputs.length; output++) {
       if (!Double.isNaN(outputs[output])) {
-        correct(output, outputs[output] - predict(regressor).get(output), gain);
+        updateParameters(output, outputs[output] - predict(regressor).get(output), gain);
       }
     }
     covariance = covariance.minus(gain.mult(direction.transpose())).divide(FORGETTING_FACTOR);
@@ -44,7 +53,7 @@
     updateCount++;
   }
 
-  private void correct(int output, double error, SimpleMatrix gain) {
+  private void updateParameters(int output, double error, SimpleMatrix gain) {
     for (int input = 0; input < parameters.getNumCols(); input++) {
       parameters.set(output, input, parameters.get(output, input) + gain.get(input) * error);
     }
@@ -57,7 +66,7 @@
     }
   }
 
-  /** Outputs that the present fit predicts for a regressor; a column with one row per output. */
+  /** The outputs that the current fit predicts for a regressor; a column, one row per output. */
   SimpleMatrix predict(SimpleMatrix regressor) {
     return parameters.mult(regressor);
   }
@@ -69,7 +78,7 @@
     return parameters.cols(fromInput, toInput).copy();
   }
 
-  /** How many observations were folded in. */
+  /** The number of observations that the fit was updated with. */
   int updateCount() {
     return updateCount;
   }
