--- a/edge/src/test/java/edgegateway/policy/control/ClassIntervalStatisticsTest.java
+++ b/edge/src/test/java/edgegateway/policy/control/ClassIntervalStatisticsTest.java
@@ -10,36 +10,36 @@
   private final ClassIntervalStatistics statistics = Fixtures.statistics(3);
 
   @Test
-  void addsUpWhatSucceeded() {
+  void successfulAttemptsAreCountedAndAveraged() {
     Fixtures.succeed(statistics, 4, 0.1, 0.15);
     assertEquals(4, statistics.arrivals());
     assertEquals(4, statistics.succeeded());
     assertEquals(0.1, statistics.meanWaitSeconds(), 1e-12);
-    // Objective 0.5 s over latency 0.25 s, in tenths.
+    // Objective 0.5 s / mean latency 0.25 s / scale 10.
     assertEquals(0.2, statistics.normalizedInverseLatency(), 1e-12);
   }
 
   @Test
-  void inverseLatencyIsAtMostOne() {
+  void normalizedInverseLatencyNeverExceedsOne() {
     Fixtures.succeed(statistics, 1, 0, 0.001);
     assertEquals(1, statistics.normalizedInverseLatency());
   }
 
   @Test
-  void aFailureIsNeverFast() {
+  void fastFailureCountsAsTwiceTheLatencyObjective() {
     statistics.attemptFailed(0.001, false);
     assertEquals(2 * Fixtures.OBJECTIVE_SECONDS, statistics.serviceTimeQuantileSeconds(1));
     assertEquals(0, statistics.succeeded());
   }
 
   @Test
-  void anAttemptCutShortCountsAsItWas() {
+  void timeoutBeforeObjectiveCountsWithActualDuration() {
     statistics.attemptFailed(0.2, true);
     assertEquals(0.2, statistics.serviceTimeQuantileSeconds(1));
   }
 
   @Test
-  void quantilesAreOfTheSortedServiceTimes() {
+  void quantilesAreTakenFromSortedServiceTimes() {
     for (int tenths = 10; tenths >= 0; tenths--) {
       statistics.attemptSucceeded(1, 1, 0, tenths / 10.0);
     }
@@ -49,7 +49,7 @@
   }
 
   @Test
-  void resetKeepsOnlyTheAveragePrice() {
+  void resetKeepsOnlyAveragePricedUnits() {
     for (int request = 0; request < 1000; request++) {
       statistics.requestArrived();
       statistics.attemptSucceeded(5, 0.2, 0.1, 0.1);
@@ -63,7 +63,7 @@
   }
 
   @Test
-  void theAveragePriceFollowsSlowly() {
+  void averagePricedUnitsFollowGradually() {
     assertEquals(3, statistics.valuePerRequest());
     statistics.attemptSucceeded(2, 0.2, 0.1, 0.1);
     assertTrue(statistics.valuePerRequest() > 3 && statistics.valuePerRequest() < 3.1);
--- a/edge/src/test/java/edgegateway/policy/control/ConcurrencyControllerTest.java
+++ b/edge/src/test/java/edgegateway/policy/control/ConcurrencyControllerTest.java
@@ -7,13 +7,15 @@
 import org.junit.jupiter.api.Test;
 
 class ConcurrencyControllerTest {
-  private final ClassIntervalStatistics tight = Fixtures.statistics(1);
-  private final ClassIntervalStatistics loose = Fixtures.statistics(1, 5_000_000_000L);
-  private final List<ClassIntervalStatistics> classes = List.of(loose, tight);
-
-  private ConcurrencyController controller(int nodes, double endpoints) {
-    ConcurrencyController controller = new ConcurrencyController(classes, nodes);
-    controller.capacityChanged(endpoints);
+  private final ClassIntervalStatistics tightObjectiveClass = Fixtures.statistics(1);
+  private final ClassIntervalStatistics looseObjectiveClass =
+      Fixtures.statistics(1, 5_000_000_000L);
+  private final List<ClassIntervalStatistics> classes =
+      List.of(looseObjectiveClass, tightObjectiveClass);
+
+  private ConcurrencyController controller(int nodeCount, double usableCapacity) {
+    ConcurrencyController controller = new ConcurrencyController(classes, nodeCount);
+    controller.capacityChanged(usableCapacity);
     return controller;
   }
 
@@ -22,15 +24,18 @@
     classes.forEach(ClassIntervalStatistics::reset);
   }
 
-  /** An interval that reached its limit and in which the tight class took so long. */
-  private void busyInterval(ConcurrencyController controller, double serviceSeconds) {
+  /**
+   * Runs an interval in which the limit is reached and 20 attempts of the class with the tight
+   * objective have the given service time.
+   */
+  private void runIntervalAtLimit(ConcurrencyController controller, double serviceSeconds) {
     controller.markLimitReached();
-    Fixtures.succeed(tight, 20, 0, serviceSeconds);
+    Fixtures.succeed(tightObjectiveClass, 20, 0, serviceSeconds);
     endInterval(controller);
   }
 
   @Test
-  void theMaximumIsThisNodesPartOfSixAttemptsPerEndpoint() {
+  void maximumIsNodePartOfSixAttemptsPerEndpoint() {
     assertEquals(120, controller(1, 20).limit());
     assertEquals(6, controller(20, 20).limit());
     assertEquals(0.5, controller(240, 20).limit());
@@ -38,53 +43,53 @@
   }
 
   @Test
-  void endpointsInSlowStartCountByTheirFactor() {
+  void endpointsInSlowStartCountByCapacityFraction() {
     assertEquals(21, controller(1, 2 + 6 * 0.25).limit());
     assertEquals(3.5, controller(1, 3.5).effectiveEndpoints());
     assertEquals(0.25, controller(1, 0).effectiveEndpoints());
   }
 
   @Test
-  void theLimitFallsWhenLatencyIsAboveTheObjective() {
+  void limitFallsWhenLatencyExceedsObjective() {
     ConcurrencyController controller = controller(1, 20);
     double previous = controller.limit();
-    busyInterval(controller, 2 * Fixtures.OBJECTIVE_SECONDS);
+    runIntervalAtLimit(controller, 2 * Fixtures.OBJECTIVE_SECONDS);
     assertTrue(controller.limit() < previous, "limit " + controller.limit());
     assertTrue(controller.limit() >= 0.25 * previous, "limit " + controller.limit());
   }
 
   @Test
-  void theLimitStaysAtItsMaximumWhenLatencyIsBelowTheObjective() {
+  void limitStaysAtMaximumWhenLatencyMeetsObjective() {
     ConcurrencyController controller = controller(1, 20);
-    busyInterval(controller, 0.2 * Fixtures.OBJECTIVE_SECONDS);
+    runIntervalAtLimit(controller, 0.2 * Fixtures.OBJECTIVE_SECONDS);
     assertEquals(120, controller.limit());
   }
 
   @Test
-  void theWaitInTheQueueLeavesLessForTheService() {
-    ConcurrencyController waiting = controller(1, 20);
-    waiting.markLimitReached();
-    Fixtures.succeed(tight, 20, 0.3, 0.4);
-    endInterval(waiting);
-    ConcurrencyController notWaiting = controller(1, 20);
-    busyInterval(notWaiting, 0.4);
-    assertTrue(waiting.limit() < notWaiting.limit());
+  void queueWaitLowersLimit() {
+    ConcurrencyController withQueueWait = controller(1, 20);
+    withQueueWait.markLimitReached();
+    Fixtures.succeed(tightObjectiveClass, 20, 0.3, 0.4);
+    endInterval(withQueueWait);
+    ConcurrencyController withoutQueueWait = controller(1, 20);
+    runIntervalAtLimit(withoutQueueWait, 0.4);
+    assertTrue(withQueueWait.limit() < withoutQueueWait.limit());
   }
 
   @Test
-  void theClassOfTheTightestObjectiveDecides() {
+  void classWithTightestObjectiveSetsLimit() {
     ConcurrencyController controller = controller(1, 20);
     controller.markLimitReached();
-    Fixtures.succeed(loose, 100, 0, 50);
-    Fixtures.succeed(tight, 1, 0, 0.1);
+    Fixtures.succeed(looseObjectiveClass, 100, 0, 50);
+    Fixtures.succeed(tightObjectiveClass, 1, 0, 0.1);
     endInterval(controller);
     assertEquals(120, controller.limit());
   }
 
   @Test
-  void anIntervalWithoutTrafficChangesNothing() {
+  void intervalsWithoutTrafficKeepLimit() {
     ConcurrencyController controller = controller(1, 20);
-    busyInterval(controller, 2 * Fixtures.OBJECTIVE_SECONDS);
+    runIntervalAtLimit(controller, 2 * Fixtures.OBJECTIVE_SECONDS);
     double limit = controller.limit();
     for (int interval = 0; interval < 10; interval++) {
       endInterval(controller);
@@ -93,31 +98,31 @@
   }
 
   @Test
-  void aLimitThatIsNotReachedDriftsBackToTheMaximum() {
+  void unreachedLimitReturnsToMaximum() {
     ConcurrencyController controller = controller(1, 20);
     for (int interval = 0; interval < 5; interval++) {
-      busyInterval(controller, 2 * Fixtures.OBJECTIVE_SECONDS);
+      runIntervalAtLimit(controller, 2 * Fixtures.OBJECTIVE_SECONDS);
     }
     assertTrue(controller.limit() < 100, "limit " + controller.limit());
     for (int interval = 0; interval < 20; interval++) {
-      Fixtures.succeed(tight, 20, 0, 2 * Fixtures.OBJECTIVE_SECONDS);
+      Fixtures.succeed(tightObjectiveClass, 20, 0, 2 * Fixtures.OBJECTIVE_SECONDS);
       endInterval(controller);
     }
     assertEquals(120, controller.limit());
   }
 
   @Test
-  void fewerEndpointsLowerTheLimitAtOnce() {
+  void removedEndpointsLowerLimitImmediately() {
     ConcurrencyController controller = controller(1, 20);
     controller.capacityChanged(5);
     assertEquals(30, controller.limit());
   }
 
   @Test
-  void moreEndpointsDoNotLiftALimitThatTheControllerLowered() {
+  void addedEndpointsDoNotRaiseLoweredLimit() {
     ConcurrencyController controller = controller(1, 20);
     for (int interval = 0; interval < 5; interval++) {
-      busyInterval(controller, 2 * Fixtures.OBJECTIVE_SECONDS);
+      runIntervalAtLimit(controller, 2 * Fixtures.OBJECTIVE_SECONDS);
     }
     double lowered = controller.limit();
     controller.capacityChanged(40);
--- a/edge/src/test/java/edgegateway/policy/control/ControlLawTest.java
+++ b/edge/src/test/java/edgegateway/policy/control/ControlLawTest.java
@@ -9,49 +9,49 @@
 
 class ControlLawTest {
   @Test
-  void movesTowardsTheReferenceAndNormalizedSharesSumToOne() {
+  void sharesMoveTowardsReferenceAndSumToOne() {
     LinearModel model = new LinearModel(new SimpleMatrix(2, 1), SimpleMatrix.identity(2));
-    SimpleMatrix next =
+    SimpleMatrix nextInput =
         ControlLaw.nextInput(
             model,
             SimpleMatrix.identity(2),
             0.5,
             LinearModel.column(0.8, 0.2),
             LinearModel.column(0.5, 0.5));
-    double[] shares = Shares.normalize(next.get(0), next.get(1));
+    double[] shares = Shares.normalize(nextInput.get(0), nextInput.get(1));
     assertTrue(shares[0] > 0.5 && shares[0] < 0.8);
     assertEquals(1, Arrays.stream(shares).sum(), 1e-9);
-    double[] odd = Shares.normalize(Double.NaN, -3, 7);
-    assertEquals(1, Arrays.stream(odd).sum(), 1e-9);
-    assertTrue(Arrays.stream(odd).allMatch(share -> share > 0));
+    double[] fromInvalidInput = Shares.normalize(Double.NaN, -3, 7);
+    assertEquals(1, Arrays.stream(fromInvalidInput).sum(), 1e-9);
+    assertTrue(Arrays.stream(fromInvalidInput).allMatch(share -> share > 0));
   }
 
-  private static double next(double penalty, double weight) {
+  private static double nextInput(double actuationPenalty, double outputWeight) {
     LinearModel model = new LinearModel(LinearModel.column(0.1), LinearModel.column(2));
-    SimpleMatrix next =
+    SimpleMatrix nextInput =
         ControlLaw.nextInput(
             model,
-            LinearModel.column(weight),
-            penalty,
+            LinearModel.column(outputWeight),
+            actuationPenalty,
             LinearModel.column(1.1),
             LinearModel.column(0.2));
-    return next.get(0);
+    return nextInput.get(0);
   }
 
   @Test
-  void withoutAPenaltyTheModelReachesItsReference() {
-    assertEquals(0.5, next(0, 1), 1e-12);
+  void zeroPenaltyReachesReferenceInOneStep() {
+    assertEquals(0.5, nextInput(0, 1), 1e-12);
   }
 
   @Test
-  void aLargerPenaltyMakesForASmallerStep() {
-    assertTrue(next(0.5, 1) < 0.5);
-    assertTrue(next(2, 1) < next(0.5, 1));
-    assertTrue(next(2, 1) > 0.2);
+  void largerPenaltyGivesSmallerStep() {
+    assertTrue(nextInput(0.5, 1) < 0.5);
+    assertTrue(nextInput(2, 1) < nextInput(0.5, 1));
+    assertTrue(nextInput(2, 1) > 0.2);
   }
 
   @Test
-  void anOutputOfWeightZeroMovesNothing() {
-    assertEquals(0.2, next(0.5, 0), 1e-12);
+  void outputOfWeightZeroIsIgnored() {
+    assertEquals(0.2, nextInput(0.5, 0), 1e-12);
   }
 }
--- a/edge/src/test/java/edgegateway/policy/control/Fixtures.java
+++ b/edge/src/test/java/edgegateway/policy/control/Fixtures.java
@@ -4,13 +4,13 @@
 import edgegateway.policy.api.Idempotency;
 import edgegateway.policy.api.RequestClass;
 
-/** Request classes for the tests of the controllers. */
+/** Statistics of request classes for the tests of the controllers. */
 final class Fixtures {
   static final double OBJECTIVE_SECONDS = 0.5;
 
   private Fixtures() {}
 
-  /** Statistics of a class with a latency objective of half a second. */
+  /** Empty statistics of a class with a latency objective of {@link #OBJECTIVE_SECONDS}. */
   static ClassIntervalStatistics statistics(double priorityWeight) {
     return statistics(priorityWeight, 500_000_000L);
   }
@@ -27,7 +27,7 @@
             priorityWeight));
   }
 
-  /** An interval in which {@code count} requests of price 1 arrived and succeeded, all alike. */
+  /** Records {@code count} identical requests of 1 priced unit that arrived and succeeded. */
   static void succeed(
       ClassIntervalStatistics statistics, int count, double waitSeconds, double serviceSeconds) {
     for (int request = 0; request < count; request++) {
--- a/edge/src/test/java/edgegateway/policy/control/RecursiveLeastSquaresTest.java
+++ b/edge/src/test/java/edgegateway/policy/control/RecursiveLeastSquaresTest.java
@@ -8,7 +8,7 @@
 
 class RecursiveLeastSquaresTest {
   @Test
-  void recoversAKnownPlant() {
+  void predictsOutputsOfKnownPlant() {
     double[][] plant = {{0.5, 0.2, 1.5}, {-0.1, 0.4, 0.7}};
     RecursiveLeastSquares estimator = new RecursiveLeastSquares(2, 3);
     SplittableRandom random = new SplittableRandom(3);
@@ -19,27 +19,27 @@
       estimator.update(regressor, outputs.get(0), outputs.get(1));
     }
     SimpleMatrix probe = LinearModel.column(1, 2, 3);
-    SimpleMatrix truth = new SimpleMatrix(plant).mult(probe);
-    assertEquals(truth.get(0), estimator.predict(probe).get(0), 1e-3);
-    assertEquals(truth.get(1), estimator.predict(probe).get(1), 1e-3);
+    SimpleMatrix expected = new SimpleMatrix(plant).mult(probe);
+    assertEquals(expected.get(0), estimator.predict(probe).get(0), 1e-3);
+    assertEquals(expected.get(1), estimator.predict(probe).get(1), 1e-3);
   }
 
   @Test
-  void anUnobservedOutputKeepsItsParameters() {
+  void unobservedOutputKeepsParameters() {
     RecursiveLeastSquares estimator = new RecursiveLeastSquares(2, 1);
-    SimpleMatrix one = LinearModel.column(1);
+    SimpleMatrix regressor = LinearModel.column(1);
     for (int update = 0; update < 50; update++) {
-      estimator.update(one, 2, 5);
+      estimator.update(regressor, 2, 5);
     }
-    double before = estimator.predict(one).get(1);
+    double before = estimator.predict(regressor).get(1);
     for (int update = 0; update < 50; update++) {
-      estimator.update(one, 2, Double.NaN);
+      estimator.update(regressor, 2, Double.NaN);
     }
-    assertEquals(before, estimator.predict(one).get(1));
+    assertEquals(before, estimator.predict(regressor).get(1));
   }
 
   @Test
-  void followsAPlantThatChanges() {
+  void adaptsToChangedPlant() {
     RecursiveLeastSquares estimator = new RecursiveLeastSquares(1, 1);
     SplittableRandom random = new SplittableRandom(4);
     for (int update = 0; update < 600; update++) {
@@ -52,7 +52,7 @@
   }
 
   @Test
-  void parametersStayFiniteInALongQuietSpell() {
+  void predictsAccuratelyAfterManyNearZeroRegressors() {
     RecursiveLeastSquares estimator = new RecursiveLeastSquares(1, 2);
     for (int update = 0; update < 100_000; update++) {
       estimator.update(LinearModel.column(1e-6, 0), 1e-6);
@@ -63,7 +63,7 @@
   }
 
   @Test
-  void parametersAreTakenByInput() {
+  void parametersAreSelectedByInput() {
     RecursiveLeastSquares estimator = new RecursiveLeastSquares(1, 2);
     SplittableRandom random = new SplittableRandom(6);
     for (int update = 0; update < 200; update++) {
--- a/edge/src/test/java/edgegateway/policy/control/ShareControllerTest.java
+++ b/edge/src/test/java/edgegateway/policy/control/ShareControllerTest.java
@@ -24,32 +24,33 @@
   }
 
   @Test
-  void sharesFollowTheWeightsUntilTheModelIsFitted() {
+  void sharesFollowPriorityWeightsUntilModelIsFitted() {
     assertArrayEquals(new double[] {0.25, 0.75}, shares(), 1e-12);
     for (int interval = 0; interval < 3 * classes.size(); interval++) {
-      classes.forEach(one -> Fixtures.succeed(one, 20, 0.05, 0.1));
+      classes.forEach(statistics -> Fixtures.succeed(statistics, 20, 0.05, 0.1));
       endInterval();
       assertArrayEquals(new double[] {0.25, 0.75}, shares(), 1e-12);
     }
   }
 
   @Test
-  void sharesSumToOneAndStarveNoClass() {
+  void sharesSumToOneAndNeverStarveAClass() {
     SplittableRandom random = new SplittableRandom(5);
-    double[] first = shares();
+    double[] initialShares = shares();
     for (int interval = 0; interval < 200; interval++) {
-      for (ClassIntervalStatistics one : classes) {
-        Fixtures.succeed(one, random.nextInt(50), random.nextDouble(), random.nextDouble(0.01, 1));
+      for (ClassIntervalStatistics statistics : classes) {
+        Fixtures.succeed(
+            statistics, random.nextInt(50), random.nextDouble(), random.nextDouble(0.01, 1));
       }
       endInterval();
       assertEquals(1, Arrays.stream(shares()).sum(), 1e-9);
       assertTrue(Arrays.stream(shares()).allMatch(share -> share >= Shares.MIN_SHARE / 2));
     }
-    assertTrue(Math.abs(first[0] - controller.share(0)) > 1e-6, "the shares have moved");
+    assertTrue(Math.abs(initialShares[0] - controller.share(0)) > 1e-6, "shares did not change");
   }
 
   @Test
-  void intervalsWithoutTrafficChangeNothingBeforeTheFit() {
+  void intervalsWithoutTrafficKeepInitialShares() {
     for (int interval = 0; interval < 100; interval++) {
       endInterval();
       assertArrayEquals(new double[] {0.25, 0.75}, shares(), 1e-12);
@@ -57,7 +58,7 @@
   }
 
   @Test
-  void aClassWithoutTrafficKeepsAShare() {
+  void classWithoutTrafficKeepsMinimumShare() {
     for (int interval = 0; interval < 100; interval++) {
       Fixtures.succeed(classes.get(1), 30, 0.1, 0.1 + 0.001 * interval);
       endInterval();
--- a/edge/src/test/java/edgegateway/policy/control/UtilityOptimizerTest.java
+++ b/edge/src/test/java/edgegateway/policy/control/UtilityOptimizerTest.java
@@ -8,16 +8,17 @@
 import org.junit.jupiter.api.Test;
 
 class UtilityOptimizerTest {
-  private static final int REQUESTS = 100;
+  private static final int REQUESTS_PER_INTERVAL = 100;
 
-  /** Throughput and inverse latency of each class in proportion to its share. */
-  private static final LinearModel PROPORTIONAL =
+  /** Throughput and inverse latency of each class are proportional to its share. */
+  private static final LinearModel PROPORTIONAL_MODEL =
       new LinearModel(
           new SimpleMatrix(4, 1),
           new SimpleMatrix(new double[][] {{1, 0}, {0, 1}, {0.2, 0}, {0, 0.2}}));
 
-  private static ClassIntervalStatistics withArrivals(double weight, int arrivals) {
-    ClassIntervalStatistics statistics = Fixtures.statistics(weight);
+  private static ClassIntervalStatistics statisticsWithArrivals(
+      double priorityWeight, int arrivals) {
+    ClassIntervalStatistics statistics = Fixtures.statistics(priorityWeight);
     for (int request = 0; request < arrivals; request++) {
       statistics.requestArrived();
     }
@@ -25,31 +26,40 @@
   }
 
   private static SimpleMatrix references(ClassIntervalStatistics... classes) {
-    return new UtilityOptimizer(List.of(classes)).references(PROPORTIONAL, REQUESTS);
+    return new UtilityOptimizer(List.of(classes))
+        .references(PROPORTIONAL_MODEL, REQUESTS_PER_INTERVAL);
   }
 
   @Test
-  void prefersTheHigherWeight() {
-    SimpleMatrix references = references(withArrivals(1, REQUESTS), withArrivals(4, REQUESTS));
+  void classWithHigherWeightGetsLargerShare() {
+    SimpleMatrix references =
+        references(
+            statisticsWithArrivals(1, REQUESTS_PER_INTERVAL),
+            statisticsWithArrivals(4, REQUESTS_PER_INTERVAL));
     assertTrue(references.get(1) > references.get(0), references.toString());
   }
 
   @Test
-  void referencesArePredictedForSharesThatSumToOne() {
-    SimpleMatrix references = references(withArrivals(1, REQUESTS), withArrivals(4, REQUESTS));
+  void referencesMatchSharesThatSumToOne() {
+    SimpleMatrix references =
+        references(
+            statisticsWithArrivals(1, REQUESTS_PER_INTERVAL),
+            statisticsWithArrivals(4, REQUESTS_PER_INTERVAL));
     assertEquals(1, references.get(0) + references.get(1), 1e-9);
     assertEquals(0.2, references.get(2) + references.get(3), 1e-9);
   }
 
   @Test
-  void givesNoMoreThanArrivedCanUse() {
-    SimpleMatrix references = references(withArrivals(1, REQUESTS), withArrivals(4, 1));
+  void classWithFewArrivalsGetsSmallerShare() {
+    SimpleMatrix references =
+        references(statisticsWithArrivals(1, REQUESTS_PER_INTERVAL), statisticsWithArrivals(4, 1));
     assertTrue(references.get(0) > references.get(1), references.toString());
   }
 
   @Test
-  void handsOutAllThoughNothingIsGained() {
-    SimpleMatrix references = references(withArrivals(1, 0), withArrivals(4, 0));
+  void allSharesAreAllocatedWithoutArrivals() {
+    SimpleMatrix references =
+        references(statisticsWithArrivals(1, 0), statisticsWithArrivals(4, 0));
     assertEquals(1, references.get(0) + references.get(1), 1e-9);
   }
 }
