--- a/edge/src/main/java/edgegateway/policy/scheduling/PendingRequest.java
+++ b/edge/src/main/java/edgegateway/policy/scheduling/PendingRequest.java
@@ -121,7 +121,7 @@
   }
 
   /**
-   * The value of answering the request: the priority weight of its class times the price factor of
+   * The value of answering the request: the priority weight of its class times the priority factor of
    * its plan. Over quota, this is multiplied by the fraction that the request still earns less the
    * fraction that forwarding it costs.
    */
@@ -131,7 +131,7 @@
         reservation.withinQuota()
             ? 1
             : plan.overQuotaValueFraction() - plan.overQuotaCostFraction();
-    return requestClass().priorityWeight() * plan.priceFactor() * valueFraction;
+    return requestClass().priorityWeight() * plan.priorityFactor() * valueFraction;
   }
 
   /** Whether the customer's concurrency cap allows the request to be sent now. */
--- a/edge/src/main/java/edgegateway/policy/scheduling/RequestClassQueue.java
+++ b/edge/src/main/java/edgegateway/policy/scheduling/RequestClassQueue.java
@@ -118,7 +118,7 @@
     if (outcome == Outcome.OK) {
       serviceTime.attemptSucceeded(serviceSeconds, request.units());
       statistics.attemptSucceeded(
-          request.reservation().quota().plan().priceFactor() * request.units(),
+          request.reservation().quota().plan().priorityFactor() * request.units(),
           (nowNanos - request.arrivedAtNanos()) * Durations.SECONDS_PER_NANO,
           (request.sentAtNanos() - request.arrivedAtNanos()) * Durations.SECONDS_PER_NANO,
           serviceSeconds);
