--- a/edge/src/main/java/edgegateway/policy/time/Durations.java
+++ b/edge/src/main/java/edgegateway/policy/time/Durations.java
@@ -1,6 +1,6 @@
 package edgegateway.policy.time;
 
-/** Units of time and the period of the policy's timer. */
+/** Conversions between units of time, and the period of the policy's timer. */
 public final class Durations {
   /** Nanoseconds in a millisecond. */
   public static final long NANOS_PER_MILLISECOND = 1_000_000L;
@@ -11,12 +11,12 @@
   /** Seconds in a nanosecond. */
   public static final double SECONDS_PER_NANO = 1e-9;
 
-  /** The period of the policy's timer: deadlines are checked and counter calls sent this often. */
+  /** Period of the timer that checks deadlines and sends calls to the shared quota counter. */
   public static final long TIMER_PERIOD_NANOS = 10 * NANOS_PER_MILLISECOND;
 
   private Durations() {}
 
-  /** Converts seconds to whole nanoseconds, rounded towards zero. */
+  /** Converts seconds to nanoseconds, rounded towards zero. */
   public static long toNanos(double seconds) {
     return (long) (seconds * NANOS_PER_SECOND);
   }
--- a/edge/src/main/java/edgegateway/policy/time/EventClock.java
+++ b/edge/src/main/java/edgegateway/policy/time/EventClock.java
@@ -1,39 +1,40 @@
 package edgegateway.policy.time;
 
 /**
- * The time of the event that is being handled. It stands still while the event is handled, so that
- * all mechanisms decide by the same moment.
+ * A clock that shows the time of the current event. The time does not change while the event is
+ * handled, so that all parts of the policy decide on the same time. All times are nanoseconds of
+ * the host's clock.
  */
 public final class EventClock {
   private final long startNanos;
   private long nowNanos;
 
   /**
-   * Creates a clock that stands at the start of the policy.
+   * Creates a clock that shows the start time of the policy.
    *
-   * @param startNanos the present moment, in nanoseconds of the host's clock
+   * @param startNanos the current time
    */
   public EventClock(long startNanos) {
     this.startNanos = startNanos;
     nowNanos = startNanos;
   }
 
-  /** Sets the moment of the next event, in nanoseconds of the host's clock. */
+  /** Sets the time of the next event. */
   public void set(long nanos) {
     nowNanos = nanos;
   }
 
-  /** The moment of the present event, in nanoseconds of the host's clock. */
+  /** Returns the time of the current event. */
   public long nowNanos() {
     return nowNanos;
   }
 
-  /** The moment at which the policy was created, in nanoseconds of the host's clock. */
+  /** Returns the time at which the policy was created. */
   public long startNanos() {
     return startNanos;
   }
 
-  /** The seconds from a moment (in nanoseconds) to the present event; negative if it is to come. */
+  /** Returns the seconds from a time to the current event; negative for a time in the future. */
   public double secondsSince(long nanos) {
     return (nowNanos - nanos) * Durations.SECONDS_PER_NANO;
   }
--- a/edge/src/main/java/edgegateway/policy/time/package-info.java
+++ b/edge/src/main/java/edgegateway/policy/time/package-info.java
@@ -1,4 +1,2 @@
-/**
- * The time of the policy: the moment of the present event, and conversions between units of time.
- */
+/** The clock of the policy and conversions between units of time. */
 package edgegateway.policy.time;
