--- a/edge/src/test/java/edgegateway/policy/RulesTest.java
+++ b/edge/src/test/java/edgegateway/policy/RulesTest.java
@@ -1,10 +1,10 @@
 package edgegateway.policy;
 
+import static edgegateway.policy.Host.IDEMPOTENT;
 import static edgegateway.policy.Host.KEYED_ALL;
 import static edgegateway.policy.Host.KEYED_CELL;
 import static edgegateway.policy.Host.MS;
-import static edgegateway.policy.Host.SAFE;
-import static edgegateway.policy.Host.UNSAFE;
+import static edgegateway.policy.Host.NOT_IDEMPOTENT;
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
 import static org.junit.jupiter.api.Assertions.assertNotEquals;
@@ -23,117 +23,123 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.EnumSource;
 
-/** The five rules at their edges. */
+/**
+ * Boundary cases of the rules for deadlines, disconnected clients, retries, the concurrency cap,
+ * the endpoint list, slow start and ceilings.
+ */
 class RulesTest {
-  private final Host host = new Host(Host.FREE, 3, 0);
+  private final Host host = new Host(Host.UNLIMITED_PLAN, 3, 0);
 
   @Test
-  void queuedPastItsTimeIsRefusedBeforeTheDeadline() {
-    String id = host.request(SAFE, 1);
-    assertEquals(List.of(), host.sent);
-    host.pass(1000 * MS);
-    assertEquals(List.of(id), host.refused);
+  void aRequestQueuedPastItsObjectiveIsRejectedBeforeTheDeadline() {
+    String id = host.request(IDEMPOTENT, 1);
+    assertEquals(List.of(), host.attempts);
+    host.advance(1000 * MS);
+    assertEquals(List.of(id), host.rejected);
   }
 
   @Test
-  void shortDeadlineBehindALongOneIsAnsweredToo() {
-    Host full = new Host(Host.FREE, 1, 0).servers(1);
+  void aShortDeadlineQueuedBehindALongOneIsNotMissed() {
+    Host loaded = new Host(Host.UNLIMITED_PLAN, 1, 0).addEndpoints(1);
     for (int i = 0; i < 6; i++) {
-      full.request(SAFE, 1);
+      loaded.request(IDEMPOTENT, 1);
     }
-    full.request(SAFE, 0, 1, 1, full.now + 3000 * MS);
-    String hurried = full.request(SAFE, 0, 1, 1, full.now + 300 * MS);
-    full.pass(300 * MS);
-    assertEquals(List.of(hurried), full.refused);
+    loaded.request(IDEMPOTENT, 0, 1, 1, loaded.nowNanos + 3000 * MS);
+    String shortDeadline = loaded.request(IDEMPOTENT, 0, 1, 1, loaded.nowNanos + 300 * MS);
+    loaded.advance(300 * MS);
+    assertEquals(List.of(shortDeadline), loaded.rejected);
   }
 
   @Test
-  void arrivingWithNoTimeLeftIsAnsweredAtOnce() {
-    host.servers(1);
-    String id = host.request(SAFE, 0, 1, 1, host.now + MS);
-    assertEquals(List.of(id), host.refused);
-    assertEquals(List.of(), host.sent);
+  void aRequestThatArrivesWithNoTimeLeftIsRejectedAtOnce() {
+    host.addEndpoints(1);
+    String id = host.request(IDEMPOTENT, 0, 1, 1, host.nowNanos + MS);
+    assertEquals(List.of(id), host.rejected);
+    assertEquals(List.of(), host.attempts);
   }
 
   @Test
-  void timeOutAtTheDeadlineStillOwesTheAnswer() {
-    host.servers(1);
-    String id = host.request(UNSAFE, 1);
-    host.now += 3000 * MS;
-    host.end(id, Outcome.TIMEOUT, false);
+  void aTimeoutAtTheDeadlineStillFailsTheRequest() {
+    host.addEndpoints(1);
+    String id = host.request(NOT_IDEMPOTENT, 1);
+    host.nowNanos += 3000 * MS;
+    host.endAttempt(id, Outcome.TIMEOUT, false);
     assertEquals(List.of(id), host.failed);
-    assertEquals(List.of(), host.refused);
+    assertEquals(List.of(), host.rejected);
   }
 
   @Test
-  void nothingFollowsWhenTheClientIsGone() {
-    host.servers(2);
-    String id = host.request(SAFE, 1);
-    host.gateway.clientDisconnected(host.now, id);
-    host.end(id, Outcome.ERROR, true);
-    host.pass(2000 * MS);
-    assertEquals(1, host.attempts(id).size());
-    assertEquals(List.of(), host.refused);
+  void afterADisconnectThereIsNoRetryAndNoFinalAnswer() {
+    host.addEndpoints(2);
+    String id = host.request(IDEMPOTENT, 1);
+    host.policy.clientDisconnected(host.nowNanos, id);
+    host.endAttempt(id, Outcome.ERROR, true);
+    host.advance(2000 * MS);
+    assertEquals(1, host.attemptsOf(id).size());
+    assertEquals(List.of(), host.rejected);
     assertEquals(List.of(), host.failed);
   }
 
-  /** In whichever state its client leaves, and however what was under way then ends. */
+  /**
+   * The client disconnects during an attempt, during a counter call or while the request is queued;
+   * whatever is in flight then ends with each outcome.
+   */
   @ParameterizedTest
   @EnumSource(Outcome.class)
-  void nothingBeginsForAClientThatLeftInAnyState(Outcome outcome) {
-    for (int requestClass : new int[] {SAFE, UNSAFE, KEYED_ALL}) {
-      clientLeavesDuringAnAttempt(requestClass, outcome);
-      clientLeavesDuringACounterCall(requestClass, outcome);
-      clientLeavesWhileQueued(requestClass, outcome);
+  void afterADisconnectInAnyStateNoAttemptIsSent(Outcome outcome) {
+    for (int requestClass : new int[] {IDEMPOTENT, NOT_IDEMPOTENT, KEYED_ALL}) {
+      disconnectDuringAnAttempt(requestClass, outcome);
+      disconnectDuringACounterCall(requestClass, outcome);
+      disconnectWhileQueued(requestClass, outcome);
     }
   }
 
-  /** An attempt is out, the first or a further one. */
-  private static void clientLeavesDuringAnAttempt(int requestClass, Outcome outcome) {
-    Host out = new Host(Host.FREE, 1, 0).servers(4);
-    String first = out.request(requestClass, 1);
-    String further = out.request(requestClass, 1);
-    out.end(further, Outcome.REJECTED, false);
-    out.gateway.clientDisconnected(out.now, first);
-    out.gateway.clientDisconnected(out.now, further);
-    int sent = out.sent.size();
-    out.end(first, outcome, false);
-    out.end(further, outcome, false);
-    out.pass(4_000 * MS);
-    assertEquals(sent, out.sent.size(), outcome + " of an attempt");
+  /** Disconnects two clients, one during the first attempt, one during a retry. */
+  private static void disconnectDuringAnAttempt(int requestClass, Outcome outcome) {
+    Host host = new Host(Host.UNLIMITED_PLAN, 1, 0).addEndpoints(4);
+    String first = host.request(requestClass, 1);
+    String retried = host.request(requestClass, 1);
+    host.endAttempt(retried, Outcome.REJECTED, false);
+    host.policy.clientDisconnected(host.nowNanos, first);
+    host.policy.clientDisconnected(host.nowNanos, retried);
+    int sentBefore = host.attempts.size();
+    host.endAttempt(first, outcome, false);
+    host.endAttempt(retried, outcome, false);
+    host.advance(4_000 * MS);
+    assertEquals(sentBefore, host.attempts.size(), outcome + " of the attempt in flight");
   }
 
-  /** The counter is asked. */
-  private static void clientLeavesDuringACounterCall(int requestClass, Outcome outcome) {
-    Host asking = new Host(new QuotaPlan(5, 5, 0, 1, 0, 1, 0, 0, 0), 2, 0).servers(4);
-    String asked = asking.request(requestClass, 0, 1, 1, asking.now + 3_000 * MS);
-    for (long customer = 2; !asking.attempts(asked).isEmpty(); customer++) {
-      asking.end(asked, Outcome.OK);
-      asking.pass(1_000 * MS);
-      asking.counted.clear();
-      asked = asking.request(requestClass, 0, customer, 1, asking.now + 3_000 * MS);
+  /** Disconnects a client whose request waits for the counter. */
+  private static void disconnectDuringACounterCall(int requestClass, Outcome outcome) {
+    Host host = new Host(new QuotaPlan(5, 5, 0, 1, 0, 1, 0, 0, 0), 2, 0).addEndpoints(4);
+    String waiting = host.request(requestClass, 0, 1, 1, host.nowNanos + 3_000 * MS);
+    for (long customer = 2; !host.attemptsOf(waiting).isEmpty(); customer++) {
+      host.endAttempt(waiting, Outcome.OK);
+      host.advance(1_000 * MS);
+      host.counterCalls.clear();
+      waiting = host.request(requestClass, 0, customer, 1, host.nowNanos + 3_000 * MS);
     }
-    asking.gateway.clientDisconnected(asking.now, asked);
-    asking.gateway.counterReplied(
-        asking.now, asking.counted.get(asking.counted.size() - 1).name(), outcome, 1);
-    asking.pass(4_000 * MS);
-    assertEquals(List.of(), asking.attempts(asked), outcome + " of a call");
-    assertFalse(asking.refused.contains(asked));
+    host.policy.clientDisconnected(host.nowNanos, waiting);
+    host.policy.counterReplied(
+        host.nowNanos, host.counterCalls.get(host.counterCalls.size() - 1).key(), outcome, 1);
+    host.advance(4_000 * MS);
+    assertEquals(List.of(), host.attemptsOf(waiting), outcome + " of the counter call");
+    assertFalse(host.rejected.contains(waiting));
   }
 
-  /** It waits in its queue, and places come free. */
-  private static void clientLeavesWhileQueued(int requestClass, Outcome outcome) {
-    Host queued = new Host(Host.FREE, 1, 0).servers(1);
-    List<String> before = new ArrayList<>();
-    String waits = queued.request(requestClass, 1);
-    while (!queued.attempts(waits).isEmpty()) {
-      before.add(waits);
-      waits = queued.request(requestClass, 1);
+  /** Disconnects a client whose request is queued, and then ends all attempts. */
+  private static void disconnectWhileQueued(int requestClass, Outcome outcome) {
+    Host host = new Host(Host.UNLIMITED_PLAN, 1, 0).addEndpoints(1);
+    List<String> inFlight = new ArrayList<>();
+    String queued = host.request(requestClass, 1);
+    while (!host.attemptsOf(queued).isEmpty()) {
+      inFlight.add(queued);
+      queued = host.request(requestClass, 1);
     }
-    queued.gateway.clientDisconnected(queued.now, waits);
-    before.forEach(id -> queued.end(id, outcome, true));
-    queued.pass(4_000 * MS);
-    assertEquals(List.of(), queued.attempts(waits), outcome + " of those before it");
+    host.policy.clientDisconnected(host.nowNanos, queued);
+    inFlight.forEach(id -> host.endAttempt(id, outcome, true));
+    host.advance(4_000 * MS);
+    assertEquals(List.of(), host.attemptsOf(queued), outcome + " of the attempts in flight");
   }
 
   @ParameterizedTest
@@ -141,173 +147,184 @@
       value = Outcome.class,
       names = {"OK"},
       mode = EnumSource.Mode.EXCLUDE)
-  void unsafeGoesOutAgainOnlyWhenItNeverRan(Outcome outcome) {
-    host.servers(3);
-    String id = host.request(UNSAFE, 1);
-    host.end(id, outcome, false);
+  void aRequestThatIsNotIdempotentIsRetriedOnlyIfItNeverRan(Outcome outcome) {
+    host.addEndpoints(3);
+    String id = host.request(NOT_IDEMPOTENT, 1);
+    host.endAttempt(id, outcome, false);
     if (outcome.provesNotExecuted()) {
-      assertEquals(2, host.attempts(id).size());
+      assertEquals(2, host.attemptsOf(id).size());
     } else {
-      assertEquals(1, host.attempts(id).size());
+      assertEquals(1, host.attemptsOf(id).size());
       assertEquals(List.of(id), host.failed);
-      assertFalse(host.refused.contains(id));
+      assertFalse(host.rejected.contains(id));
     }
   }
 
   @Test
-  void keyedStaysInItsCell() {
-    host.servers(4);
+  void aKeyedRequestIsRetriedInItsDeduplicationCell() {
+    host.addEndpoints(4);
     String id = host.request(KEYED_CELL, 1);
-    host.end(id, Outcome.ERROR, false);
-    List<Host.Sent> attempts = host.attempts(id);
+    host.endAttempt(id, Outcome.ERROR, false);
+    List<Host.Attempt> attempts = host.attemptsOf(id);
     assertEquals(2, attempts.size());
-    assertNotEquals(attempts.get(0).server(), attempts.get(1).server());
-    assertEquals(attempts.get(0).server().charAt(0) % 2, attempts.get(1).server().charAt(0) % 2);
+    assertNotEquals(attempts.get(0).endpointId(), attempts.get(1).endpointId());
+    assertEquals(
+        attempts.get(0).endpointId().charAt(0) % 2, attempts.get(1).endpointId().charAt(0) % 2);
   }
 
   @Test
-  void keyedIsNotSentAgainAfterItsWindowNorRefused() {
-    host.servers(4);
+  void afterItsKeyWindowAKeyedRequestFailsWithoutRetryOrRejection() {
+    host.addEndpoints(4);
     String id = host.request(KEYED_CELL, 1);
-    host.now += 700 * MS;
-    host.end(id, Outcome.TIMEOUT, false);
-    assertEquals(1, host.attempts(id).size());
+    host.nowNanos += 700 * MS;
+    host.endAttempt(id, Outcome.TIMEOUT, false);
+    assertEquals(1, host.attemptsOf(id).size());
     assertEquals(List.of(id), host.failed);
   }
 
   @Test
-  void keyedOverAllServersMayBeRefused() {
-    host.servers(4);
+  void aKeyedRequestDeduplicatedByAllEndpointsMayBeRejected() {
+    host.addEndpoints(4);
     String id = host.request(KEYED_ALL, 1);
-    host.now += 700 * MS;
-    host.end(id, Outcome.TIMEOUT, false);
-    assertEquals(List.of(id), host.refused);
+    host.nowNanos += 700 * MS;
+    host.endAttempt(id, Outcome.TIMEOUT, false);
+    assertEquals(List.of(id), host.rejected);
   }
 
   @Test
-  void attemptsOverTheCapWaitAndHoldUpNobodyElse() {
-    Host capped = new Host(new QuotaPlan(100, 100, 3, 1, 0, 1, 0, 0, 0), 1, 0).servers(4);
+  void requestsOverACustomersConcurrencyCapWaitWithoutDelayingOthers() {
+    Host capped = new Host(new QuotaPlan(100, 100, 3, 1, 0, 1, 0, 0, 0), 1, 0).addEndpoints(4);
     for (int i = 0; i < 4; i++) {
-      capped.request(SAFE, 1);
+      capped.request(IDEMPOTENT, 1);
     }
-    assertEquals(3, capped.sent.size());
-    capped.request(SAFE, 0, 2, 1, capped.now + 3000 * MS);
-    assertEquals("r4", capped.sent.get(3).id());
-    capped.end("r0", Outcome.OK);
-    assertEquals("r3", capped.sent.get(4).id());
+    assertEquals(3, capped.attempts.size());
+    capped.request(IDEMPOTENT, 0, 2, 1, capped.nowNanos + 3000 * MS);
+    assertEquals("r4", capped.attempts.get(3).requestId());
+    capped.endAttempt("r0", Outcome.OK);
+    assertEquals("r3", capped.attempts.get(4).requestId());
   }
 
   @Test
-  void drainToldWhileQueuedIsKept() {
-    host.servers(1);
-    host.server("a", 0, EndpointState.DRAINING, 0);
-    host.request(SAFE, 1);
-    host.pass(100 * MS);
-    assertEquals(List.of(), host.sent);
-    host.server("a", 0, EndpointState.READY, 0);
-    assertEquals(1, host.sent.size());
+  void aDrainingEndpointGetsNoRequestsUntilItIsReadyAgain() {
+    host.addEndpoints(1);
+    host.updateEndpoint("a", 0, EndpointState.DRAINING, 0);
+    host.request(IDEMPOTENT, 1);
+    host.advance(100 * MS);
+    assertEquals(List.of(), host.attempts);
+    host.updateEndpoint("a", 0, EndpointState.READY, 0);
+    assertEquals(1, host.attempts.size());
   }
 
   @Test
-  void goneAndBackUnderTheSameIdIsCold() {
-    host.servers(1);
-    host.server("a", 0, EndpointState.REMOVED, 0);
-    host.request(SAFE, 1);
-    assertEquals(List.of(), host.sent);
-    host.server("a", 0, EndpointState.READY, host.now);
+  void anEndpointRemovedAndListedAgainIsInSlowStart() {
+    host.addEndpoints(1);
+    host.updateEndpoint("a", 0, EndpointState.REMOVED, 0);
+    host.request(IDEMPOTENT, 1);
+    assertEquals(List.of(), host.attempts);
+    host.updateEndpoint("a", 0, EndpointState.READY, host.nowNanos);
     for (int i = 0; i < 20; i++) {
-      host.request(SAFE, 1);
+      host.request(IDEMPOTENT, 1);
     }
-    assertTrue(host.sent.size() <= 1, "sent at once to a cold server: " + host.sent.size());
+    assertTrue(
+        host.attempts.size() <= 1,
+        "sent at once to an endpoint in slow start: " + host.attempts.size());
   }
 
   @Test
-  void absentFromAFullListIsGone() {
-    host.servers(2);
-    host.gateway.endpointsUpdated(host.now, EndpointListKind.FULL, List.of());
-    host.request(SAFE, 1);
-    assertEquals(List.of(), host.sent);
+  void anEndpointMissingFromAFullListGetsNoRequests() {
+    host.addEndpoints(2);
+    host.policy.endpointsUpdated(host.nowNanos, EndpointListKind.FULL, List.of());
+    host.request(IDEMPOTENT, 1);
+    assertEquals(List.of(), host.attempts);
   }
 
   @Test
-  void coldServerGetsASmallPart() {
-    host.servers(4);
-    host.server("z", 0, EndpointState.READY, host.now);
-    Map<String, Integer> sends = new HashMap<>();
+  void anEndpointInSlowStartGetsAReducedPartOfTheTraffic() {
+    host.addEndpoints(4);
+    host.updateEndpoint("z", 0, EndpointState.READY, host.nowNanos);
+    Map<String, Integer> sentByEndpoint = new HashMap<>();
     for (int i = 0; i < 300; i++) {
-      String id = host.request(SAFE, 1);
-      host.pass(10 * MS);
-      host.end(id, Outcome.OK);
+      String id = host.request(IDEMPOTENT, 1);
+      host.advance(10 * MS);
+      host.endAttempt(id, Outcome.OK);
     }
-    host.sent.forEach(s -> sends.merge(s.server(), 1, Integer::sum));
-    int warm = (300 - sends.getOrDefault("z", 0)) / 4;
-    assertTrue(sends.getOrDefault("z", 0) > 0, "a cold server must warm");
-    assertTrue(sends.get("z") < 0.6 * warm, "cold " + sends.get("z") + " against warm " + warm);
+    host.attempts.forEach(attempt -> sentByEndpoint.merge(attempt.endpointId(), 1, Integer::sum));
+    int warmAverage = (300 - sentByEndpoint.getOrDefault("z", 0)) / 4;
+    assertTrue(sentByEndpoint.getOrDefault("z", 0) > 0, "an endpoint in slow start needs traffic");
+    assertTrue(
+        sentByEndpoint.get("z") < 0.6 * warmAverage,
+        "in slow start " + sentByEndpoint.get("z") + ", past it on average " + warmAverage);
   }
 
   /**
-   * After a power loss nothing is warm, and this gateway has sent nothing: it begins by its part of
-   * a core of each.
+   * After a power loss all endpoints are in slow start, and this node has sent no work from which
+   * it could tell what an endpoint may be sent: it starts with its part of one core of each
+   * endpoint.
    */
   @Test
-  void whereNoServerIsWarmTheColdOnesTakeTheFirstRequests() {
-    Host host = new Host(Host.FREE, 4, 0, false);
+  void withAllEndpointsInSlowStartTheFirstRequestsAreSentAtAGrowingRate() {
+    Host host = new Host(Host.UNLIMITED_PLAN, 4, 0, false);
     for (int i = 0; i < 8; i++) {
-      host.server("c" + i, 0, EndpointState.READY, host.now);
+      host.updateEndpoint("c" + i, 0, EndpointState.READY, host.nowNanos);
     }
-    int[] sends = new int[3];
+    int[] sentPerSecond = new int[3];
     for (int i = 0; i < 300; i++) {
-      int before = host.sent.size();
-      host.request(SAFE, 1);
-      host.pass(10 * MS);
-      List.copyOf(host.sent.subList(before, host.sent.size()))
-          .forEach(sent -> host.end(sent.id(), Outcome.OK));
-      sends[i / 100] += host.sent.size() - before;
+      int sentBefore = host.attempts.size();
+      host.request(IDEMPOTENT, 1);
+      host.advance(10 * MS);
+      List.copyOf(host.attempts.subList(sentBefore, host.attempts.size()))
+          .forEach(attempt -> host.endAttempt(attempt.requestId(), Outcome.OK));
+      sentPerSecond[i / 100] += host.attempts.size() - sentBefore;
     }
-    // A quarter of 8 cores by four gateways, at the 0.125 s that a request is taken to need at
-    // first: 4 a second.
-    assertTrue(sends[0] >= 1 && sends[0] <= 20, "in the first second " + sends[0]);
-    assertTrue(sends[2] > 2 * sends[0], "it does not grow: " + Arrays.toString(sends));
+    // A quarter of the capacity of 8 cores, divided over 4 nodes, at the initial estimate of
+    // 0.125 s of service time per request: 4 requests a second.
+    assertTrue(
+        sentPerSecond[0] >= 1 && sentPerSecond[0] <= 20,
+        "sent in the first second: " + sentPerSecond[0]);
+    assertTrue(
+        sentPerSecond[2] > 2 * sentPerSecond[0],
+        "sent in each second: " + Arrays.toString(sentPerSecond));
   }
 
-  /** A request that is given up is refused at once, and its client told when to come back. */
+  /** Requests over the length limit of the queue are rejected at once, with a Retry-After. */
   @Test
-  void whoIsGivenUpIsToldWhenToComeBack() {
-    Host host = new Host(Host.FREE, 1, 0, false).servers(1);
+  void requestsShedFromAFullQueueGetARetryAfter() {
+    Host host = new Host(Host.UNLIMITED_PLAN, 1, 0, false).addEndpoints(1);
     for (int i = 0; i < 200; i++) {
-      host.request(SAFE, 1);
+      host.request(IDEMPOTENT, 1);
     }
-    assertTrue(host.refused.size() > 0, "the queue is too long");
-    host.pass(2_000 * MS);
+    assertTrue(host.rejected.size() > 0, "requests shed from the queue");
+    host.advance(2_000 * MS);
     assertTrue(
-        host.advised.stream().allMatch(span -> span > 0 && span <= 500 * MS),
-        "told " + host.advised);
+        host.retryAfterNanos.stream().allMatch(nanos -> nanos > 0 && nanos <= 500 * MS),
+        "Retry-After in ns: " + host.retryAfterNanos);
   }
 
   @Test
-  void ceilingHoldsForAllGatewaysTogetherWithoutTheCounterAndOverARestart() {
+  void theCeilingHoldsOverAllNodesWithoutTheCounterAndOverRestarts() {
     QuotaPlan plan = new QuotaPlan(5, 20, 0, 1, 0, 1, 8, 32, 4);
-    double sent = 0;
-    for (int me = 0; me < 3; me++) {
-      Host one = new Host(plan, 3, me).servers(6);
-      sent += flood(one, 300);
-      // The same number starts again a moment later, with nothing in hand.
-      Host again = new Host(plan, 3, me).servers(6);
-      sent += flood(again, 100);
+    double unitsSent = 0;
+    for (int node = 0; node < 3; node++) {
+      Host first = new Host(plan, 3, node).addEndpoints(6);
+      unitsSent += flood(first, 300);
+      // The same node restarts without state: its ceiling must start with no units.
+      Host restarted = new Host(plan, 3, node).addEndpoints(6);
+      unitsSent += flood(restarted, 100);
     }
-    assertTrue(sent > 0, "something is let in");
-    assertTrue(sent <= 32 + 8 * 4 + 4, "sent " + sent);
+    assertTrue(unitsSent > 0, "some requests are admitted");
+    assertTrue(unitsSent <= 32 + 8 * 4 + 4, "units sent: " + unitsSent);
   }
 
+  /** Sends a request of 2 units every 10 ms; returns the units that were forwarded. */
   private static double flood(Host host, int ticks) {
     for (int i = 0; i < ticks; i++) {
-      int before = host.sent.size();
-      host.pass(10 * MS);
-      host.request(SAFE, 2);
-      host.sent.subList(before, host.sent.size()).stream()
+      int sentBefore = host.attempts.size();
+      host.advance(10 * MS);
+      host.request(IDEMPOTENT, 2);
+      host.attempts.subList(sentBefore, host.attempts.size()).stream()
           .toList()
-          .forEach(s -> host.end(s.id(), Outcome.OK));
+          .forEach(attempt -> host.endAttempt(attempt.requestId(), Outcome.OK));
     }
-    return 2.0 * host.sent.size();
+    return 2.0 * host.attempts.size();
   }
 }
