--- a/edge/src/main/java/edgegateway/policy/routing/EndpointRegistry.java
+++ b/edge/src/main/java/edgegateway/policy/routing/EndpointRegistry.java
@@ -117,7 +117,7 @@
       endpoint.setUsable(mayBeUsed(endpoint));
       if (endpoint.usable()) {
         nowUsable.add(endpoint);
-        if (zones.fraction(endpoint.zone()) > 0) {
+        if (zones.trafficFraction(endpoint.zone()) > 0) {
           nowRoutable.add(endpoint);
         }
       }
@@ -130,7 +130,7 @@
     return endpoint.listed()
         && endpoint.entry().state() == EndpointState.READY
         && !ejectedByOperator.contains(endpoint.id())
-        && zones.operatorFraction(endpoint.zone()) > 0;
+        && zones.operatorTrafficFraction(endpoint.zone()) > 0;
   }
 
   /** Each restart may name an endpoint anew: memory must not hold them all. */
--- a/edge/src/main/java/edgegateway/policy/routing/EndpointRouter.java
+++ b/edge/src/main/java/edgegateway/policy/routing/EndpointRouter.java
@@ -242,7 +242,7 @@
       }
     }
     return new ZoneStatus(
-        zones.fraction(zone),
+        zones.trafficFraction(zone),
         zones.rampStartNanos(zone),
         listed,
         usable,
--- a/edge/src/main/java/edgegateway/policy/routing/EndpointSelector.java
+++ b/edge/src/main/java/edgegateway/policy/routing/EndpointSelector.java
@@ -70,7 +70,7 @@
     for (EndpointTracker endpoint : candidates(request)) {
       double score = scorer.score(endpoint) * (1 + SCORE_NOISE * random.nextDouble());
       if (score < bestScore
-          && zoneDraw < zones.fraction(endpoint.zone())
+          && zoneDraw < zones.trafficFraction(endpoint.zone())
           && hasRoom(endpoint, request)) {
         best = endpoint;
         bestScore = score;
--- a/edge/src/main/java/edgegateway/policy/routing/SlowStartLimiter.java
+++ b/edge/src/main/java/edgegateway/policy/routing/SlowStartLimiter.java
@@ -4,16 +4,19 @@
 import java.util.SplittableRandom;
 
 /**
- * Limits what endpoints in slow start are sent: each gets its part of the work that an endpoint
- * past its slow start gets from this node. Drawn by chance, so that no burst comes of many nodes.
+ * Limits the work that this node sends to endpoints in slow start: each gets its capacity fraction
+ * of what a warmed-up endpoint, one past its slow start, gets from this node. Requests are admitted
+ * at random at that rate, so that the requests of many nodes do not arrive as a burst.
+ *
+ * <p>Work is measured in seconds of expected service time.
  */
 final class SlowStartLimiter {
-  /** The average of the work sent has this memory. */
-  private static final double WORK_MEMORY_SECONDS = 4;
+  /** Time constant of the moving averages of the work sent. */
+  private static final double WORK_TIME_CONSTANT_SECONDS = 4;
 
   /**
-   * Where few endpoints are past their slow start, the others may be sent this many times what they
-   * were sent in the last seconds.
+   * While few endpoints are warmed up, an endpoint may be sent at most this many times the work per
+   * endpoint of the last seconds.
    */
   private static final double MAX_GROWTH = 4;
 
@@ -22,9 +25,9 @@
   private final int nodeCount;
   private double workPerSecond;
   private double workPerEndpointPerSecond;
-  private long sentAtNanos;
+  private long lastSentAtNanos;
   private double effectiveEndpoints = 1;
-  private double warmEndpoints;
+  private double warmedUpEndpoints;
 
   SlowStartLimiter(EventClock clock, SplittableRandom random, int nodeCount) {
     this.clock = clock;
@@ -33,43 +36,52 @@
   }
 
   /**
-   * The usable endpoints or their slow start changed.
+   * Updates the capacity of the usable endpoints.
    *
-   * @param effective the usable endpoints, each in slow start counted by its fraction
-   * @param warm how many usable endpoints are past their slow start
+   * @param effectiveEndpoints number of usable endpoints, each in slow start counted by its
+   *     capacity fraction
+   * @param warmedUpEndpoints how many usable endpoints are past their slow start
    */
-  void capacityChanged(double effective, double warm) {
-    effectiveEndpoints = effective;
-    warmEndpoints = warm;
+  void capacityChanged(double effectiveEndpoints, double warmedUpEndpoints) {
+    this.effectiveEndpoints = effectiveEndpoints;
+    this.warmedUpEndpoints = warmedUpEndpoints;
   }
 
-  /** The work sent to all endpoints lately, in seconds of service a second, as of the last one. */
+  /**
+   * Moving average of the work sent to all endpoints, in seconds of expected service time per
+   * second. It is as of the last attempt: it does not decay while none is sent.
+   */
   double workPerSecond() {
     return workPerSecond;
   }
 
-  /** Counts an attempt by its expected service time. */
+  /** Adds the expected service time of an attempt that is sent now to the averages. */
   void attemptSent(double expectedServiceSeconds) {
-    double kept = Math.exp(-clock.secondsSince(sentAtNanos) / WORK_MEMORY_SECONDS);
-    double work = expectedServiceSeconds / WORK_MEMORY_SECONDS;
-    workPerSecond = workPerSecond * kept + work;
-    workPerEndpointPerSecond = workPerEndpointPerSecond * kept + work / effectiveEndpoints;
-    sentAtNanos = clock.nowNanos();
+    double decayFactor =
+        Math.exp(-clock.secondsSince(lastSentAtNanos) / WORK_TIME_CONSTANT_SECONDS);
+    double work = expectedServiceSeconds / WORK_TIME_CONSTANT_SECONDS;
+    workPerSecond = workPerSecond * decayFactor + work;
+    workPerEndpointPerSecond = workPerEndpointPerSecond * decayFactor + work / effectiveEndpoints;
+    lastSentAtNanos = clock.nowNanos();
   }
 
-  /** Decides whether an endpoint in slow start may be sent a request now. */
+  /**
+   * Decides at random whether an endpoint in slow start may be sent a request now. Each call uses
+   * up the work that the endpoint was granted since the previous one.
+   */
   boolean tryAcquire(EndpointTracker endpoint, double expectedServiceSeconds) {
-    double granted = endpoint.slowStart().grantWork(fullWorkPerSecond());
-    return random.nextDouble() * expectedServiceSeconds < granted;
+    double grantedWork = endpoint.slowStart().grantWork(fullWorkPerSecond());
+    return random.nextDouble() * expectedServiceSeconds < grantedWork;
   }
 
   /**
-   * What an endpoint past its slow start is sent from here, in seconds of service a second: one
-   * core's part at least. Where few are past it, those in slow start tell it, until the concurrency
-   * limit binds.
+   * The work that this node sends to a warmed-up endpoint, in seconds of expected service time per
+   * second; at least this node's share of one core. While few endpoints are warmed up, it is
+   * estimated from the work sent to all, those in slow start included: it can grow until the
+   * concurrency limit takes effect.
    */
   private double fullWorkPerSecond() {
-    double divisor = Math.max(warmEndpoints, effectiveEndpoints / MAX_GROWTH);
+    double divisor = Math.max(warmedUpEndpoints, effectiveEndpoints / MAX_GROWTH);
     double measured = workPerEndpointPerSecond * effectiveEndpoints / divisor;
     return Math.max(1.0 / nodeCount, measured);
   }
--- a/edge/src/main/java/edgegateway/policy/routing/ZoneAttempts.java
+++ b/edge/src/main/java/edgegateway/policy/routing/ZoneAttempts.java
@@ -2,12 +2,18 @@
 
 import edgegateway.policy.time.EventClock;
 
-/** What the attempts in one zone came to: recently, decaying, and in all. */
+/**
+ * Counts of this node's ended attempts in one zone and of the failures among them: recent ones,
+ * which decay exponentially, and totals.
+ */
 final class ZoneAttempts {
-  /** The excess of failures decays this slowly: who avoids failing endpoints meets few of them. */
-  private static final double EXCESS_MEMORY_SECONDS = 5;
+  /**
+   * Time constant of the decay of the failure excess. It is longer than the second of the other
+   * counts, because a node that avoids failing endpoints sees few of their failures.
+   */
+  private static final double EXCESS_TIME_CONSTANT_SECONDS = 5;
 
-  /** An endpoint that answers with an error is still there. */
+  /** An error counts less than a missing answer, as it shows that the endpoint is reachable. */
   private static final double ERROR_EXCESS = 0.5;
 
   private final EventClock clock;
@@ -25,15 +31,16 @@
     lastAnswerNanos = clock.startNanos();
   }
 
-  /** Decays what is recent to the present moment. */
+  /** Decays the recent counts up to now; their time constant is one second. */
   void decay() {
-    double kept = Math.exp(-clock.secondsSince(decayedAtNanos));
-    recentAttempts *= kept;
-    recentFailures *= kept;
-    failureExcess *= Math.pow(kept, 1 / EXCESS_MEMORY_SECONDS);
+    double decayFactor = Math.exp(-clock.secondsSince(decayedAtNanos));
+    recentAttempts *= decayFactor;
+    recentFailures *= decayFactor;
+    failureExcess *= Math.pow(decayFactor, 1 / EXCESS_TIME_CONSTANT_SECONDS);
     decayedAtNanos = clock.nowNanos();
   }
 
+  /** Counts an attempt that ended; {@code unanswered} implies {@code failed}. */
   void attemptEnded(boolean failed, boolean unanswered) {
     decay();
     recentAttempts++;
@@ -42,30 +49,33 @@
       recentFailures++;
       totalFailures++;
     }
-    failureExcess = Math.max(0, failureExcess + excess(failed, unanswered));
+    failureExcess = Math.max(0, failureExcess + excessChange(failed, unanswered));
     if (!unanswered) {
       lastAnswerNanos = clock.nowNanos();
     }
   }
 
-  private static double excess(boolean failed, boolean unanswered) {
+  private static double excessChange(boolean failed, boolean unanswered) {
     if (unanswered) {
       return 1;
     }
     return failed ? ERROR_EXCESS : -1;
   }
 
-  /** Attempts that ended, decaying with a time of one second. */
+  /** Attempts that ended, decaying with a time constant of one second. */
   double recentAttempts() {
     return recentAttempts;
   }
 
-  /** Those of the recent attempts that failed. */
+  /** The failures among the recent attempts. */
   double recentFailures() {
     return recentFailures;
   }
 
-  /** By how much failures outweigh answers since they last did not. */
+  /**
+   * The excess of failures over answers: a cumulative sum to which an unanswered attempt adds 1, an
+   * error adds 0.5 and any other answer -1, never below 0, decaying with a time constant of 5 s.
+   */
   double failureExcess() {
     return failureExcess;
   }
@@ -78,7 +88,10 @@
     return totalFailures;
   }
 
-  /** When anything was last answered, if only by an error; at first the start, in nanoseconds. */
+  /**
+   * When an attempt was last answered, if only with an error, in nanoseconds; before the first
+   * answer, when the policy started.
+   */
   long lastAnswerNanos() {
     return lastAnswerNanos;
   }
--- a/edge/src/main/java/edgegateway/policy/routing/ZoneHealthMonitor.java
+++ b/edge/src/main/java/edgegateway/policy/routing/ZoneHealthMonitor.java
@@ -8,76 +8,81 @@
 import java.util.Map;
 import java.util.TreeMap;
 
-/** The evidence on the health of each zone that the fleet's decisions on zones go by. */
+/** Measures the health of each zone, on which the fleet bases its decisions to eject zones. */
 final class ZoneHealthMonitor {
-  /** Endpoints are counted as observed if an attempt ended there in this time. */
+  /**
+   * An endpoint counts as observed for this long after its last attempt ended, or after its
+   * tracking began.
+   */
   private static final long OBSERVED_WITHIN_NANOS =
       Durations.toNanos(EndpointStatistics.DECAY_TIME_CONSTANT_SECONDS);
 
   private final EventClock clock;
-  private final Map<Integer, ZoneAttempts> attempts = new TreeMap<>();
+  private final Map<Integer, ZoneAttempts> attemptsByZone = new TreeMap<>();
 
   ZoneHealthMonitor(EventClock clock) {
     this.clock = clock;
   }
 
+  /** Counts an attempt that ended; {@code unanswered} implies {@code failed}. */
   void attemptEnded(int zone, boolean failed, boolean unanswered) {
     attemptsOf(zone).attemptEnded(failed, unanswered);
   }
 
   private ZoneAttempts attemptsOf(int zone) {
-    return attempts.computeIfAbsent(zone, key -> new ZoneAttempts(clock));
+    return attemptsByZone.computeIfAbsent(zone, key -> new ZoneAttempts(clock));
   }
 
-  /** The evidence of each zone with listed endpoints, in the order of the zones' numbers. */
+  /** The health of each zone that has listed endpoints, in the order of the zones' indexes. */
   List<ZoneHealth> report(Iterable<EndpointTracker> endpoints) {
     Map<Integer, List<EndpointTracker>> byZone = new TreeMap<>();
-    int allEndpoints = 0;
+    int totalEndpoints = 0;
     for (EndpointTracker endpoint : endpoints) {
       if (endpoint.listed() && endpoint.zone() >= 0) {
         byZone.computeIfAbsent(endpoint.zone(), key -> new ArrayList<>()).add(endpoint);
-        allEndpoints++;
+        totalEndpoints++;
       }
     }
     List<ZoneHealth> report = new ArrayList<>();
     for (Map.Entry<Integer, List<EndpointTracker>> zone : byZone.entrySet()) {
-      report.add(reportZone(zone.getKey(), zone.getValue(), allEndpoints));
+      report.add(reportZone(zone.getKey(), zone.getValue(), totalEndpoints));
     }
     return report;
   }
 
-  private ZoneHealth reportZone(int zone, List<EndpointTracker> endpoints, int allEndpoints) {
+  private ZoneHealth reportZone(int zone, List<EndpointTracker> endpoints, int totalEndpoints) {
     ZoneAttempts zoneAttempts = attemptsOf(zone);
     zoneAttempts.decay();
-    long allOverdue = 0;
+    long totalOverdue = 0;
     int observed = 0;
     int failing = 0;
     int unresponsive = 0;
-    int warming = 0;
+    int inSlowStart = 0;
     for (EndpointTracker endpoint : endpoints) {
-      // What is overdue counts as failed: an outage must not wait for the end of its attempts.
+      // Overdue attempts count as failed: otherwise an outage would show only when they time out.
       long overdue = endpoint.overdueCount(zoneAttempts.lastAnswerNanos());
-      allOverdue += overdue;
+      totalOverdue += overdue;
       EndpointStatistics statistics = endpoint.statistics();
-      boolean recent = clock.nowNanos() - statistics.lastResultNanos() < OBSERVED_WITHIN_NANOS;
-      if (recent || overdue > 0) {
+      boolean hasRecentResult =
+          clock.nowNanos() - statistics.lastResultNanos() < OBSERVED_WITHIN_NANOS;
+      if (hasRecentResult || overdue > 0) {
         observed++;
         unresponsive += statistics.lastAttemptUnanswered() || overdue > 0 ? 1 : 0;
         failing += statistics.lastAttemptFailed() || overdue > 0 ? 1 : 0;
       }
-      warming += endpoint.slowStart().inProgress() ? 1 : 0;
+      inSlowStart += endpoint.slowStart().inProgress() ? 1 : 0;
     }
     return new ZoneHealth(
         zone,
-        zoneAttempts.recentAttempts() + allOverdue,
-        zoneAttempts.recentFailures() + allOverdue,
-        zoneAttempts.failureExcess() + allOverdue,
+        zoneAttempts.recentAttempts() + totalOverdue,
+        zoneAttempts.recentFailures() + totalOverdue,
+        zoneAttempts.failureExcess() + totalOverdue,
         endpoints.size(),
         observed,
         failing,
         unresponsive,
-        warming,
-        endpoints.size() / (double) allEndpoints,
+        inSlowStart,
+        endpoints.size() / (double) totalEndpoints,
         zoneAttempts.totalAttempts(),
         zoneAttempts.totalFailures(),
         zoneAttempts.lastAnswerNanos());
--- a/edge/src/main/java/edgegateway/policy/routing/ZoneTraffic.java
+++ b/edge/src/main/java/edgegateway/policy/routing/ZoneTraffic.java
@@ -10,9 +10,9 @@
 import java.util.TreeSet;
 
 /**
- * How much of its traffic each zone gets: by operators, who may eject a zone and readmit it by a
- * ramp, and by the fleet's decisions. Operators come first, until what they readmitted has its
- * whole traffic again.
+ * The fraction of its usual traffic that each zone gets. Operators set it by ejecting a zone and
+ * readmitting it with a ramp; the fleet sets it by its own ramps. An operator's ramp takes
+ * precedence over the fleet's until the readmitted zone has its full traffic again.
  */
 final class ZoneTraffic {
   private final EventClock clock;
@@ -24,30 +24,31 @@
     this.clock = clock;
   }
 
-  /** Whether neither operators nor the fleet have ever changed a zone's traffic. */
+  /** Whether no zone has a ramp, not even a completed one: all zones get their full traffic. */
   boolean isUnrestricted() {
     return operatorRamps.isEmpty() && fleetRamps.isEmpty();
   }
 
-  /** The part of its traffic that a zone gets now, 0 to 1. */
-  double fraction(int zone) {
-    double byOperator = operatorFraction(zone);
+  /** The fraction of its usual traffic that a zone gets now, 0 to 1. */
+  double trafficFraction(int zone) {
+    double byOperator = operatorTrafficFraction(zone);
     TrafficRamp byFleet = fleetRamps.get(zone);
     return byOperator < 1 || byFleet == null ? byOperator : byFleet.fractionAt(clock.nowNanos());
   }
 
-  /** The part of its traffic that operators let a zone have now, 0 to 1. */
-  double operatorFraction(int zone) {
+  /** The fraction of its usual traffic that operators allow a zone now, 0 to 1. */
+  double operatorTrafficFraction(int zone) {
     TrafficRamp ramp = operatorRamps.get(zone);
     return ramp == null ? 1 : ramp.fractionAt(clock.nowNanos());
   }
 
+  /** Whether an operator has ejected a zone and not readmitted it since. */
   boolean isEjectedByOperator(int zone) {
     TrafficRamp ramp = operatorRamps.get(zone);
     return ramp != null && ramp.endFraction() == 0;
   }
 
-  /** The zones that operators have ejected. */
+  /** The zones that are ejected by operators now. */
   Set<Integer> ejectedByOperator() {
     Set<Integer> ejected = new HashSet<>();
     for (int zone : operatorRamps.keySet()) {
@@ -58,32 +59,42 @@
     return ejected;
   }
 
-  /** The zones that operators have ever ejected, in their order. */
+  /** The zones that operators have ever ejected, in the order of their indexes. */
   List<Integer> everEjectedByOperator() {
     return List.copyOf(operatorRamps.keySet());
   }
 
-  /** Whether operators decide on a zone's traffic at present, and not the fleet. */
+  /** Whether a zone's traffic is now set by an operator rather than by the fleet. */
   boolean isDecidedByOperator(int zone) {
     return operatorRamps.containsKey(zone)
-        && (operatorFraction(zone) < 1 || !fleetRamps.containsKey(zone));
+        && (operatorTrafficFraction(zone) < 1 || !fleetRamps.containsKey(zone));
   }
 
-  /** When the present ramp of a zone began, in nanoseconds; 0 if it has none. */
+  /**
+   * When the ramp of a zone started, in nanoseconds: the operator's ramp if there is one, else the
+   * fleet's; 0 if there is neither.
+   */
   long rampStartNanos(int zone) {
     TrafficRamp ramp = operatorRamps.getOrDefault(zone, fleetRamps.get(zone));
     return ramp == null ? 0 : ramp.startNanos();
   }
 
+  /** Ejects a zone for an operator: it gets no traffic from now on. */
   void ejectByOperator(int zone, long rampNanos) {
     operatorRamps.put(zone, new TrafficRamp(0, 0, clock.nowNanos(), Math.max(1, rampNanos)));
   }
 
+  /** Readmits a zone for an operator: its traffic grows linearly for {@code rampNanos}. */
   void readmitByOperator(int zone, long rampNanos) {
     operatorRamps.put(zone, new TrafficRamp(0, 1, clock.nowNanos(), Math.max(1, rampNanos)));
   }
 
-  /** Sets a zone's traffic by decision of the fleet; null: all of it. */
+  /**
+   * Sets a zone's traffic by decision of the fleet, and drops a probe of the zone that was
+   * requested.
+   *
+   * @param ramp null for full traffic
+   */
   void setFleetRamp(int zone, TrafficRamp ramp) {
     if (ramp == null) {
       fleetRamps.remove(zone);
@@ -93,12 +104,12 @@
     zonesToProbe.remove(zone);
   }
 
-  /** The next request that may be repeated freely shall be sent to this zone. */
+  /** Requests that the first attempt of the next idempotent request goes to this zone. */
   void requestProbe(int zone) {
     zonesToProbe.add(zone);
   }
 
-  /** Removes and returns a zone to be probed; null if there is none. */
+  /** Removes and returns the first zone for which a probe is requested; null if there is none. */
   Integer pollZoneToProbe() {
     if (zonesToProbe.isEmpty()) {
       return null;
--- a/edge/src/test/java/edgegateway/policy/routing/ZoneTrafficTest.java
+++ b/edge/src/test/java/edgegateway/policy/routing/ZoneTrafficTest.java
@@ -17,21 +17,21 @@
   @Test
   void operatorsComeBeforeTheFleetUntilTheirRampIsOver() {
     zones.setFleetRamp(1, new TrafficRamp(0, 0, 0, 1));
-    assertEquals(0, zones.fraction(1));
+    assertEquals(0, zones.trafficFraction(1));
     zones.readmitByOperator(1, 100);
     clock.set(1_049);
-    assertEquals(0.5, zones.fraction(1), 1e-9);
+    assertEquals(0.5, zones.trafficFraction(1), 1e-9);
     assertTrue(zones.isDecidedByOperator(1));
     clock.set(1_100);
-    assertEquals(0, zones.fraction(1), "the fleet decides again");
+    assertEquals(0, zones.trafficFraction(1), "the fleet decides again");
     assertFalse(zones.isDecidedByOperator(1));
   }
 
   @Test
   void anEjectedZoneGetsNothing() {
     zones.ejectByOperator(2, 100);
-    assertEquals(0, zones.fraction(2));
-    assertEquals(1, zones.fraction(3));
+    assertEquals(0, zones.trafficFraction(2));
+    assertEquals(1, zones.trafficFraction(3));
     assertEquals(Set.of(2), zones.ejectedByOperator());
   }
 
