--- a/edge/src/main/java/edgegateway/policy/routing/EndpointRegistry.java
+++ b/edge/src/main/java/edgegateway/policy/routing/EndpointRegistry.java
@@ -15,15 +15,18 @@
 import java.util.Map;
 import java.util.Set;
 
-/** The endpoints that this node knows, and which of them may be chosen. */
+/** The endpoints that this node knows, listed or not, and which of them may be chosen. */
 final class EndpointRegistry {
-  /** How long an endpoint that left the list is remembered; what is known of it ages far sooner. */
+  /**
+   * How long after its last attempt an endpoint that left the list is forgotten. Its statistics
+   * have long decayed by then.
+   */
   private static final long FORGET_AFTER_NANOS = 60 * Durations.NANOS_PER_SECOND;
 
   private final PolicySettings settings;
   private final EventClock clock;
   private final PolicyActions actions;
-  private final PeerAverages peers;
+  private final PeerAverages peerAverages;
   private final ZoneTraffic zones;
   private final Map<String, EndpointTracker> endpoints = new LinkedHashMap<>();
   private final Set<String> ejectedByOperator = new HashSet<>();
@@ -34,64 +37,68 @@
       PolicySettings settings,
       EventClock clock,
       PolicyActions actions,
-      PeerAverages peers,
+      PeerAverages peerAverages,
       ZoneTraffic zones) {
     this.settings = settings;
     this.clock = clock;
     this.actions = actions;
-    this.peers = peers;
+    this.peerAverages = peerAverages;
     this.zones = zones;
   }
 
-  /** All that are known, in the order in which they became known. */
+  /** All known endpoints, in the order in which they became known. */
   Collection<EndpointTracker> all() {
     return endpoints.values();
   }
 
-  /** Returns an endpoint by its name; null if it is not known. */
+  /** Returns the endpoint with an id; null if it is unknown. */
   EndpointTracker get(String id) {
     return endpoints.get(id);
   }
 
-  /** The endpoints that neither the list nor an operator bars. */
+  /** The endpoints that are listed as ready and that no operator has ejected, alone or by zone. */
   List<EndpointTracker> usable() {
     return usable;
   }
 
-  /** The usable endpoints in zones that get traffic. */
+  /** The usable endpoints in zones that get traffic: those that may be chosen for an attempt. */
   List<EndpointTracker> routable() {
     return routable;
   }
 
-  /** The names of the endpoints that operators have ejected, listed or not. */
+  /** The ids of the endpoints that operators have ejected, listed or not. */
   Set<String> ejectedByOperator() {
     return ejectedByOperator;
   }
 
-  /** Takes over the list, or changes to it; {@link #refresh} is due afterwards. */
+  /**
+   * Applies an update of the endpoint list. A new or restarted endpoint gets a new tracker. {@link
+   * #refresh} must be called afterwards.
+   */
   void update(EndpointListKind kind, List<Endpoint> entries) {
     if (kind == EndpointListKind.FULL || kind == EndpointListKind.CACHED) {
-      unlistAllBut(entries);
+      unlistAllExcept(entries);
     }
     for (Endpoint entry : entries) {
       EndpointTracker known = endpoints.get(entry.id());
-      boolean restarted = known == null || known.entry().startedAtNanos() != entry.startedAtNanos();
+      boolean newOrRestarted =
+          known == null || known.entry().startedAtNanos() != entry.startedAtNanos();
       if (known != null) {
         known.setUsable(false);
       }
-      EndpointTracker endpoint = restarted ? newTracker(entry, entry.startedAtNanos()) : known;
+      EndpointTracker endpoint = newOrRestarted ? newTracker(entry, entry.startedAtNanos()) : known;
       endpoints.put(entry.id(), endpoint);
       endpoint.updateEntry(entry);
     }
   }
 
-  private void unlistAllBut(List<Endpoint> entries) {
-    Set<String> named = new HashSet<>();
+  private void unlistAllExcept(List<Endpoint> entries) {
+    Set<String> listedIds = new HashSet<>();
     for (Endpoint entry : entries) {
-      named.add(entry.id());
+      listedIds.add(entry.id());
     }
     for (EndpointTracker endpoint : endpoints.values()) {
-      if (!named.contains(endpoint.id())) {
+      if (!listedIds.contains(endpoint.id())) {
         endpoint.setListed(false);
       }
     }
@@ -101,20 +108,22 @@
     return new EndpointTracker(
         clock,
         entry,
-        new EndpointStatistics(clock, peers, actions, entry),
+        new EndpointStatistics(clock, peerAverages, actions, entry),
         new SlowStart(clock, settings.rules(), startedAtNanos));
   }
 
   /**
-   * Decides which endpoints may be chosen. A zone that the fleet has ejected stays among the usable
-   * ones, so that the concurrency limit is not cut for it: its controller sees the rest.
+   * Determines which endpoints are usable and routable, and forgets endpoints that are no longer
+   * needed. Endpoints of a zone that the fleet has ejected stay usable, so that the capacity from
+   * which the concurrency limit is derived is not cut; the concurrency controller reacts to the
+   * effects by itself.
    */
   void refresh() {
     endpoints.values().removeIf(this::canBeForgotten);
     List<EndpointTracker> nowUsable = new ArrayList<>();
     List<EndpointTracker> nowRoutable = new ArrayList<>();
     for (EndpointTracker endpoint : endpoints.values()) {
-      endpoint.setUsable(mayBeUsed(endpoint));
+      endpoint.setUsable(isUsable(endpoint));
       if (endpoint.usable()) {
         nowUsable.add(endpoint);
         if (zones.trafficFraction(endpoint.zone()) > 0) {
@@ -126,14 +135,17 @@
     routable = nowRoutable;
   }
 
-  private boolean mayBeUsed(EndpointTracker endpoint) {
+  private boolean isUsable(EndpointTracker endpoint) {
     return endpoint.listed()
         && endpoint.entry().state() == EndpointState.READY
         && !ejectedByOperator.contains(endpoint.id())
         && zones.operatorTrafficFraction(endpoint.zone()) > 0;
   }
 
-  /** Each restart may name an endpoint anew: memory must not hold them all. */
+  /**
+   * Whether an endpoint need not be remembered. An endpoint may get a new id at each restart, so
+   * the old ones must be forgotten for memory use to stay bounded.
+   */
   private boolean canBeForgotten(EndpointTracker endpoint) {
     boolean needed =
         endpoint.listed()
@@ -143,12 +155,15 @@
     return !needed && idleNanos > FORGET_AFTER_NANOS;
   }
 
-  /** Ejects an endpoint for an operator; {@link #refresh} is due afterwards. */
+  /** Ejects an endpoint for an operator; {@link #refresh} must be called afterwards. */
   void eject(String id) {
     ejectedByOperator.add(id);
   }
 
-  /** Readmits an endpoint that an operator ejected; {@link #refresh} is due afterwards. */
+  /**
+   * Readmits an endpoint in slow start if an operator ejected it; {@link #refresh} must be called
+   * afterwards.
+   */
   void readmit(String id) {
     EndpointTracker known = endpoints.get(id);
     if (ejectedByOperator.remove(id) && known != null) {
@@ -156,8 +171,11 @@
     }
   }
 
-  /** Begins anew with all endpoints of a zone that is readmitted. */
-  void readmitZone(int zone) {
+  /**
+   * Puts all endpoints of a zone that is readmitted in slow start; {@link #refresh} must be called
+   * afterwards.
+   */
+  void beginSlowStartInZone(int zone) {
     for (EndpointTracker endpoint : List.copyOf(endpoints.values())) {
       if (endpoint.zone() == zone) {
         beginSlowStart(endpoint);
@@ -165,11 +183,14 @@
     }
   }
 
-  /** An endpoint that was ejected may have been restarted, and what was known of it is old. */
-  private void beginSlowStart(EndpointTracker old) {
-    EndpointTracker fresh = newTracker(old.entry(), clock.nowNanos());
-    fresh.setListed(old.listed());
-    old.setUsable(false);
-    endpoints.put(old.id(), fresh);
+  /**
+   * Replaces an endpoint's tracker by a new one in slow start: while the endpoint was ejected, it
+   * may have been restarted, and its statistics have become out of date.
+   */
+  private void beginSlowStart(EndpointTracker previous) {
+    EndpointTracker replacement = newTracker(previous.entry(), clock.nowNanos());
+    replacement.setListed(previous.listed());
+    previous.setUsable(false);
+    endpoints.put(previous.id(), replacement);
   }
 }
--- a/edge/src/main/java/edgegateway/policy/routing/EndpointRouter.java
+++ b/edge/src/main/java/edgegateway/policy/routing/EndpointRouter.java
@@ -15,20 +15,23 @@
 import java.util.Set;
 import java.util.SplittableRandom;
 
-/** The endpoints and zones, and the choice of an endpoint for each attempt. */
+/**
+ * Tracks endpoints and zones, and chooses an endpoint for each attempt. Not thread-safe: called
+ * only on the policy's thread.
+ */
 public final class EndpointRouter {
   private final PolicySettings settings;
   private final SplittableRandom random;
   private final PolicyActions actions;
   private final ZoneTraffic zones;
   private final EndpointRegistry registry;
-  private final LoadReports loads;
-  private final SlowStartLimiter slowStart;
-  private final RecentResponders recent = new RecentResponders();
+  private final LoadReports loadReports;
+  private final SlowStartLimiter slowStartLimiter;
+  private final RecentResponders recentResponders = new RecentResponders();
   private final EndpointSelector selector;
   private final ZoneHealthMonitor zoneHealth;
 
-  /** Creates a router that knows no endpoint; it draws nothing from {@code random} yet. */
+  /** Creates a router without endpoints; the constructor draws nothing from {@code random}. */
   public EndpointRouter(
       PolicySettings settings, EventClock clock, SplittableRandom random, PolicyActions actions) {
     this.settings = settings;
@@ -36,20 +39,27 @@
     this.actions = actions;
     zones = new ZoneTraffic(clock);
     registry = new EndpointRegistry(settings, clock, actions, new PeerAverages(), zones);
-    loads = new LoadReports(settings.loadReportNames());
-    slowStart = new SlowStartLimiter(clock, random, settings.nodeCount());
-    EndpointScorer scorer = new EndpointScorer(settings, clock, loads);
-    selector = new EndpointSelector(settings, random, registry, zones, scorer, slowStart, recent);
+    loadReports = new LoadReports(settings.loadReportNames());
+    slowStartLimiter = new SlowStartLimiter(clock, random, settings.nodeCount());
+    EndpointScorer scorer = new EndpointScorer(settings, clock, loadReports);
+    selector =
+        new EndpointSelector(
+            settings, random, registry, zones, scorer, slowStartLimiter, recentResponders);
     zoneHealth = new ZoneHealthMonitor(clock);
   }
 
-  /** Takes over the endpoint list, or changes to it. */
+  /** Applies an update of the endpoint list. */
   public void endpointsUpdated(EndpointListKind kind, List<Endpoint> entries) {
     registry.update(kind, entries);
     registry.refresh();
   }
 
-  /** Ejects an endpoint for an operator, or readmits it in slow start. */
+  /**
+   * Ejects an endpoint for an operator, or readmits it in slow start.
+   *
+   * @return {@link EjectionResult#REJECTED} if the endpoint is unknown, else {@link
+   *     EjectionResult#CHANGED}
+   */
   public EjectionResult setEndpointEjected(String id, boolean ejected) {
     if (registry.get(id) == null && !registry.ejectedByOperator().contains(id)) {
       return EjectionResult.REJECTED;
@@ -63,7 +73,10 @@
     return EjectionResult.CHANGED;
   }
 
-  /** Ejects exactly these endpoints for an operator, listed or not. */
+  /**
+   * Ejects exactly these endpoints for an operator, listed or not; others that operators had
+   * ejected are readmitted in slow start.
+   */
   public void restoreEjectedEndpoints(Set<String> ids) {
     for (String id : List.copyOf(registry.ejectedByOperator())) {
       if (!ids.contains(id)) {
@@ -77,7 +90,8 @@
   /**
    * Ejects a zone for an operator, or readmits it with its endpoints in slow start.
    *
-   * @param rampNanos how long the zone's traffic takes to come back
+   * @param rampNanos for how long the traffic of a readmitted zone grows until it is full
+   * @return {@link EjectionResult#REJECTED} if ejecting the zone would leave no routable endpoint
    */
   public EjectionResult setZoneEjected(int zone, boolean ejected, long rampNanos) {
     if (ejected && noneRoutableOutside(zone)) {
@@ -90,7 +104,7 @@
       zones.ejectByOperator(zone, rampNanos);
     } else {
       zones.readmitByOperator(zone, rampNanos);
-      registry.readmitZone(zone);
+      registry.beginSlowStartInZone(zone);
     }
     registry.refresh();
     return EjectionResult.CHANGED;
@@ -105,7 +119,7 @@
     return true;
   }
 
-  /** Ejects zones for an operator, whatever endpoints are left. */
+  /** Ejects zones for an operator, even if that leaves no routable endpoint. */
   public void ejectZones(Set<Integer> ejected) {
     for (int zone : ejected) {
       if (!zones.isEjectedByOperator(zone)) {
@@ -115,25 +129,29 @@
     registry.refresh();
   }
 
-  /** The zones that operators have ever ejected. */
+  /** The zones that operators have ever ejected, readmitted ones included. */
   public List<Integer> zonesEverEjectedByOperator() {
     return zones.everEjectedByOperator();
   }
 
-  /** Sets a zone's traffic by decision of the fleet; null: all of it. */
+  /**
+   * Sets a zone's traffic by decision of the fleet.
+   *
+   * @param ramp null for full traffic
+   */
   public void setZoneRamp(int zone, TrafficRamp ramp) {
     zones.setFleetRamp(zone, ramp);
     registry.refresh();
   }
 
-  /** The next new request that may be repeated freely goes to this zone. */
+  /** Sends the first attempt of the next idempotent request to this zone. */
   public void probeZone(int zone) {
     zones.requestProbe(zone);
   }
 
-  /** Usable endpoints, each in slow start counted by the part of its capacity that it bears. */
+  /** The number of usable endpoints, each in slow start counted by its capacity fraction. */
   public double usableCapacity() {
-    // Not a plain loop: a stream's sum compensates rounding.
+    // Summed by a stream rather than a loop, because a stream's sum compensates rounding errors.
     return registry.usable().stream().mapToDouble(EndpointRouter::capacity).sum();
   }
 
@@ -142,39 +160,44 @@
   }
 
   /**
-   * The capacity changed or time passed: updates the limit on endpoints in slow start.
+   * Updates the limit on endpoints in slow start, after a change of the endpoints or as time
+   * passes.
    *
-   * @param effectiveEndpoints the usable capacity as the concurrency limit reckons it
+   * @param effectiveEndpoints the usable capacity, in endpoints, on which the concurrency limit is
+   *     based
    */
   public void capacityChanged(double effectiveEndpoints) {
-    int warm = 0;
+    int warmedUpEndpoints = 0;
     for (EndpointTracker endpoint : registry.usable()) {
-      warm += endpoint.slowStart().inProgress() ? 0 : 1;
+      warmedUpEndpoints += endpoint.slowStart().inProgress() ? 0 : 1;
     }
-    slowStart.capacityChanged(effectiveEndpoints, warm);
+    slowStartLimiter.capacityChanged(effectiveEndpoints, warmedUpEndpoints);
   }
 
   /**
-   * Chooses the endpoint of a request's next attempt.
+   * Chooses the endpoint for a request's next attempt.
    *
-   * @return null if none may be used now
+   * @return null if no endpoint may be used now
    */
   public EndpointTracker select(RoutableRequest request) {
     return selector.select(request);
   }
 
-  /** Counts an attempt that is sent to an endpoint. */
+  /** Counts an attempt that is sent to an endpoint now. */
   public void attemptSent(RoutableRequest request, EndpointTracker endpoint) {
-    slowStart.attemptSent(request.expectedServiceSeconds());
+    slowStartLimiter.attemptSent(request.expectedServiceSeconds());
     endpoint.addInFlight(request);
   }
 
-  /** While its client sends the body, an attempt is no load: a slow client holds no place. */
+  /**
+   * Counts an attempt as not in flight while its client uploads a long body, so that a slow client
+   * does not make the endpoint appear loaded.
+   */
   public void bodyForwarded(RoutableRequest request, EndpointTracker endpoint) {
     endpoint.removeInFlight(request);
   }
 
-  /** From now on the endpoint works on the attempt. */
+  /** Counts an attempt as in flight again: the endpoint now works on it. */
   public void uploadCompleted(RoutableRequest request, EndpointTracker endpoint) {
     endpoint.addInFlight(request);
   }
@@ -182,14 +205,14 @@
   /**
    * Counts the end of an attempt.
    *
-   * @return whether the attempt counted as in progress until now
+   * @return whether the attempt counted as in flight until now
    */
   public boolean attemptEnded(
       RoutableRequest request, EndpointTracker endpoint, AttemptResult result) {
-    boolean inProgress = endpoint.removeInFlight(request);
+    boolean wasInFlight = endpoint.removeInFlight(request);
     Outcome outcome = result.outcome();
     if (outcome == Outcome.CANCELLED || outcome == Outcome.NOT_SENT) {
-      return inProgress;
+      return wasInFlight;
     }
     EndpointStatistics statistics = endpoint.statistics();
     statistics.attemptEnded(
@@ -197,28 +220,33 @@
     zoneHealth.attemptEnded(
         endpoint.zone(), statistics.lastAttemptFailed(), statistics.lastAttemptUnanswered());
     if (outcome == Outcome.OK) {
-      recent.add(endpoint);
+      recentResponders.add(endpoint);
     }
-    return inProgress;
+    return wasInFlight;
   }
 
-  /** Stores the load that a health check reported; unknown endpoints are ignored. */
+  /**
+   * Stores the load that a health check reported; an unknown endpoint is ignored.
+   *
+   * @param report the reported values; empty if the endpoint reported none
+   */
   public void healthChecked(String id, List<Double> report) {
     EndpointTracker endpoint = registry.get(id);
     if (endpoint != null) {
-      endpoint.loadReported(loads.add(report));
-      recent.add(endpoint);
+      endpoint.loadReported(loadReports.add(report));
+      recentResponders.add(endpoint);
     }
   }
 
   /**
-   * Asks one random endpoint for its load, where own answers come less than once a second from each
-   * and the settings allow health checks.
+   * Checks the health of one random endpoint to get its load report, if this node sends each
+   * endpoint less work than one such request per second. Does nothing if the settings do not allow
+   * health checks or name no values of load reports.
    */
   public void checkHealthIfTrafficLow(RoutableRequest request) {
     List<EndpointTracker> routable = registry.routable();
     boolean trafficLow =
-        slowStart.workPerSecond() < request.expectedServiceSeconds() * routable.size();
+        slowStartLimiter.workPerSecond() < request.expectedServiceSeconds() * routable.size();
     boolean reportsLoad =
         settings.limits().healthChecksAllowed() && !settings.loadReportNames().isEmpty();
     if (trafficLow && reportsLoad) {
@@ -226,12 +254,12 @@
     }
   }
 
-  /** The evidence on the health of each zone with listed endpoints. */
+  /** The health of each zone with listed endpoints, as this node's attempts show it. */
   public List<ZoneHealth> zoneHealth() {
     return zoneHealth.report(registry.all());
   }
 
-  /** How a zone stands now. */
+  /** How a zone is used now. */
   public ZoneStatus zoneStatus(int zone) {
     int listed = 0;
     int usable = 0;
@@ -249,17 +277,20 @@
         zones.isDecidedByOperator(zone));
   }
 
-  /** The zones that operators have ejected. */
+  /** The zones that are ejected by operators now. */
   public Set<Integer> zonesEjectedByOperator() {
     return zones.ejectedByOperator();
   }
 
-  /** The endpoints that operators have ejected, listed or not. */
+  /** The ids of the endpoints that are ejected by operators now, listed or not. */
   public Set<String> endpointsEjectedByOperator() {
     return Set.copyOf(registry.ejectedByOperator());
   }
 
-  /** The listed endpoints that are avoided: ejected by an operator, draining, or outliers. */
+  /**
+   * The ids of the listed endpoints that get no or hardly any requests: draining, ejected by an
+   * operator (alone or with their zone), or outliers.
+   */
   public List<String> skippedEndpoints() {
     List<String> skipped = new ArrayList<>();
     for (EndpointTracker endpoint : registry.all()) {
--- a/edge/src/main/java/edgegateway/policy/routing/EndpointSelector.java
+++ b/edge/src/main/java/edgegateway/policy/routing/EndpointSelector.java
@@ -13,23 +13,26 @@
 /** Chooses the endpoint of each attempt. */
 final class EndpointSelector {
   /**
-   * With as many nodes as endpoints, each looks at this many endpoints for a request; with fewer
-   * nodes at more.
+   * Random candidates per request, as a multiple of the routable endpoints per node: as many as
+   * this if there are as many nodes as endpoints, more if there are fewer nodes.
    */
   private static final int CANDIDATES_FACTOR = 3;
 
   private static final int MIN_CANDIDATES = 2;
 
-  /** Nodes that know as little as each other must not all choose the first of the list. */
-  private static final double SCORE_NOISE = 0.1;
+  /**
+   * A score is increased at random by up to this fraction. Otherwise nodes with equally little data
+   * would all choose the first endpoint in the list.
+   */
+  private static final double MAX_SCORE_NOISE = 0.1;
 
   private final PolicySettings settings;
   private final SplittableRandom random;
   private final EndpointRegistry registry;
   private final ZoneTraffic zones;
   private final EndpointScorer scorer;
-  private final SlowStartLimiter slowStart;
-  private final RecentResponders recent;
+  private final SlowStartLimiter slowStartLimiter;
+  private final RecentResponders recentResponders;
 
   EndpointSelector(
       PolicySettings settings,
@@ -37,41 +40,43 @@
       EndpointRegistry registry,
       ZoneTraffic zones,
       EndpointScorer scorer,
-      SlowStartLimiter slowStart,
-      RecentResponders recent) {
+      SlowStartLimiter slowStartLimiter,
+      RecentResponders recentResponders) {
     this.settings = settings;
     this.random = random;
     this.registry = registry;
     this.zones = zones;
     this.scorer = scorer;
-    this.slowStart = slowStart;
-    this.recent = recent;
+    this.slowStartLimiter = slowStartLimiter;
+    this.recentResponders = recentResponders;
   }
 
   /**
-   * Returns the endpoint that should answer soonest: of the candidates the one with the lowest
-   * score, in a zone with traffic and, in slow start, with work left to be granted. A zone to be
-   * probed goes first.
+   * Chooses the endpoint for a request's next attempt: the candidate with the lowest score, among
+   * those whose zone's traffic fraction admits the request and whose slow start, if in progress,
+   * allows it. If a zone is to be probed, the first attempt of an idempotent request goes there
+   * instead.
    *
-   * @return null if none may be used now
+   * @return null if no endpoint may be used now
    */
   EndpointTracker select(RoutableRequest request) {
-    boolean repeatable = request.requestClass().idempotency() == Idempotency.IDEMPOTENT;
-    EndpointTracker probed = request.attempts() == 0 && repeatable ? zoneProbe() : null;
-    return probed != null ? probed : selectByScore(request);
+    boolean idempotent = request.requestClass().idempotency() == Idempotency.IDEMPOTENT;
+    EndpointTracker probeEndpoint =
+        request.attempts() == 0 && idempotent ? pollProbeEndpoint() : null;
+    return probeEndpoint != null ? probeEndpoint : selectByScore(request);
   }
 
   private EndpointTracker selectByScore(RoutableRequest request) {
     EndpointTracker best = null;
     double bestScore = Double.MAX_VALUE;
-    // Drawn once for all endpoints of a zone: drawn for each, the zone would get more than its
-    // part.
+    // One draw for all endpoints: with a draw for each, a zone with several endpoints would get
+    // more than its traffic fraction.
     double zoneDraw = zones.isUnrestricted() ? 0 : random.nextDouble();
     for (EndpointTracker endpoint : candidates(request)) {
-      double score = scorer.score(endpoint) * (1 + SCORE_NOISE * random.nextDouble());
+      double score = scorer.score(endpoint) * (1 + MAX_SCORE_NOISE * random.nextDouble());
       if (score < bestScore
           && zoneDraw < zones.trafficFraction(endpoint.zone())
-          && hasRoom(endpoint, request)) {
+          && slowStartAllows(endpoint, request)) {
         best = endpoint;
         bestScore = score;
       }
@@ -79,19 +84,20 @@
     return best;
   }
 
-  private boolean hasRoom(EndpointTracker endpoint, RoutableRequest request) {
+  private boolean slowStartAllows(EndpointTracker endpoint, RoutableRequest request) {
     return !endpoint.slowStart().inProgress()
-        || slowStart.tryAcquire(endpoint, request.expectedServiceSeconds());
+        || slowStartLimiter.tryAcquire(endpoint, request.expectedServiceSeconds());
   }
 
   /**
-   * For a keyed request that may have been executed: all endpoints that would drop the repeat. Else
-   * a random few, as all nodes would rank the whole list alike and crowd the best; and the recent
-   * responders.
+   * Returns the endpoints to be scored. For a keyed request that may have been executed, these are
+   * all endpoints that would recognize the retry as a duplicate. Otherwise they are a random few
+   * and the recent responders: if all nodes ranked the full list, they would rank it alike and
+   * overload the best endpoint.
    */
   private List<EndpointTracker> candidates(RoutableRequest request) {
-    if (isBoundToScope(request)) {
-      return withinScope(request);
+    if (mustStayInDeduplicationScope(request)) {
+      return endpointsInDeduplicationScope(request);
     }
     List<EndpointTracker> routable = registry.routable();
     int count =
@@ -101,7 +107,7 @@
     }
     List<EndpointTracker> candidates = new ArrayList<>();
     addRandom(candidates, routable, count);
-    for (EndpointTracker endpoint : recent.slots()) {
+    for (EndpointTracker endpoint : recentResponders.slots()) {
       if (endpoint != null && endpoint.usable()) {
         candidates.add(endpoint);
       }
@@ -111,40 +117,43 @@
 
   private void addRandom(
       List<EndpointTracker> candidates, List<EndpointTracker> routable, int count) {
-    Set<Integer> drawn = new HashSet<>();
-    while (drawn.size() < count) {
+    Set<Integer> drawnIndexes = new HashSet<>();
+    while (drawnIndexes.size() < count) {
       int index = random.nextInt(routable.size());
-      if (drawn.add(index)) {
+      if (drawnIndexes.add(index)) {
         candidates.add(routable.get(index));
       }
     }
   }
 
-  private static boolean isBoundToScope(RoutableRequest request) {
+  private static boolean mustStayInDeduplicationScope(RoutableRequest request) {
     RequestClass requestClass = request.requestClass();
     return request.mayHaveExecuted()
         && requestClass.idempotency() == Idempotency.KEYED
         && requestClass.deduplicationScope() != DeduplicationScope.ALL;
   }
 
-  private List<EndpointTracker> withinScope(RoutableRequest request) {
-    List<EndpointTracker> within = new ArrayList<>();
-    EndpointTracker first = request.possibleExecutionEndpoint();
+  private List<EndpointTracker> endpointsInDeduplicationScope(RoutableRequest request) {
+    List<EndpointTracker> inScope = new ArrayList<>();
+    EndpointTracker executionEndpoint = request.possibleExecutionEndpoint();
     boolean byZone = request.requestClass().deduplicationScope() == DeduplicationScope.ZONE;
     for (EndpointTracker endpoint : registry.routable()) {
-      boolean same =
+      boolean sameScope =
           byZone
-              ? endpoint.zone() == first.zone()
-              : endpoint.entry().cell() == first.entry().cell();
-      if (same) {
-        within.add(endpoint);
+              ? endpoint.zone() == executionEndpoint.zone()
+              : endpoint.entry().cell() == executionEndpoint.entry().cell();
+      if (sameScope) {
+        inScope.add(endpoint);
       }
     }
-    return within;
+    return inScope;
   }
 
-  /** A random endpoint of a zone to be probed; null if there is none. */
-  private EndpointTracker zoneProbe() {
+  /**
+   * Takes up the next requested zone probe and returns a random usable endpoint of that zone; null
+   * if no probe is requested or the zone has no usable endpoint.
+   */
+  private EndpointTracker pollProbeEndpoint() {
     Integer zone = zones.pollZoneToProbe();
     if (zone == null) {
       return null;
--- a/edge/src/test/java/edgegateway/policy/routing/EndpointStatisticsTest.java
+++ b/edge/src/test/java/edgegateway/policy/routing/EndpointStatisticsTest.java
@@ -17,21 +17,23 @@
 class EndpointStatisticsTest {
   private static final Endpoint ENDPOINT = new Endpoint("a", 1, 0, 0, 0, EndpointState.READY, 0);
   private static final double SERVICE_SECONDS = 0.02;
-  private static final int ENDPOINTS = 100;
+  private static final int ROUTABLE_ENDPOINTS = 100;
 
   private final EventClock clock = new EventClock(Durations.NANOS_PER_SECOND);
   private final RecordedActions actions = new RecordedActions();
   private final EndpointStatistics statistics =
       new EndpointStatistics(clock, new PeerAverages(), actions, ENDPOINT);
 
+  /** Reports the end of an attempt that took exactly the expected service time. */
   private void attemptEnded(Outcome outcome) {
     AttemptResult result =
-        new AttemptResult("r", outcome, Durations.toNanos(0.02), "a", false, 0, 0, List.of());
-    statistics.attemptEnded(ENDPOINT, result, SERVICE_SECONDS, ENDPOINTS);
+        new AttemptResult(
+            "r", outcome, Durations.toNanos(SERVICE_SECONDS), "a", false, 0, 0, List.of());
+    statistics.attemptEnded(ENDPOINT, result, SERVICE_SECONDS, ROUTABLE_ENDPOINTS);
   }
 
   @Test
-  void aFailedConnectionEjectsAtOnceAndSuccessesReadmit() {
+  void oneConnectFailureEjectsAndFourSuccessesReadmit() {
     attemptEnded(Outcome.CONNECT_FAILED);
     assertTrue(statistics.isOutlier(ENDPOINT));
     assertEquals(List.of("endpoint_ejected id=a cause=CONNECT_FAILED"), actions.logs);
@@ -43,15 +45,16 @@
   }
 
   @Test
-  void errorsDecayTowardsThoseOfThePeers() {
+  void errorRateDecaysTowardsPeerAverage() {
     attemptEnded(Outcome.CONNECT_FAILED);
+    // One time constant of the decay.
     clock.set(clock.nowNanos() + 4 * Durations.NANOS_PER_SECOND);
     assertEquals(Math.exp(-1), statistics.expectedErrorRate(ENDPOINT), 0.01);
     assertFalse(statistics.isOutlier(ENDPOINT));
   }
 
   @Test
-  void aRejectionIsNoFailure() {
+  void rejectionDoesNotCountAsFailure() {
     attemptEnded(Outcome.REJECTED);
     assertFalse(statistics.lastAttemptFailed());
     attemptEnded(Outcome.ERROR);
--- a/edge/src/test/java/edgegateway/policy/routing/SlowStartTest.java
+++ b/edge/src/test/java/edgegateway/policy/routing/SlowStartTest.java
@@ -10,25 +10,32 @@
 import org.junit.jupiter.api.Test;
 
 class SlowStartTest {
-  private static final long SECOND = Durations.NANOS_PER_SECOND;
-  private static final PlatformRules RULES = new PlatformRules(0, 0.25, 10 * SECOND, 3, SECOND);
+  private static final long SECOND_NANOS = Durations.NANOS_PER_SECOND;
+  private static final double INITIAL_FRACTION = 0.25;
+  private static final long SLOW_START_NANOS = 10 * SECOND_NANOS;
+  private static final PlatformRules RULES =
+      new PlatformRules(0, INITIAL_FRACTION, SLOW_START_NANOS, 3, SECOND_NANOS);
 
   @Test
-  void capacityGrowsEvenlyFromItsInitialFraction() {
-    EventClock clock = new EventClock(100 * SECOND);
-    SlowStart slowStart = new SlowStart(clock, RULES, 100 * SECOND);
-    assertEquals(0.25, slowStart.capacityFraction());
-    clock.set(105 * SECOND);
+  void capacityGrowsLinearlyFromInitialFraction() {
+    EventClock clock = new EventClock(100 * SECOND_NANOS);
+    SlowStart slowStart = new SlowStart(clock, RULES, 100 * SECOND_NANOS);
+    assertEquals(INITIAL_FRACTION, slowStart.capacityFraction());
+    clock.set(105 * SECOND_NANOS);
     assertTrue(slowStart.inProgress());
     assertEquals(0.625, slowStart.capacityFraction(), 1e-12);
-    assertEquals(6.25, slowStart.grantWork(2), 1e-9, "five seconds of 2 a second, at 0.625");
-    assertEquals(0, slowStart.grantWork(2), "granted once");
-    clock.set(110 * SECOND);
+    assertEquals(
+        6.25,
+        slowStart.grantWork(2),
+        1e-9,
+        "5 s at 2 s of work per second and a capacity fraction of 0.625");
+    assertEquals(0, slowStart.grantWork(2), "the same time must not be granted twice");
+    clock.set(110 * SECOND_NANOS);
     assertFalse(slowStart.inProgress());
   }
 
   @Test
-  void anEndpointThatStartedLongAgoHasNone() {
-    assertFalse(new SlowStart(new EventClock(SECOND), RULES, 0).inProgress());
+  void endpointStartedLongAgoIsNotInSlowStart() {
+    assertFalse(new SlowStart(new EventClock(SECOND_NANOS), RULES, 0).inProgress());
   }
 }
--- a/edge/src/test/java/edgegateway/policy/routing/ZoneTrafficTest.java
+++ b/edge/src/test/java/edgegateway/policy/routing/ZoneTrafficTest.java
@@ -15,7 +15,7 @@
   private final ZoneTraffic zones = new ZoneTraffic(clock);
 
   @Test
-  void operatorsComeBeforeTheFleetUntilTheirRampIsOver() {
+  void operatorRampTakesPrecedenceOverFleetUntilComplete() {
     zones.setFleetRamp(1, new TrafficRamp(0, 0, 0, 1));
     assertEquals(0, zones.trafficFraction(1));
     zones.readmitByOperator(1, 100);
@@ -23,12 +23,13 @@
     assertEquals(0.5, zones.trafficFraction(1), 1e-9);
     assertTrue(zones.isDecidedByOperator(1));
     clock.set(1_100);
-    assertEquals(0, zones.trafficFraction(1), "the fleet decides again");
+    assertEquals(
+        0, zones.trafficFraction(1), "the fleet's ramp applies once the operator's is complete");
     assertFalse(zones.isDecidedByOperator(1));
   }
 
   @Test
-  void anEjectedZoneGetsNothing() {
+  void ejectedZoneGetsNoTraffic() {
     zones.ejectByOperator(2, 100);
     assertEquals(0, zones.trafficFraction(2));
     assertEquals(1, zones.trafficFraction(3));
@@ -36,7 +37,7 @@
   }
 
   @Test
-  void aProbeIsGivenOnceAndDroppedByANewRamp() {
+  void probeIsReturnedOnceAndDroppedByNewFleetRamp() {
     zones.requestProbe(4);
     assertEquals(4, zones.pollZoneToProbe());
     assertNull(zones.pollZoneToProbe());
