--- a/edge/src/main/java/edgegateway/policy/RequestLifecycle.java
+++ b/edge/src/main/java/edgegateway/policy/RequestLifecycle.java
@@ -94,7 +94,7 @@
       giveUp(pending);
     } else {
       double priorityWeight = pending.requestClass().priorityWeight();
-      apply(pending, quotas.admit(reservation, priorityWeight, pending.objectiveNanos()));
+      apply(pending, quotas.admit(reservation, priorityWeight, pending.objectiveAtNanos()));
     }
     dispatch();
   }
@@ -114,7 +114,7 @@
   /** A request's wait for the shared counter is over. */
   void counterAnswered(String requestId, boolean answered) {
     PendingRequest request = requests.get(requestId);
-    if (request.isClientGone()) {
+    if (request.isClientDisconnected()) {
       finish(request);
     } else {
       apply(request, quotas.decide(request.reservation(), answered));
@@ -163,7 +163,7 @@
 
   /** Sends requests in the order of the fair queue while the concurrency limit has room. */
   void dispatch() {
-    while (inFlight.mayRelease()) {
+    while (inFlight.mayDispatch()) {
       PendingRequest next = queues.next();
       if (next == null) {
         return;
@@ -177,7 +177,7 @@
       if (endpoint == null) {
         return;
       }
-      queues.release(next);
+      queues.dequeue(next);
       send(next, endpoint);
     }
   }
@@ -208,7 +208,7 @@
     if (result.outcome() == Outcome.OK) {
       quotas.requestServed(request.reservation(), result.actualUnits());
     }
-    if (result.requestComplete() || request.isClientGone()) {
+    if (result.requestComplete() || request.isClientDisconnected()) {
       finish(request);
     } else {
       retryOrGiveUp(request, provesNotExecuted);
