--- a/edge/src/main/java/edgegateway/policy/control/ClassIntervalStatistics.java
+++ b/edge/src/main/java/edgegateway/policy/control/ClassIntervalStatistics.java
@@ -6,7 +6,7 @@
 
 /**
  * Statistics of a request class over one control interval. {@link #reset} starts the next interval;
- * only the moving average of the priced units is kept across intervals.
+ * only the moving average of the weighted units is kept across intervals.
  */
 public final class ClassIntervalStatistics {
   /**
@@ -17,17 +17,18 @@
 
   private static final double SECONDS_PER_NANO = 1e-9;
 
-  /** Weight of a request in the moving average of the priced units. */
-  private static final double PRICE_SMOOTHING = 0.02;
+  /** Weight of a request in the moving average of the weighted units. */
+  private static final double WEIGHTED_UNITS_SMOOTHING = 0.02;
 
   /** Minimum service time that a failed attempt counts with, in latency objectives. */
   private static final double MIN_FAILURE_OBJECTIVES = 2;
 
+  /** Avoids a division by 0. */
   private static final double MIN_LATENCY_SUM_SECONDS = 1e-6;
 
   private final RequestClass requestClass;
   private final List<Double> serviceTimesSeconds = new ArrayList<>();
-  private double averagePricedUnits = 1;
+  private double averageWeightedUnits = 1;
   private double latencySumSeconds;
   private double waitSumSeconds;
   private int arrivals;
@@ -46,15 +47,15 @@
   /**
    * An attempt succeeded.
    *
-   * @param pricedUnits units of the request times the price factor of its plan
+   * @param weightedUnits units of the request times the priority factor of its plan
    * @param latencySeconds time from the arrival of the request to its answer
    * @param waitSeconds time from the arrival of the request to the start of this attempt
    * @param serviceSeconds duration of this attempt
    */
   public void attemptSucceeded(
-      double pricedUnits, double latencySeconds, double waitSeconds, double serviceSeconds) {
+      double weightedUnits, double latencySeconds, double waitSeconds, double serviceSeconds) {
     succeeded++;
-    averagePricedUnits += PRICE_SMOOTHING * (pricedUnits - averagePricedUnits);
+    averageWeightedUnits += WEIGHTED_UNITS_SMOOTHING * (weightedUnits - averageWeightedUnits);
     latencySumSeconds += latencySeconds;
     waitSumSeconds += waitSeconds;
     serviceTimesSeconds.add(serviceSeconds);
@@ -106,10 +107,10 @@
 
   /**
    * Value of an average request of this class that is answered in time: priority weight times
-   * average priced units.
+   * average weighted units.
    */
   double valuePerRequest() {
-    return requestClass.priorityWeight() * averagePricedUnits;
+    return requestClass.priorityWeight() * averageWeightedUnits;
   }
 
   /**
--- a/edge/src/main/java/edgegateway/policy/control/ConcurrencyController.java
+++ b/edge/src/main/java/edgegateway/policy/control/ConcurrencyController.java
@@ -7,8 +7,8 @@
 /**
  * Controls the limit on concurrent attempts of this node. The maximum of the limit is the node's
  * part of the attempts that all endpoints may have in flight. Below the maximum, the limit is
- * adjusted once per control interval so that a high quantile of the service times of the class with
- * the tightest latency objective, plus the wait in the queue, meets that objective.
+ * adjusted once per control interval so that the 90th percentile of the service times of the class
+ * with the tightest latency objective, plus the mean wait in the queue, meets that objective.
  */
 public final class ConcurrencyController {
   /** The operators' limit on concurrent attempts per endpoint, over all nodes. */
@@ -71,7 +71,7 @@
   }
 
   /**
-   * The number of usable endpoints, where an endpoint in slow start counts as its present fraction
+   * The number of usable endpoints, where an endpoint in slow start counts as its current fraction
    * of full capacity; at least 0.25.
    */
   public double effectiveEndpoints() {
--- a/edge/src/main/java/edgegateway/policy/control/LinearModel.java
+++ b/edge/src/main/java/edgegateway/policy/control/LinearModel.java
@@ -3,8 +3,7 @@
 import org.ejml.simple.SimpleMatrix;
 
 /**
- * A linear model of the plant over the next control interval: {@code output = offset + gain ·
- * input}.
+ * A linear model of the plant over one control interval: {@code output = offset + gain · input}.
  *
  * @param offset predicted outputs if all inputs are 0; a column with one row per output
  * @param gain effect of each input on each output; one row per output, one column per input
--- a/edge/src/main/java/edgegateway/policy/control/UtilityOptimizer.java
+++ b/edge/src/main/java/edgegateway/policy/control/UtilityOptimizer.java
@@ -89,7 +89,7 @@
       return grantedSum >= 1 - SHARE_SUM_TOLERANCE;
     }
 
-    /** The grant with the highest gain; among equal gains, that of the first class. */
+    /** The grant with the highest gain per share; among equal gains, that of the first class. */
     Grant bestGrant() {
       Grant best = new Grant(0, step, Double.NEGATIVE_INFINITY);
       for (int classIndex = 0; classIndex < shares.length; classIndex++) {
--- a/edge/src/main/java/edgegateway/policy/scheduling/FairQueue.java
+++ b/edge/src/main/java/edgegateway/policy/scheduling/FairQueue.java
@@ -101,7 +101,7 @@
   /**
    * Sets the average service times, in seconds, to those of the process that this one replaces.
    *
-   * @param averages one per class; if the lists differ in length, the rest is ignored
+   * @param averages one per class; surplus values are ignored, and classes without one keep theirs
    */
   public void setAverageServiceSeconds(List<Double> averages) {
     for (int i = 0; i < Math.min(queues.size(), averages.size()); i++) {
--- a/edge/src/main/java/edgegateway/policy/scheduling/PendingRequest.java
+++ b/edge/src/main/java/edgegateway/policy/scheduling/PendingRequest.java
@@ -121,9 +121,9 @@
   }
 
   /**
-   * The value of answering the request: the priority weight of its class times the priority factor of
-   * its plan. Over quota, this is multiplied by the fraction that the request still earns less the
-   * fraction that forwarding it costs.
+   * The value of answering the request: the priority weight of its class times the priority factor
+   * of its plan. Over quota, this is multiplied by the fraction that the request still earns less
+   * the fraction that forwarding it costs.
    */
   public double value() {
     QuotaPlan plan = reservation.quota().plan();
--- a/edge/src/main/java/edgegateway/policy/scheduling/ServiceTimeEstimate.java
+++ b/edge/src/main/java/edgegateway/policy/scheduling/ServiceTimeEstimate.java
@@ -18,6 +18,8 @@
   private static final double MIN_UNITS_RATIO = 0.3;
 
   private static final double MAX_UNITS_RATIO = 3;
+
+  /** Avoids a division by 0. */
   private static final double MIN_AVERAGE_UNITS = 1e-9;
 
   private double averageSeconds;
--- a/edge/src/test/java/edgegateway/policy/control/ClassIntervalStatisticsTest.java
+++ b/edge/src/test/java/edgegateway/policy/control/ClassIntervalStatisticsTest.java
@@ -49,7 +49,7 @@
   }
 
   @Test
-  void resetKeepsOnlyAveragePricedUnits() {
+  void resetKeepsOnlyAverageWeightedUnits() {
     for (int request = 0; request < 1000; request++) {
       statistics.requestArrived();
       statistics.attemptSucceeded(5, 0.2, 0.1, 0.1);
@@ -63,7 +63,7 @@
   }
 
   @Test
-  void averagePricedUnitsFollowGradually() {
+  void averageWeightedUnitsFollowGradually() {
     assertEquals(3, statistics.valuePerRequest());
     statistics.attemptSucceeded(2, 0.2, 0.1, 0.1);
     assertTrue(statistics.valuePerRequest() > 3 && statistics.valuePerRequest() < 3.1);
--- a/edge/src/test/java/edgegateway/policy/control/Fixtures.java
+++ b/edge/src/test/java/edgegateway/policy/control/Fixtures.java
@@ -27,7 +27,7 @@
             priorityWeight));
   }
 
-  /** Records {@code count} identical requests of 1 priced unit that arrived and succeeded. */
+  /** Records {@code count} identical requests of 1 weighted unit that arrived and succeeded. */
   static void succeed(
       ClassIntervalStatistics statistics, int count, double waitSeconds, double serviceSeconds) {
     for (int request = 0; request < count; request++) {
