--- a/edge/src/main/java/edgegateway/policy/GatewayPolicy.java
+++ b/edge/src/main/java/edgegateway/policy/GatewayPolicy.java
@@ -26,9 +26,10 @@
 import java.util.SplittableRandom;
 
 /**
- * All decisions of one node, as a façade: it receives the host's events and orders the calls to the
- * mechanisms, each of which has a package below this one. It holds no rule of its own. The
- * mechanisms follow the Proteus paper; see {@code docs/DECISIONS.md} for where each rule stands.
+ * The policy of one node: a façade that receives the host's events and passes them to the
+ * mechanisms in the right order. Each mechanism has a package below this one; this class holds no
+ * rule of its own. The mechanisms follow the Proteus paper; {@code docs/DECISIONS.md} tells where
+ * each rule is implemented.
  *
  * <p>Not thread-safe: all events come from one thread, in the order in which they happen.
  */
@@ -50,9 +51,9 @@
    * Creates the policy of a node that starts now.
    *
    * @param settings the settings that the node starts with
-   * @param seed the seed of the policy's one source of randomness
-   * @param nowNanos the present moment, in nanoseconds of the clock that all events use
-   * @param actions what the policy asks of its host
+   * @param seed the seed of the random generator that all mechanisms share
+   * @param nowNanos the present time, in nanoseconds of the clock that all events use
+   * @param actions carries out what the policy decides
    */
   public GatewayPolicy(PolicySettings settings, long seed, long nowNanos, PolicyActions actions) {
     this.settings = settings;
@@ -60,7 +61,7 @@
     SplittableRandom random = new SplittableRandom(seed);
     clock = new EventClock(nowNanos);
     router = new EndpointRouter(settings, clock, random, actions);
-    quotas = new QuotaManager(settings, clock, random, actions, this::counterAnswered);
+    quotas = new QuotaManager(settings, clock, random, actions, this::counterWaitEnded);
     List<ClassIntervalStatistics> statistics =
         settings.requestClasses().stream().map(ClassIntervalStatistics::new).toList();
     shares = new ShareController(statistics);
@@ -94,51 +95,55 @@
   }
 
   @Override
-  public void streamStarted(long nowNanos, String id) {
+  public void streamStarted(long nowNanos, String requestId) {
     clock.set(nowNanos);
   }
 
   @Override
-  public void bodyForwarded(long nowNanos, String id) {
+  public void bodyForwarded(long nowNanos, String requestId) {
     clock.set(nowNanos);
-    requests.bodyForwarded(id);
+    requests.bodyForwarded(requestId);
   }
 
   @Override
-  public void uploadCompleted(long nowNanos, String id) {
+  public void uploadCompleted(long nowNanos, String requestId) {
     clock.set(nowNanos);
-    requests.uploadCompleted(id);
+    requests.uploadCompleted(requestId);
   }
 
   @Override
-  public void clientDisconnected(long nowNanos, String id) {
+  public void clientDisconnected(long nowNanos, String requestId) {
     clock.set(nowNanos);
-    requests.clientDisconnected(id);
+    requests.clientDisconnected(requestId);
   }
 
   @Override
-  public void counterReplied(long nowNanos, long name, Outcome outcome, double total) {
+  public void counterReplied(long nowNanos, long key, Outcome outcome, double total) {
     clock.set(nowNanos);
-    quotas.counterReplied(name, outcome, total);
+    quotas.counterReplied(key, outcome, total);
     requests.dispatch();
   }
 
-  private void counterAnswered(String requestId, boolean answered) {
-    requests.counterAnswered(requestId, answered);
+  private void counterWaitEnded(String requestId, boolean answered) {
+    requests.counterWaitEnded(requestId, answered);
   }
 
   @Override
   public void healthChecked(
-      long nowNanos, String id, Outcome outcome, long tookNanos, List<Double> report) {
+      long nowNanos,
+      String endpointId,
+      Outcome outcome,
+      long durationNanos,
+      List<Double> loadReport) {
     clock.set(nowNanos);
-    router.healthChecked(id, report);
+    router.healthChecked(endpointId, loadReport);
   }
 
   @Override
   public void timerFired(long nowNanos, long token) {
     clock.set(nowNanos);
     actions.scheduleTimer(0, Durations.TIMER_PERIOD_NANOS);
-    requests.giveUpLate();
+    requests.giveUpExpired();
     quotas.timerFired();
     if (nowNanos >= nextControlNanos) {
       nextControlNanos += CONTROL_INTERVAL_NANOS;
@@ -164,19 +169,20 @@
     endpointsChanged();
   }
 
-  /** After each change of the endpoints that may be chosen. */
+  /** Updates the limits and sends queued requests after a change of the selectable endpoints. */
   private void endpointsChanged() {
     updateCapacity();
     requests.dispatch();
   }
 
   @Override
-  public boolean setEndpointEjected(long nowNanos, String id, boolean ejected) {
+  public boolean setEndpointEjected(long nowNanos, String endpointId, boolean ejected) {
     clock.set(nowNanos);
-    return applied(router.setEndpointEjected(id, ejected));
+    return updateAfter(router.setEndpointEjected(endpointId, ejected));
   }
 
-  private boolean applied(EjectionResult result) {
+  /** Follows up an operator's command; returns false if it was refused. */
+  private boolean updateAfter(EjectionResult result) {
     if (result == EjectionResult.CHANGED) {
       endpointsChanged();
     }
@@ -184,27 +190,27 @@
   }
 
   @Override
-  public void restoreEjectedEndpoints(long nowNanos, Set<String> ids) {
+  public void restoreEjectedEndpoints(long nowNanos, Set<String> endpointIds) {
     clock.set(nowNanos);
-    router.restoreEjectedEndpoints(ids);
+    router.restoreEjectedEndpoints(endpointIds);
     endpointsChanged();
   }
 
   @Override
   public boolean setZoneEjected(long nowNanos, int zone, boolean ejected, long rampNanos) {
     clock.set(nowNanos);
-    return applied(router.setZoneEjected(zone, ejected, rampNanos));
+    return updateAfter(router.setZoneEjected(zone, ejected, rampNanos));
   }
 
   @Override
-  public void restoreEjectedZones(long nowNanos, Set<Integer> ejected) {
+  public void restoreEjectedZones(long nowNanos, Set<Integer> zones) {
     clock.set(nowNanos);
     for (int zone : router.zonesChangedByOperator()) {
-      if (!ejected.contains(zone)) {
-        applied(router.setZoneEjected(zone, false, settings.rules().slowStartNanos()));
+      if (!zones.contains(zone)) {
+        updateAfter(router.setZoneEjected(zone, false, settings.rules().slowStartNanos()));
       }
     }
-    router.ejectZones(ejected);
+    router.ejectZones(zones);
     endpointsChanged();
   }
 
@@ -221,36 +227,39 @@
     router.probeZone(zone);
   }
 
-  /** The evidence of this node's attempts in each zone with listed endpoints. */
+  /** How this node's attempts fared in each zone with listed endpoints. */
   public List<ZoneHealth> zoneHealth(long nowNanos) {
     clock.set(nowNanos);
     return router.zoneHealth();
   }
 
-  /** How a zone stands now, as of the last event. */
+  /** The traffic and the endpoints of a zone at the time of the last event. */
   public ZoneStatus zoneStatus(int zone) {
     return router.zoneStatus(zone);
   }
 
-  /** The zones that operators have ejected. */
+  /** Indexes of the zones that operators have ejected. */
   public Set<Integer> operatorEjectedZones() {
     return router.zonesEjectedByOperator();
   }
 
-  /** The endpoints that operators have ejected, listed or not. */
+  /** Ids of the endpoints that operators have ejected, in the list or not. */
   public Set<String> operatorEjectedEndpoints() {
     return router.endpointsEjectedByOperator();
   }
 
   /**
-   * The ids of the listed endpoints that get no requests now: ejected by an operator or with their
+   * Ids of the listed endpoints that get no requests now: ejected by an operator or with their
    * zone, draining, or outliers.
    */
   public List<String> skippedEndpoints() {
     return router.avoidedEndpoints();
   }
 
-  /** What the usable endpoints bear sets the concurrency limit, and that the slow start. */
+  /**
+   * Sets the concurrency limit from the capacity of the usable endpoints, and passes the resulting
+   * number of effective endpoints on to the slow-start limit.
+   */
   private void updateCapacity() {
     concurrency.capacityChanged(router.usableCapacity());
     router.capacityChanged(concurrency.effectiveEndpoints());
@@ -264,9 +273,9 @@
   }
 
   @Override
-  public void importState(long nowNanos, StateTransfer from) {
+  public void importState(long nowNanos, StateTransfer state) {
     clock.set(nowNanos);
-    queues.setAverageServiceSeconds(from.serviceTimesSeconds());
-    quotas.importUsages(from.counterCallsPerSecond(), from.quotaUsages());
+    queues.setAverageServiceSeconds(state.serviceTimesSeconds());
+    quotas.importUsages(state.counterCallsPerSecond(), state.quotaUsages());
   }
 }
--- a/edge/src/main/java/edgegateway/policy/RequestLifecycle.java
+++ b/edge/src/main/java/edgegateway/policy/RequestLifecycle.java
@@ -30,8 +30,9 @@
 import java.util.SplittableRandom;
 
 /**
- * The way of each request from its arrival to its one final answer: deadline, quota, queue,
- * endpoint, attempts. It asks the mechanisms in their order and holds no rule of its own.
+ * Takes each request from its arrival to its single final answer: deadline check, quota, queue,
+ * endpoint selection, attempts and retries. Calls the mechanisms in this order and holds no rule of
+ * its own. Runs on the thread of the policy's events.
  */
 final class RequestLifecycle {
   private final PolicySettings settings;
@@ -75,9 +76,12 @@
     timeouts = new AttemptTimeouts(clock, retryBudget);
   }
 
-  /** Takes a request; one of an unknown class or plan is rejected, a known name is ignored. */
+  /**
+   * Admits, rejects or queues a request. One of an unknown class or plan is rejected; one whose id
+   * is in use already is ignored.
+   */
   void requestReceived(Request request) {
-    if (!isKnownKind(request)) {
+    if (!hasKnownClassAndPlan(request)) {
       actions.reject(request.id(), 0);
       return;
     }
@@ -86,11 +90,11 @@
     }
     QuotaReservation reservation = quotas.newReservation(request);
     CustomerQuota quota = reservation.quota();
-    SendPermit cap = concurrencyCaps.of(request.customer(), quota.plan(), quota.nodes());
-    PendingRequest pending = queues.newRequest(request, reservation, cap);
+    SendPermit permit = concurrencyCaps.of(request.customer(), quota.plan(), quota.nodes());
+    PendingRequest pending = queues.newRequest(request, reservation, permit);
     requests.put(request.id(), pending);
     if (deadlines.cannotMeetObjective(pending)) {
-      // The next look at the queue would be too late for some.
+      // It is not queued: at the next check of the queue it could be too late for its answer.
       giveUp(pending);
     } else {
       double priorityWeight = pending.requestClass().priorityWeight();
@@ -99,20 +103,24 @@
     dispatch();
   }
 
-  private boolean isKnownKind(Request request) {
+  private boolean hasKnownClassAndPlan(Request request) {
     return request.requestClass() >= 0
         && request.requestClass() < queues.queues().size()
         && request.plan() >= 0
         && request.plan() < settings.quotaPlans().size();
   }
 
-  /** Rejects a request that the host has no room for. */
+  /** Rejects a request for which the host has no capacity left. */
   void requestOverHostCapacity(Request request) {
     actions.reject(request.id(), retryAfter.overCapacityNanos());
   }
 
-  /** A request's wait for the shared counter is over. */
-  void counterAnswered(String requestId, boolean answered) {
+  /**
+   * Decides on a request whose wait for the shared counter is over.
+   *
+   * @param answered whether the counter answered; false after an error or a timeout
+   */
+  void counterWaitEnded(String requestId, boolean answered) {
     PendingRequest request = requests.get(requestId);
     if (request.isClientGone()) {
       finish(request);
@@ -139,20 +147,27 @@
     router.checkHealthIfRarelyUsed(request);
   }
 
+  /**
+   * Gives up the least valuable requests of a queue while the concurrency limit is reached and the
+   * last request would wait too long.
+   */
   private void shedLoad(RequestClassQueue queue) {
     if (inFlight.belowLimit()) {
       return;
     }
     LoadShedder.WaitLimit limit = loadShedder.waitLimit(queue, concurrency.limit());
     while (!inFlight.belowLimit() && limit.isExceededBy(queue)) {
-      PendingRequest least = LoadShedder.leastValuable(queue);
-      queue.remove(least);
-      giveUp(least);
+      PendingRequest leastValuable = LoadShedder.leastValuable(queue);
+      queue.remove(leastValuable);
+      giveUp(leastValuable);
     }
   }
 
-  /** Gives up the requests that have waited too long; a short deadline may be behind a long one. */
-  void giveUpLate() {
+  /**
+   * Gives up all queued requests that can no longer be answered by their latency objective. Each
+   * one is checked, since a short deadline may be queued behind a long one.
+   */
+  void giveUpExpired() {
     for (RequestClassQueue queue : queues.queues()) {
       for (PendingRequest request : queue.matching(deadlines::cannotMeetObjective)) {
         queue.remove(request);
@@ -161,7 +176,7 @@
     }
   }
 
-  /** Sends requests in the order of the fair queue while the concurrency limit has room. */
+  /** Sends queued requests in the order of the fair queue, up to the concurrency limit. */
   void dispatch() {
     while (inFlight.mayRelease()) {
       PendingRequest next = queues.next();
@@ -193,7 +208,10 @@
     actions.sendAttempt(request.id(), endpoint.id(), timeoutNanos);
   }
 
-  /** The end of an attempt: of the request too, or a retry or the final answer is due. */
+  /**
+   * Handles the end of an attempt: ends the request if it is complete or its client has gone, else
+   * retries it or gives it up.
+   */
   void attemptEnded(AttemptResult result) {
     PendingRequest request = requests.get(result.requestId());
     if (request == null || request.endpoint() == null) {
@@ -202,8 +220,8 @@
     boolean provesNotExecuted = result.outcome().provesNotExecuted();
     EndpointTracker endpoint = request.endpoint();
     request.attemptEnded(provesNotExecuted);
-    boolean inProgress = router.attemptEnded(request, endpoint, result);
-    inFlight.attemptEnded(inProgress, result.durationNanos());
+    boolean wasInFlight = router.attemptEnded(request, endpoint, result);
+    inFlight.attemptEnded(wasInFlight, result.durationNanos());
     request.queue().attemptEnded(request, result, clock.nowNanos());
     if (result.outcome() == Outcome.OK) {
       quotas.requestServed(request.reservation(), result.actualUnits());
@@ -227,9 +245,12 @@
     }
   }
 
-  /** A part of a request's long body was forwarded and is no longer held. */
-  void bodyForwarded(String id) {
-    PendingRequest request = requests.get(id);
+  /**
+   * A part of a request's long body was forwarded and is no longer buffered. Until its upload is
+   * complete the attempt does not count towards the concurrency limit.
+   */
+  void bodyForwarded(String requestId) {
+    PendingRequest request = requests.get(requestId);
     if (request == null || request.endpoint() == null || request.isBodyForwarded()) {
       return;
     }
@@ -239,9 +260,9 @@
     dispatch();
   }
 
-  /** The rest of a request's long body was forwarded. */
-  void uploadCompleted(String id) {
-    PendingRequest request = requests.get(id);
+  /** The rest of a request's long body was forwarded: its attempt counts as in flight again. */
+  void uploadCompleted(String requestId) {
+    PendingRequest request = requests.get(requestId);
     if (request == null || request.endpoint() == null) {
       return;
     }
@@ -250,9 +271,11 @@
     router.uploadCompleted(request, request.endpoint());
   }
 
-  /** The client left: the request ends now, or with the attempt or counter call in progress. */
-  void clientDisconnected(String id) {
-    PendingRequest request = requests.get(id);
+  /**
+   * The client disconnected: the request ends now, or with its attempt or counter call in progress.
+   */
+  void clientDisconnected(String requestId) {
+    PendingRequest request = requests.get(requestId);
     if (request == null) {
       return;
     }
@@ -263,10 +286,12 @@
     }
   }
 
-  /** The one final answer of a request that is not served. */
+  /**
+   * Ends a request that is not served: rejects it if a retry by its client is safe, else fails it.
+   */
   private void giveUp(PendingRequest request) {
     if (retries.mayReject(request)) {
-      // Who comes back before what waits now has been served only makes the wait longer.
+      // A client that retries before the requests queued now are served only lengthens the queue.
       RequestClassQueue queue = request.queue();
       double seconds = queue.size() * queue.serviceTime().averageSeconds() / concurrency.limit();
       actions.reject(request.id(), retryAfter.adviceNanos(seconds));
@@ -276,7 +301,7 @@
     finish(request);
   }
 
-  /** The end of a request here; what it holds of the quota is given back if it was never sent. */
+  /** Removes a request, and releases its quota reservation if it was never sent. */
   private void finish(PendingRequest request) {
     requests.remove(request.id());
     if (request.attempts() == 0) {
