--- a/edge/src/test/java/edgegateway/policy/Host.java
+++ b/edge/src/test/java/edgegateway/policy/Host.java
@@ -27,18 +27,19 @@
 final class Host implements PolicyActions {
   static final long MS = 1_000_000L;
 
-  /** Request classes: indexes into the settings. */
+  /** Index of the request class whose requests may be executed more than once. */
   static final int IDEMPOTENT = 0;
 
-  /** With an idempotency key that the endpoints of one cell share. */
+  /** Index of the request class with an idempotency key that the endpoints of a cell share. */
   static final int KEYED_CELL = 1;
 
+  /** Index of the request class whose requests must not be executed more than once. */
   static final int NOT_IDEMPOTENT = 2;
 
-  /** With an idempotency key that all endpoints share. */
+  /** Index of the request class with an idempotency key that all endpoints share. */
   static final int KEYED_ALL = 3;
 
-  /** Neither quota nor ceiling. */
+  /** A plan without quota, ceiling and concurrency cap. */
   static final QuotaPlan UNLIMITED_PLAN = new QuotaPlan(0, 0, 0, 1, 0, 0, 0, 0, 0);
 
   record Attempt(String requestId, String endpointId, long timeoutNanos) {}
--- a/edge/src/test/java/edgegateway/policy/MechanismTest.java
+++ b/edge/src/test/java/edgegateway/policy/MechanismTest.java
@@ -345,20 +345,20 @@
     // units back before they were reported.
     Host host = new Host(new QuotaPlan(10, 30, 0, 1, 0, 1, 0, 0, 0), 30, 0).addEndpoints(20);
     int[] callsByUnits = new int[5];
-    int callsLeft = 0;
+    int remainingCalls = 0;
     for (int tick = 0; tick < 2000; tick++) {
       // One request of each customer, of 1 and 4 units in turn: far more requests than calls.
       int units = tick % 2 == 0 ? 1 : 4;
       String id = host.request(IDEMPOTENT, 0, tick, units, host.nowNanos + 3000 * MS);
       host.advance(20 * MS);
       // The counter answers five calls a second and rejects all others.
-      callsLeft = tick % 50 == 0 ? 5 : callsLeft;
+      remainingCalls = tick % 50 == 0 ? 5 : remainingCalls;
       for (Host.CounterCall call : List.copyOf(host.counterCalls)) {
         callsByUnits[(int) Math.max(0, call.amount())]++;
         host.policy.counterReplied(
             host.nowNanos,
             call.key(),
-            callsLeft-- > 0 ? Outcome.OK : Outcome.REJECTED,
+            remainingCalls-- > 0 ? Outcome.OK : Outcome.REJECTED,
             call.amount());
       }
       host.counterCalls.clear();
