--- a/edge/src/main/java/edgegateway/policy/GatewayPolicy.java
+++ b/edge/src/main/java/edgegateway/policy/GatewayPolicy.java
@@ -186,7 +186,7 @@
     if (result == EjectionResult.CHANGED) {
       endpointsChanged();
     }
-    return result != EjectionResult.REFUSED;
+    return result != EjectionResult.REJECTED;
   }
 
   @Override
@@ -205,7 +205,7 @@
   @Override
   public void restoreEjectedZones(long nowNanos, Set<Integer> zones) {
     clock.set(nowNanos);
-    for (int zone : router.zonesChangedByOperator()) {
+    for (int zone : router.zonesEverEjectedByOperator()) {
       if (!zones.contains(zone)) {
         updateAfter(router.setZoneEjected(zone, false, settings.rules().slowStartNanos()));
       }
@@ -253,7 +253,7 @@
    * zone, draining, or outliers.
    */
   public List<String> skippedEndpoints() {
-    return router.avoidedEndpoints();
+    return router.skippedEndpoints();
   }
 
   /**
--- a/edge/src/main/java/edgegateway/policy/RequestLifecycle.java
+++ b/edge/src/main/java/edgegateway/policy/RequestLifecycle.java
@@ -98,7 +98,7 @@
       giveUp(pending);
     } else {
       double priorityWeight = pending.requestClass().priorityWeight();
-      apply(pending, quotas.admit(reservation, priorityWeight, pending.objectiveNanos()));
+      apply(pending, quotas.admit(reservation, priorityWeight, pending.objectiveAtNanos()));
     }
     dispatch();
   }
@@ -122,7 +122,7 @@
    */
   void counterWaitEnded(String requestId, boolean answered) {
     PendingRequest request = requests.get(requestId);
-    if (request.isClientGone()) {
+    if (request.isClientDisconnected()) {
       finish(request);
     } else {
       apply(request, quotas.decide(request.reservation(), answered));
@@ -144,7 +144,7 @@
   private void enqueue(PendingRequest request) {
     request.queue().add(request);
     shedLoad(request.queue());
-    router.checkHealthIfRarelyUsed(request);
+    router.checkHealthIfTrafficLow(request);
   }
 
   /**
@@ -178,7 +178,7 @@
 
   /** Sends queued requests in the order of the fair queue, up to the concurrency limit. */
   void dispatch() {
-    while (inFlight.mayRelease()) {
+    while (inFlight.mayDispatch()) {
       PendingRequest next = queues.next();
       if (next == null) {
         return;
@@ -192,7 +192,7 @@
       if (endpoint == null) {
         return;
       }
-      queues.release(next);
+      queues.dequeue(next);
       send(next, endpoint);
     }
   }
@@ -226,7 +226,7 @@
     if (result.outcome() == Outcome.OK) {
       quotas.requestServed(request.reservation(), result.actualUnits());
     }
-    if (result.requestComplete() || request.isClientGone()) {
+    if (result.requestComplete() || request.isClientDisconnected()) {
       finish(request);
     } else {
       retryOrGiveUp(request, provesNotExecuted);
--- a/edge/src/main/java/edgegateway/policy/routing/EndpointSelector.java
+++ b/edge/src/main/java/edgegateway/policy/routing/EndpointSelector.java
@@ -101,7 +101,7 @@
     }
     List<EndpointTracker> candidates = new ArrayList<>();
     addRandom(candidates, routable, count);
-    for (EndpointTracker endpoint : recent.places()) {
+    for (EndpointTracker endpoint : recent.slots()) {
       if (endpoint != null && endpoint.usable()) {
         candidates.add(endpoint);
       }
@@ -129,7 +129,7 @@
 
   private List<EndpointTracker> withinScope(RoutableRequest request) {
     List<EndpointTracker> within = new ArrayList<>();
-    EndpointTracker first = request.mayHaveExecutedAt();
+    EndpointTracker first = request.possibleExecutionEndpoint();
     boolean byZone = request.requestClass().deduplicationScope() == DeduplicationScope.ZONE;
     for (EndpointTracker endpoint : registry.routable()) {
       boolean same =
