--- a/edge/src/main/java/edgegateway/policy/GatewayPolicy.java
+++ b/edge/src/main/java/edgegateway/policy/GatewayPolicy.java
@@ -60,7 +60,7 @@
     SplittableRandom random = new SplittableRandom(seed);
     clock = new EventClock(nowNanos);
     router = new EndpointRouter(settings, clock, random, actions);
-    quotas = new QuotaManager(settings, clock, random, actions, this::counterAnswered);
+    quotas = new QuotaManager(settings, clock, random, actions, this::counterWaitEnded);
     List<ClassIntervalStatistics> statistics =
         settings.requestClasses().stream().map(ClassIntervalStatistics::new).toList();
     shares = new ShareController(statistics);
@@ -123,8 +123,8 @@
     requests.dispatch();
   }
 
-  private void counterAnswered(String requestId, boolean answered) {
-    requests.counterAnswered(requestId, answered);
+  private void counterWaitEnded(String requestId, boolean answered) {
+    requests.counterWaitEnded(requestId, answered);
   }
 
   @Override
--- a/edge/src/main/java/edgegateway/policy/RequestLifecycle.java
+++ b/edge/src/main/java/edgegateway/policy/RequestLifecycle.java
@@ -112,7 +112,7 @@
   }
 
   /** A request's wait for the shared counter is over. */
-  void counterAnswered(String requestId, boolean answered) {
+  void counterWaitEnded(String requestId, boolean answered) {
     PendingRequest request = requests.get(requestId);
     if (request.isClientGone()) {
       finish(request);
--- a/edge/src/main/java/edgegateway/policy/quota/QuotaManager.java
+++ b/edge/src/main/java/edgegateway/policy/quota/QuotaManager.java
@@ -16,14 +16,14 @@
 public final class QuotaManager {
   /** Told when a request's wait for the shared counter is over. */
   @FunctionalInterface
-  public interface CounterAnswerListener {
+  public interface CounterWaitListener {
     /**
      * The wait is over; {@link QuotaManager#decide} is due unless the client has gone.
      *
      * @param requestId the request that waited
      * @param answered whether the counter answered; false after an error or a timeout
      */
-    void counterAnswered(String requestId, boolean answered);
+    void counterWaitEnded(String requestId, boolean answered);
   }
 
   /** A call that the host never ends must not cost a request its answer: it waits this long. */
@@ -31,7 +31,7 @@
 
   private final PolicySettings settings;
   private final EventClock clock;
-  private final CounterAnswerListener listener;
+  private final CounterWaitListener listener;
   private final CounterAvailability availability;
   private final CounterCallBudget budget;
   private final CounterCalls calls;
@@ -46,7 +46,7 @@
       EventClock clock,
       SplittableRandom random,
       PolicyActions actions,
-      CounterAnswerListener listener) {
+      CounterWaitListener listener) {
     this.settings = settings;
     this.clock = clock;
     this.listener = listener;
@@ -148,7 +148,7 @@
       return;
     }
     reservation.setAwaitingCounter(false);
-    listener.counterAnswered(reservation.requestId(), answered);
+    listener.counterWaitEnded(reservation.requestId(), answered);
   }
 
   /** The rate of the counter's call budget, in calls a second. */
