--- a/edge/src/main/java/edgegateway/policy/RequestLifecycle.java
+++ b/edge/src/main/java/edgegateway/policy/RequestLifecycle.java
@@ -108,7 +108,7 @@
 
   /** Rejects a request that the host has no room for. */
   void requestOverHostCapacity(Request request) {
-    actions.reject(request.id(), retryAfter.overCapacityNanos());
+    actions.reject(request.id(), retryAfter.overCapacityRetryAfterNanos());
   }
 
   /** A request's wait for the shared counter is over. */
@@ -126,7 +126,7 @@
       case ADMITTED -> enqueue(request);
       case REJECTED -> {
         double seconds = request.reservation().retryAfterSeconds();
-        actions.reject(request.id(), retryAfter.adviceNanos(seconds));
+        actions.reject(request.id(), retryAfter.retryAfterNanos(seconds));
         finish(request);
       }
       case AWAITING_COUNTER -> {}
@@ -269,7 +269,7 @@
       // Who comes back before what waits now has been served only makes the wait longer.
       RequestClassQueue queue = request.queue();
       double seconds = queue.size() * queue.serviceTime().averageSeconds() / concurrency.limit();
-      actions.reject(request.id(), retryAfter.adviceNanos(seconds));
+      actions.reject(request.id(), retryAfter.retryAfterNanos(seconds));
     } else {
       actions.fail(request.id());
     }
--- a/edge/src/main/java/edgegateway/policy/admission/RetryAfterPolicy.java
+++ b/edge/src/main/java/edgegateway/policy/admission/RetryAfterPolicy.java
@@ -24,7 +24,7 @@
    * @param seconds the wait until the request should have a chance
    * @return nanoseconds, one timer period or more; 0 if the settings allow no advice
    */
-  public long adviceNanos(double seconds) {
+  public long retryAfterNanos(double seconds) {
     long maxNanos = limits.retryAfterAllowed() ? limits.maxRetryAfterNanos() : 0;
     double wanted = Math.max(Durations.TIMER_PERIOD_NANOS, seconds * Durations.NANOS_PER_SECOND);
     return (long) Math.min(maxNanos, wanted);
@@ -34,10 +34,10 @@
    * Returns the Retry-After, in nanoseconds, of a request that the host has no room for: random, as
    * all that are rejected in a surge must not come back together.
    */
-  public long overCapacityNanos() {
+  public long overCapacityRetryAfterNanos() {
     double maxSeconds =
         Math.min(
             MAX_OVER_CAPACITY_SECONDS, limits.maxRetryAfterNanos() * Durations.SECONDS_PER_NANO);
-    return adviceNanos(maxSeconds * (MIN_SPREAD + random.nextDouble() / 2));
+    return retryAfterNanos(maxSeconds * (MIN_SPREAD + random.nextDouble() / 2));
   }
 }
