--- a/edge/src/main/java/edgegateway/policy/RequestLifecycle.java
+++ b/edge/src/main/java/edgegateway/policy/RequestLifecycle.java
@@ -145,7 +145,7 @@
     }
     LoadShedder.WaitLimit limit = loadShedder.waitLimit(queue, concurrency.limit());
     while (!inFlight.belowLimit() && limit.isExceededBy(queue)) {
-      PendingRequest least = LoadShedder.leastValuable(queue);
+      PendingRequest least = LoadShedder.lowestValueRequest(queue);
       queue.remove(least);
       giveUp(least);
     }
--- a/edge/src/main/java/edgegateway/policy/admission/LoadShedder.java
+++ b/edge/src/main/java/edgegateway/policy/admission/LoadShedder.java
@@ -51,7 +51,7 @@
   }
 
   /** The waiting request of the least value; of several the newest. */
-  public static PendingRequest leastValuable(RequestClassQueue queue) {
+  public static PendingRequest lowestValueRequest(RequestClassQueue queue) {
     PendingRequest least = null;
     for (PendingRequest request : queue.waiting()) {
       if (least == null || request.value() <= least.value()) {
