--- a/edge/src/main/java/edgegateway/policy/RequestLifecycle.java
+++ b/edge/src/main/java/edgegateway/policy/RequestLifecycle.java
@@ -86,7 +86,8 @@
     }
     QuotaReservation reservation = quotas.newReservation(request);
     CustomerQuota quota = reservation.quota();
-    SendPermit cap = concurrencyCaps.of(request.customer(), quota.plan(), quota.nodes());
+    SendPermit cap =
+        concurrencyCaps.of(request.customer(), quota.plan(), quota.customerNodeCount());
     PendingRequest pending = queues.newRequest(request, reservation, cap);
     requests.put(request.id(), pending);
     if (deadlines.cannotMeetObjective(pending)) {
--- a/edge/src/main/java/edgegateway/policy/quota/CustomerQuota.java
+++ b/edge/src/main/java/edgegateway/policy/quota/CustomerQuota.java
@@ -71,7 +71,7 @@
   }
 
   /** How many nodes the customer comes through, 1 or more. */
-  public int nodes() {
+  public int customerNodeCount() {
     return nodes;
   }
 
