--- a/edge/src/main/java/edgegateway/policy/admission/ConcurrencyCap.java
+++ b/edge/src/main/java/edgegateway/policy/admission/ConcurrencyCap.java
@@ -3,9 +3,9 @@
 import edgegateway.policy.scheduling.SendPermit;
 
 /**
- * The cap of a plan on one customer's concurrent requests, as far as this node goes: no node tells
- * another how many it has in flight, so the cap is divided by the customer's nodes, and each may
- * have one request in flight.
+ * This node's part of a plan's cap on one customer's concurrent requests. Nodes do not exchange how
+ * many requests they have in flight, so the cap is divided evenly by the customer's nodes, with at
+ * least one request in flight on each.
  */
 public final class ConcurrencyCap implements SendPermit {
   private final int maxInFlight;
--- a/edge/src/main/java/edgegateway/policy/admission/ConcurrencyCaps.java
+++ b/edge/src/main/java/edgegateway/policy/admission/ConcurrencyCaps.java
@@ -4,7 +4,9 @@
 import java.util.HashMap;
 import java.util.Map;
 
-/** The concurrency caps of all customers whose plans have one. */
+/**
+ * The concurrency caps of all customers. Customers whose plan has no cap share one unlimited cap.
+ */
 public final class ConcurrencyCaps {
   private final ConcurrencyCap unlimited = new ConcurrencyCap(Integer.MAX_VALUE);
   private final Map<Long, ConcurrencyCap> caps = new HashMap<>();
@@ -12,15 +14,16 @@
   /**
    * Returns the cap of a customer.
    *
+   * @param customer the key of the customer
    * @param plan the customer's plan
-   * @param customerNodes how many nodes the customer comes through, 1 or more
+   * @param customerNodes the number of nodes that receive the customer's requests, 1 or more
    */
   public ConcurrencyCap of(long customer, QuotaPlan plan, int customerNodes) {
-    int overAllNodes = plan.maxConcurrentAttempts();
-    if (overAllNodes <= 0) {
+    int maxOverAllNodes = plan.maxConcurrentAttempts();
+    if (maxOverAllNodes <= 0) {
       return unlimited;
     }
-    int here = Math.max(1, overAllNodes / customerNodes);
-    return caps.computeIfAbsent(customer, key -> new ConcurrencyCap(here));
+    int maxOnThisNode = Math.max(1, maxOverAllNodes / customerNodes);
+    return caps.computeIfAbsent(customer, key -> new ConcurrencyCap(maxOnThisNode));
   }
 }
--- a/edge/src/main/java/edgegateway/policy/admission/DeadlinePolicy.java
+++ b/edge/src/main/java/edgegateway/policy/admission/DeadlinePolicy.java
@@ -4,32 +4,35 @@
 import edgegateway.policy.time.Durations;
 import edgegateway.policy.time.EventClock;
 
-/** Decides which requests are too late to be sent. */
+/** Decides which requests can no longer be answered in time. */
 public final class DeadlinePolicy {
-  /** A first attempt needs this many expected service times. */
-  private static final double FIRST_ATTEMPT_SERVICE_TIMES = 1.5;
+  /** The time left for a first attempt must exceed this multiple of the expected service time. */
+  private static final double MIN_SERVICE_TIMES_FOR_FIRST_ATTEMPT = 1.5;
 
   private final EventClock clock;
-  private final long minLeftNanos;
+  private final long minRemainingNanos;
 
   /**
    * Creates the policy.
    *
-   * @param eventPeriodNanos the host's events come at most this often
+   * @param eventPeriodNanos the minimum time between two batches of the host's events; 0 if events
+   *     come at any time
    */
   public DeadlinePolicy(EventClock clock, long eventPeriodNanos) {
     this.clock = clock;
-    // The next looks at the queue must not come too late for the answer.
-    minLeftNanos = 2 * Durations.TIMER_PERIOD_NANOS + eventPeriodNanos;
+    // A late request is noticed only at the next event. Without this margin, its final answer
+    // could itself come after the objective.
+    minRemainingNanos = 2 * Durations.TIMER_PERIOD_NANOS + eventPeriodNanos;
   }
 
-  /** Whether a request can't be answered by its latency objective if it is sent now. */
+  /** Whether a request cannot be answered by its latency objective if it is sent now. */
   public boolean cannotMeetObjective(PendingRequest request) {
     long neededNanos =
         request.attempts() == 0
-            ? Durations.toNanos(FIRST_ATTEMPT_SERVICE_TIMES * request.expectedServiceSeconds())
+            ? Durations.toNanos(
+                MIN_SERVICE_TIMES_FOR_FIRST_ATTEMPT * request.expectedServiceSeconds())
             : 0;
-    long answeredNanos = clock.nowNanos() + Math.max(neededNanos, minLeftNanos);
-    return answeredNanos >= request.objectiveNanos();
+    long earliestAnswerNanos = clock.nowNanos() + Math.max(neededNanos, minRemainingNanos);
+    return earliestAnswerNanos >= request.objectiveNanos();
   }
 }
--- a/edge/src/test/java/edgegateway/policy/admission/ConcurrencyCapsTest.java
+++ b/edge/src/test/java/edgegateway/policy/admission/ConcurrencyCapsTest.java
@@ -9,28 +9,28 @@
 class ConcurrencyCapsTest {
   private final ConcurrencyCaps caps = new ConcurrencyCaps();
 
-  private static QuotaPlan plan(int maxConcurrentAttempts) {
+  private static QuotaPlan planWithCap(int maxConcurrentAttempts) {
     return new QuotaPlan(0, 0, maxConcurrentAttempts, 1, 0, 0, 0, 0, 0);
   }
 
   @Test
-  void aCapIsDividedByTheCustomersNodesAndLeavesOneAtLeast() {
-    ConcurrencyCap two = caps.of(1, plan(6), 3);
-    two.acquire();
-    assertTrue(two.hasRoom());
-    two.acquire();
-    assertFalse(caps.of(1, plan(6), 3).hasRoom(), "the same customer's");
-    two.release();
-    assertTrue(two.hasRoom());
-    assertTrue(caps.of(2, plan(2), 3).hasRoom(), "one at least");
+  void aCapIsDividedByTheCustomersNodesAndIsAtLeastOne() {
+    ConcurrencyCap capOfTwo = caps.of(1, planWithCap(6), 3);
+    capOfTwo.acquire();
+    assertTrue(capOfTwo.hasRoom());
+    capOfTwo.acquire();
+    assertFalse(caps.of(1, planWithCap(6), 3).hasRoom(), "the cap is the same customer's");
+    capOfTwo.release();
+    assertTrue(capOfTwo.hasRoom());
+    assertTrue(caps.of(2, planWithCap(2), 3).hasRoom(), "at least one request per node");
   }
 
   @Test
-  void aPlanWithoutACapHasRoom() {
-    ConcurrencyCap none = caps.of(3, plan(0), 3);
+  void aPlanWithoutACapIsUnlimited() {
+    ConcurrencyCap unlimited = caps.of(3, planWithCap(0), 3);
     for (int i = 0; i < 1000; i++) {
-      none.acquire();
+      unlimited.acquire();
     }
-    assertTrue(none.hasRoom());
+    assertTrue(unlimited.hasRoom());
   }
 }
