--- a/edge/src/main/java/edgegateway/policy/retry/AttemptTimeouts.java
+++ b/edge/src/main/java/edgegateway/policy/retry/AttemptTimeouts.java
@@ -5,46 +5,50 @@
 import edgegateway.policy.time.Durations;
 import edgegateway.policy.time.EventClock;
 
-/** Decides how long an attempt may take. */
+/** Computes the timeouts of attempts. */
 public final class AttemptTimeouts {
-  /** A slow endpoint seldom takes so many expected service times; an unresponsive one does. */
-  private static final double UNRESPONSIVE_SERVICE_TIMES = 6;
+  /**
+   * The short timeout as a multiple of the expected service time: a slow endpoint seldom needs that
+   * long, an unresponsive one exceeds it.
+   */
+  private static final double SHORT_TIMEOUT_SERVICE_TIMES = 6;
 
-  /** The expected service times that must be left for another attempt. */
-  private static final double RETRY_SERVICE_TIMES = 3;
+  /** The time that must remain for a retry, as a multiple of the expected service time. */
+  private static final double RETRY_RESERVE_SERVICE_TIMES = 3;
 
   private static final long MIN_TIMEOUT_NANOS = Durations.NANOS_PER_MILLISECOND;
 
   private final EventClock clock;
   private final RetryBudget budget;
 
-  /** Creates timeouts that are short only while the budget has retries to spare. */
+  /** Creates timeouts that are short only while the retry budget is at least half full. */
   public AttemptTimeouts(EventClock clock, RetryBudget budget) {
     this.clock = clock;
     this.budget = budget;
   }
 
   /**
-   * Returns the timeout of the attempt that is sent now: for as long as an answer has a value. A
-   * first attempt of a request that may be repeated is cut short if another one could still be in
-   * time: an unresponsive endpoint must not cost the request.
+   * Returns the timeout of the attempt that is sent now. It lasts for as long as an answer has a
+   * value. The first attempt of a request that may be retried gets the short timeout if a retry
+   * after it could still be in time, so that an unresponsive endpoint does not make the request
+   * fail.
    *
    * @param belowConcurrencyLimit whether another request could be sent at once
-   * @return the timeout in nanoseconds, 1 ms or more
+   * @return the timeout in nanoseconds; 1 ms or more unless it is the short timeout
    */
   public long timeoutNanos(PendingRequest request, boolean belowConcurrencyLimit) {
     boolean lateIsWorthless = request.requestClass().lateValueFraction() <= 0;
-    long untilNanos = lateIsWorthless ? request.objectiveNanos() : request.deadlineNanos();
-    long leftNanos = untilNanos - clock.nowNanos();
+    long endNanos = lateIsWorthless ? request.objectiveNanos() : request.deadlineNanos();
+    long remainingNanos = endNanos - clock.nowNanos();
     double serviceSeconds = request.expectedServiceSeconds();
-    long shortNanos = Durations.toNanos(UNRESPONSIVE_SERVICE_TIMES * serviceSeconds);
-    long retryNanos = Durations.toNanos(RETRY_SERVICE_TIMES * serviceSeconds);
+    long shortTimeoutNanos = Durations.toNanos(SHORT_TIMEOUT_SERVICE_TIMES * serviceSeconds);
+    long retryReserveNanos = Durations.toNanos(RETRY_RESERVE_SERVICE_TIMES * serviceSeconds);
     boolean retryPossible =
         request.attempts() == 1
             && request.requestClass().idempotency() != Idempotency.NOT_IDEMPOTENT
             && belowConcurrencyLimit
             && budget.isHalfFull()
-            && shortNanos + retryNanos < leftNanos;
-    return retryPossible ? shortNanos : Math.max(MIN_TIMEOUT_NANOS, leftNanos);
+            && shortTimeoutNanos + retryReserveNanos < remainingNanos;
+    return retryPossible ? shortTimeoutNanos : Math.max(MIN_TIMEOUT_NANOS, remainingNanos);
   }
 }
--- a/edge/src/main/java/edgegateway/policy/retry/RetryBudget.java
+++ b/edge/src/main/java/edgegateway/policy/retry/RetryBudget.java
@@ -1,31 +1,31 @@
 package edgegateway.policy.retry;
 
 /**
- * The budget of retries: a fraction of the first attempts, so that retries can't multiply the load
- * of endpoints that fail under it.
+ * The budget of retries: a token bucket that each first attempt adds a fraction of a retry to, so
+ * that retries cannot multiply the load on endpoints that fail under it.
  */
 public final class RetryBudget {
-  private static final double RETRIES_PER_FIRST_ATTEMPT = 0.2;
-  private static final double MAX_SAVED_RETRIES = 20;
+  private static final double TOKENS_PER_FIRST_ATTEMPT = 0.2;
+  private static final double MAX_TOKENS = 20;
 
-  private double tokens = MAX_SAVED_RETRIES;
+  private double tokens = MAX_TOKENS;
 
-  /** A request's first attempt is sent: the budget grows. */
+  /** Adds to the budget, since a request's first attempt is sent. */
   public void firstAttemptSent() {
-    tokens = Math.min(MAX_SAVED_RETRIES, tokens + RETRIES_PER_FIRST_ATTEMPT);
+    tokens = Math.min(MAX_TOKENS, tokens + TOKENS_PER_FIRST_ATTEMPT);
   }
 
-  /** Whether the budget has a number of retries left. */
-  boolean has(double retries) {
+  /** Whether the budget has enough tokens for a number of retries. */
+  boolean hasTokens(double retries) {
     return tokens >= retries;
   }
 
-  /** Whether retries are no bottleneck now: half of what may be saved is left. */
+  /** Whether at least half of the maximum is available, so that retries are not scarce. */
   boolean isHalfFull() {
-    return tokens >= MAX_SAVED_RETRIES / 2;
+    return tokens >= MAX_TOKENS / 2;
   }
 
-  /** Takes retries that {@link #has} found. */
+  /** Takes the tokens of retries for which {@link #hasTokens} returned true. */
   void acquire(double retries) {
     tokens -= retries;
   }
--- a/edge/src/main/java/edgegateway/policy/retry/RetryPolicy.java
+++ b/edge/src/main/java/edgegateway/policy/retry/RetryPolicy.java
@@ -8,13 +8,13 @@
 import edgegateway.policy.time.Durations;
 import edgegateway.policy.time.EventClock;
 
-/** Decides whether a request may be sent again, and whether its final answer may be a rejection. */
+/** Decides whether a request may be retried, and whether it may be rejected once it is given up. */
 public final class RetryPolicy {
   private final RequestLimits limits;
   private final EventClock clock;
   private final RetryBudget budget;
 
-  /** Creates a policy within the settings' limits and a budget. */
+  /** Creates a policy within the settings' limits and a retry budget. */
   public RetryPolicy(RequestLimits limits, EventClock clock, RetryBudget budget) {
     this.limits = limits;
     this.clock = clock;
@@ -22,54 +22,58 @@
   }
 
   /**
-   * Decides whether a request whose attempt ended may be sent again: if no effect can come twice,
+   * Whether a request whose attempt ended may be sent again: the request cannot take effect twice,
    * it can still be answered by its latency objective, its body is still held, and neither the
    * limit on attempts nor the retry budget is used up.
    *
-   * @param provesNotExecuted whether the attempt that ended proved that it had no effect: such a
-   *     retry costs nothing of the budget
+   * @param provesNotExecuted whether the attempt that ended provably had no effect: such a retry
+   *     costs nothing of the budget
    */
   public boolean mayRetry(PendingRequest request, boolean provesNotExecuted) {
     double halfServiceSeconds = request.queue().serviceTime().averageSeconds() / 2;
-    long answeredNanos = clock.nowNanos() + Durations.toNanos(halfServiceSeconds);
-    return mayExecuteAgain(request)
-        && answeredNanos < request.objectiveNanos()
-        && budget.has(price(provesNotExecuted))
+    long expectedAnswerNanos = clock.nowNanos() + Durations.toNanos(halfServiceSeconds);
+    return isSafeToRetry(request)
+        && expectedAnswerNanos < request.objectiveNanos()
+        && budget.hasTokens(budgetCost(provesNotExecuted))
         && !request.isBodyForwarded()
         && request.attempts() < limits.maxAttempts();
   }
 
-  /** A retry that {@link #mayRetry} allowed is sent. */
+  /**
+   * Takes a retry that {@link #mayRetry} allowed from the budget.
+   *
+   * @param provesNotExecuted as for {@link #mayRetry}
+   */
   public void retrySent(boolean provesNotExecuted) {
-    budget.acquire(price(provesNotExecuted));
+    budget.acquire(budgetCost(provesNotExecuted));
   }
 
-  private static double price(boolean provesNotExecuted) {
+  private static double budgetCost(boolean provesNotExecuted) {
     return provesNotExecuted ? 0 : 1;
   }
 
-  /** Whether no effect can come twice, if the request is sent once more. */
-  private boolean mayExecuteAgain(PendingRequest request) {
+  /** Whether sending the request once more cannot have a second effect. */
+  private boolean isSafeToRetry(PendingRequest request) {
     if (!request.mayHaveExecuted()) {
       return true;
     }
     RequestClass requestClass = request.requestClass();
     return switch (requestClass.idempotency()) {
       case IDEMPOTENT -> true;
-      case KEYED -> isKeyStillKnown(request, requestClass);
+      case KEYED -> isIdempotencyKeyValid(request, requestClass);
       case NOT_IDEMPOTENT -> false;
     };
   }
 
-  /** Whether the endpoints still drop repeats of the request's idempotency key. */
-  private boolean isKeyStillKnown(PendingRequest request, RequestClass requestClass) {
+  /** Whether the endpoints still drop repeated requests with the request's idempotency key. */
+  private boolean isIdempotencyKeyValid(PendingRequest request, RequestClass requestClass) {
     long ageNanos = clock.nowNanos() - request.mayHaveExecutedSinceNanos();
     return ageNanos + Durations.TIMER_PERIOD_NANOS < requestClass.idempotencyKeyWindowNanos();
   }
 
   /**
-   * Whether a request that is given up may be rejected, which tells its client that trying again is
-   * harmless; else it has failed, with no promise about its effect.
+   * Whether a request that is given up may be rejected, which tells the client that a retry is
+   * harmless. Otherwise it must be failed, which promises nothing about its effect.
    */
   public boolean mayReject(PendingRequest request) {
     RequestClass requestClass = request.requestClass();
--- a/edge/src/main/java/edgegateway/policy/retry/package-info.java
+++ b/edge/src/main/java/edgegateway/policy/retry/package-info.java
@@ -1,2 +1,2 @@
-/** When an attempt may be repeated, at which price, and how long an attempt may take. */
+/** When an attempt may be retried, what a retry costs, and how long an attempt may take. */
 package edgegateway.policy.retry;
--- a/edge/src/test/java/edgegateway/policy/retry/RetryBudgetTest.java
+++ b/edge/src/test/java/edgegateway/policy/retry/RetryBudgetTest.java
@@ -9,27 +9,27 @@
   private final RetryBudget budget = new RetryBudget();
 
   @Test
-  void startsWithTwentyRetriesAndGainsOneForFiveFirstAttempts() {
+  void startsWithTwentyRetriesAndGainsOneForEveryFiveFirstAttempts() {
     for (int i = 0; i < 20; i++) {
-      assertTrue(budget.has(1), "retry " + i);
+      assertTrue(budget.hasTokens(1), "retry " + i);
       budget.acquire(1);
     }
-    assertFalse(budget.has(1));
-    assertTrue(budget.has(0), "a retry that costs nothing");
+    assertFalse(budget.hasTokens(1));
+    assertTrue(budget.hasTokens(0), "a retry that costs nothing");
     for (int i = 0; i < 6; i++) {
       budget.firstAttemptSent();
     }
-    assertTrue(budget.has(1));
-    assertFalse(budget.has(2));
+    assertTrue(budget.hasTokens(1));
+    assertFalse(budget.hasTokens(2));
   }
 
   @Test
-  void savesNoMoreThanTwenty() {
+  void holdsAtMostTwentyRetries() {
     for (int i = 0; i < 1000; i++) {
       budget.firstAttemptSent();
     }
-    assertTrue(budget.has(20));
-    assertFalse(budget.has(20.1));
+    assertTrue(budget.hasTokens(20));
+    assertFalse(budget.hasTokens(20.1));
     budget.acquire(11);
     assertFalse(budget.isHalfFull());
   }
