--- a/edge/src/main/java/edgegateway/policy/quota/CeilingBucket.java
+++ b/edge/src/main/java/edgegateway/policy/quota/CeilingBucket.java
@@ -3,59 +3,64 @@
 import edgegateway.policy.api.QuotaPlan;
 
 /**
- * This node's even part of the token bucket of a plan's hard ceiling. It holds whatever the other
- * nodes do. It starts empty: a restarted node can't know what it spent before.
+ * This node's token bucket for a plan's hard ceiling: the ceiling's rate and burst, divided evenly
+ * by the customer's nodes. The ceiling therefore holds without any information about the other
+ * nodes. The bucket starts empty because a restarted node cannot know what it spent before.
  */
 final class CeilingBucket {
   private final QuotaPlan plan;
-  private final int nodes;
+  private final int customerNodes;
   private boolean refills = true;
   private double tokens;
 
-  CeilingBucket(QuotaPlan plan, int nodes) {
+  CeilingBucket(QuotaPlan plan, int customerNodes) {
     this.plan = plan;
-    this.nodes = nodes;
+    this.customerNodes = customerNodes;
   }
 
-  /** Adds what the bucket gains in a span. */
+  /** Adds the tokens gained in an interval. */
   void refill(double seconds) {
-    double gained = refills ? seconds * plan.ceilingUnitsPerSecond() / nodes : 0;
-    add(gained);
+    double gainedUnits = refills ? seconds * plan.ceilingUnitsPerSecond() / customerNodes : 0;
+    add(gainedUnits);
   }
 
-  /** Adds units up to the bucket's capacity. */
+  /** Adds tokens, in units, up to the bucket's capacity. */
   void add(double units) {
-    tokens = Math.min(plan.ceilingBurstUnits() / nodes, tokens + units);
+    tokens = Math.min(plan.ceilingBurstUnits() / customerNodes, tokens + units);
   }
 
-  /** Whether units may be used; always true for a plan without a ceiling. */
-  boolean hasRoomFor(double units) {
+  /**
+   * Whether the bucket holds enough tokens for a request; always true for a plan without a ceiling.
+   */
+  boolean hasCapacityFor(double units) {
     return plan.ceilingUnitsPerSecond() <= 0 || tokens >= units;
   }
 
-  /** The seconds until units may be used; only for a plan with a ceiling. */
-  double secondsUntilRoomFor(double units) {
-    return (units - tokens) * nodes / plan.ceilingUnitsPerSecond();
+  /** Returns the seconds until the bucket holds that many units; only for a plan with a ceiling. */
+  double secondsUntilAvailable(double units) {
+    return (units - tokens) * customerNodes / plan.ceilingUnitsPerSecond();
   }
 
   void acquire(double units) {
     tokens -= units;
   }
 
-  /** Gives units back that were not used. */
+  /** Gives back units that were acquired but not used. */
   void release(double units) {
     tokens += units;
   }
 
   /**
-   * Keeps half of the tokens and returns how many that is: the other half goes to the new process.
+   * Removes half of the tokens for the process that replaces this one.
+   *
+   * @return the tokens removed, which equal those that remain, in units
    */
   double exportHalf() {
     tokens /= 2;
     return tokens;
   }
 
-  /** From now on the bucket gains nothing: the new process has the rate. */
+  /** Stops the refill, since the new process now has the whole rate. */
   void stopRefill() {
     refills = false;
   }
--- a/edge/src/main/java/edgegateway/policy/quota/CounterAvailability.java
+++ b/edge/src/main/java/edgegateway/policy/quota/CounterAvailability.java
@@ -5,9 +5,9 @@
 import edgegateway.policy.time.EventClock;
 
 /**
- * Decides whether the shared counter is reachable: it is not once no call has been answered for
- * {@link #UNREACHABLE_AFTER_NANOS} since the first call of the outage. Where calls are rare, the
- * last answer may be long ago, so the time counts from that call.
+ * Decides whether the shared counter is reachable. It counts as unreachable once no call has been
+ * answered for more than {@link #UNREACHABLE_AFTER_NANOS}. The time runs from the first call after
+ * the last answer, not from that answer, which may be long ago where calls are rare.
  */
 final class CounterAvailability {
   private static final long UNREACHABLE_AFTER_NANOS = Durations.NANOS_PER_SECOND / 2;
@@ -22,14 +22,21 @@
     this.actions = actions;
   }
 
+  /** Whether the counter was unreachable at the last update. */
   boolean unreachable() {
     return unreachable;
   }
 
+  /** Records that a call was sent. */
   void callSent() {
     unansweredSinceNanos = Math.min(unansweredSinceNanos, clock.nowNanos());
   }
 
+  /**
+   * Records the end of a call.
+   *
+   * @param answered whether the counter answered
+   */
   void callEnded(boolean answered) {
     if (answered) {
       unansweredSinceNanos = Long.MAX_VALUE;
@@ -37,7 +44,7 @@
     update();
   }
 
-  /** Decides anew, and logs a change. */
+  /** Decides again whether the counter is reachable, and logs a change. */
   void update() {
     boolean overdue = clock.nowNanos() - UNREACHABLE_AFTER_NANOS > unansweredSinceNanos;
     if (overdue == unreachable) {
--- a/edge/src/main/java/edgegateway/policy/quota/CounterCallBudget.java
+++ b/edge/src/main/java/edgegateway/policy/quota/CounterCallBudget.java
@@ -4,9 +4,9 @@
 import java.util.SplittableRandom;
 
 /**
- * The budget of calls to the shared counter. Its rate follows the queueing delay at the counter, so
- * that all nodes together neither crowd it nor leave it idle. The rate changes by a small step with
- * each answer: larger steps, which all nodes take at once, make it swing.
+ * The budget of calls to the shared counter: a token bucket whose rate follows the queueing delay
+ * at the counter, so that all nodes together neither overload nor underuse it. Each answer changes
+ * the rate by a small step: larger steps, taken by all nodes at once, make the rate oscillate.
  */
 final class CounterCallBudget {
   private static final double INITIAL_CALLS_PER_SECOND = 2;
@@ -14,20 +14,26 @@
   private static final double MAX_INCREASE_PER_ANSWER = 0.2;
   private static final double MAX_DECREASE_PER_ANSWER = 0.3;
 
-  /** The queueing delay, as a fraction of the timeout, at which the rate stays as it is. */
+  /** The queueing delay, as a fraction of the timeout, at which the rate does not change. */
   private static final double TARGET_DELAY_FRACTION = 0.22;
 
-  /** Unused calls are kept for this long at most. */
-  private static final double MAX_SAVED_SECONDS = 0.25;
+  /**
+   * The bucket's capacity is the calls of this time at the present rate, or twice the initial calls
+   * per second if that is more.
+   */
+  private static final double MAX_ACCUMULATION_SECONDS = 0.25;
 
-  /** A call costs between 0.5 and 1.5 tokens, 1 on average. */
-  private static final double MIN_CALL_COST = 0.5;
+  /** A call costs a random number of tokens between 0.5 and 1.5, 1 on average. */
+  private static final double MIN_CALL_COST_TOKENS = 0.5;
 
-  /** With more tokens than this a denied call was of too low a priority: calls are not scarce. */
-  private static final double SCARCE_TOKENS = 1.5;
+  /**
+   * A call that is denied although the budget holds this many tokens or more was denied for its low
+   * priority: calls are not scarce, and the rate need not rise.
+   */
+  private static final double SCARCITY_THRESHOLD_TOKENS = 1.5;
 
-  /** The estimate of the round trip rises by 1/100 of the difference with each answer. */
-  private static final int ROUND_TRIP_RISE_DIVISOR = 100;
+  /** With each slower call the estimate of the base round trip rises by 1/100 of the difference. */
+  private static final int BASE_ROUND_TRIP_RISE_DIVISOR = 100;
 
   private final EventClock clock;
   private final SplittableRandom random;
@@ -36,8 +42,8 @@
   private double callsPerSecond = INITIAL_CALLS_PER_SECOND;
   private double tokens;
   private long refilledAtNanos;
-  private long roundTripNanos;
-  private boolean denied;
+  private long baseRoundTripNanos;
+  private boolean deniedForLackOfTokens;
 
   CounterCallBudget(
       EventClock clock,
@@ -49,37 +55,39 @@
     this.availability = availability;
     this.timeoutNanos = timeoutNanos;
     refilledAtNanos = clock.nowNanos();
-    roundTripNanos = timeoutNanos;
+    baseRoundTripNanos = timeoutNanos;
     tokens = random.nextDouble(INITIAL_CALLS_PER_SECOND);
   }
 
+  /** The present rate in calls per second. */
   double callsPerSecond() {
     return callsPerSecond;
   }
 
-  /** Goes on at the rate of the process that this one replaces, if that is higher. */
-  void raiseTo(double otherCallsPerSecond) {
-    callsPerSecond = Math.max(callsPerSecond, otherCallsPerSecond);
+  /** Continues at the rate of the process that this one replaces, if that is higher. */
+  void raiseRateTo(double previousCallsPerSecond) {
+    callsPerSecond = Math.max(callsPerSecond, previousCallsPerSecond);
   }
 
   /**
-   * Takes a call from the budget if there is one for it. The emptier the budget is, the higher the
-   * priority of the call must be.
+   * Takes the tokens for a call from the budget if it has enough of them. The emptier the budget
+   * is, the higher the priority of the call must be.
    *
-   * @param priority the priority of the call; 1 is the usual one
+   * @param priority the priority of the call; 1 is average
    * @return whether the call may be sent
    */
   boolean tryAcquire(double priority) {
     double rate = availability.unreachable() ? MIN_CALLS_PER_SECOND : callsPerSecond;
-    double capacity = Math.max(2 * INITIAL_CALLS_PER_SECOND, rate * MAX_SAVED_SECONDS);
+    double capacity = Math.max(2 * INITIAL_CALLS_PER_SECOND, rate * MAX_ACCUMULATION_SECONDS);
     tokens = Math.min(capacity, tokens + rate * clock.secondsSince(refilledAtNanos));
     refilledAtNanos = clock.nowNanos();
     boolean allowed = tokens >= 1 && priority >= 2 * (1 - tokens / capacity);
     if (allowed) {
-      // At a fixed cost, nodes that lowered their rates together would all call together.
-      tokens -= MIN_CALL_COST + random.nextDouble();
+      // At a fixed cost, nodes that lowered their rates at the same time would also call at the
+      // same time.
+      tokens -= MIN_CALL_COST_TOKENS + random.nextDouble();
     }
-    denied |= !allowed && tokens < SCARCE_TOKENS;
+    deniedForLackOfTokens |= !allowed && tokens < SCARCITY_THRESHOLD_TOKENS;
     return allowed;
   }
 
@@ -87,23 +95,30 @@
    * Adjusts the rate after a call.
    *
    * @param answered whether the counter answered
-   * @param tookNanos how long the answer took; not used without an answer
+   * @param durationNanos the duration of the call; ignored if it was not answered
    */
-  void callEnded(boolean answered, long tookNanos) {
-    long waitNanos = answered ? tookNanos : timeoutNanos;
-    // The shortest wait is the round trip without a queue; it rises slowly if the way gets longer.
-    long raised = roundTripNanos + (waitNanos - roundTripNanos) / ROUND_TRIP_RISE_DIVISOR;
-    roundTripNanos = Math.min(waitNanos, raised);
-    adjust(answered ? (waitNanos - roundTripNanos) / (double) timeoutNanos : 1);
+  void callEnded(boolean answered, long durationNanos) {
+    long latencyNanos = answered ? durationNanos : timeoutNanos;
+    // The lowest latency is the round trip without queueing. The estimate rises slowly, in case
+    // the network delay grows.
+    long raisedNanos =
+        baseRoundTripNanos + (latencyNanos - baseRoundTripNanos) / BASE_ROUND_TRIP_RISE_DIVISOR;
+    baseRoundTripNanos = Math.min(latencyNanos, raisedNanos);
+    adjustRate(answered ? (latencyNanos - baseRoundTripNanos) / (double) timeoutNanos : 1);
   }
 
-  /** A rate that is not used up must not grow: it rises only after a call was denied. */
-  private void adjust(double delayFraction) {
-    double rise = MAX_INCREASE_PER_ANSWER * (1 - delayFraction / TARGET_DELAY_FRACTION);
-    double step = Math.max(-MAX_DECREASE_PER_ANSWER, rise);
-    if (step < 0 || denied) {
+  /**
+   * Lowers or raises the rate by the queueing delay. The rate rises only after a call was denied
+   * for lack of tokens, so that an unused rate does not grow.
+   *
+   * @param delayFraction the queueing delay as a fraction of the timeout
+   */
+  private void adjustRate(double delayFraction) {
+    double increase = MAX_INCREASE_PER_ANSWER * (1 - delayFraction / TARGET_DELAY_FRACTION);
+    double step = Math.max(-MAX_DECREASE_PER_ANSWER, increase);
+    if (step < 0 || deniedForLackOfTokens) {
       callsPerSecond = Math.max(MIN_CALLS_PER_SECOND, callsPerSecond * (1 + step));
     }
-    denied = false;
+    deniedForLackOfTokens = false;
   }
 }
--- a/edge/src/main/java/edgegateway/policy/quota/CounterCalls.java
+++ b/edge/src/main/java/edgegateway/policy/quota/CounterCalls.java
@@ -7,7 +7,10 @@
 import java.util.Map;
 import java.util.function.Consumer;
 
-/** The calls to the shared counter that have not ended; calls of one name end in their order. */
+/**
+ * The calls to the shared counter that have not ended. Calls with the same key end in the order in
+ * which they were sent.
+ */
 final class CounterCalls {
   private final EventClock clock;
   private final PolicyActions actions;
@@ -21,11 +24,13 @@
   }
 
   /**
-   * Adds to a customer's count of the present window.
+   * Sends a call that adds units to the counter of one of a customer's counting windows.
    *
+   * @param quota the customer's quota
    * @param windows the customer's counting windows
-   * @param units the units to add; negative to take back
-   * @param reservation the request that waits for the reply; null if none does
+   * @param window the number of the window
+   * @param units the units to add; negative to take units back
+   * @param reservation the reservation of the request that waits for the reply; null if none waits
    */
   void send(
       CustomerQuota quota,
@@ -34,26 +39,30 @@
       double units,
       QuotaReservation reservation) {
     availability.callSent();
-    long name = windows.counterName(window);
+    long key = windows.counterKey(window);
     CounterCall call = new CounterCall(quota, window, units, reservation, clock.nowNanos());
-    pending.computeIfAbsent(name, key -> new ArrayDeque<>()).add(call);
-    actions.addToCounter(name, units, 2 * windows.lengthNanos());
+    pending.computeIfAbsent(key, unused -> new ArrayDeque<>()).add(call);
+    actions.addToCounter(key, units, 2 * windows.lengthNanos());
   }
 
-  /** Removes and returns the oldest call of a name; null if there is none. */
-  CounterCall poll(long name) {
-    ArrayDeque<CounterCall> calls = pending.get(name);
+  /** Removes and returns the oldest call with a key; null if there is none. */
+  CounterCall removeOldest(long key) {
+    ArrayDeque<CounterCall> calls = pending.get(key);
     if (calls == null) {
       return null;
     }
     CounterCall oldest = calls.poll();
     if (calls.isEmpty()) {
-      pending.remove(name);
+      pending.remove(key);
     }
     return oldest;
   }
 
-  /** Hands over each call that was sent before a moment (in nanoseconds); it stays pending. */
+  /**
+   * Passes each call that was sent before a point in time to an action; the calls stay pending.
+   *
+   * @param nanos the point in time, on the host's clock
+   */
   void forEachSentBefore(long nanos, Consumer<CounterCall> action) {
     for (ArrayDeque<CounterCall> calls : pending.values()) {
       for (CounterCall call : calls) {
--- a/edge/src/main/java/edgegateway/policy/quota/CountingWindows.java
+++ b/edge/src/main/java/edgegateway/policy/quota/CountingWindows.java
@@ -5,13 +5,13 @@
 import java.util.SplittableRandom;
 
 /**
- * The counting windows of one customer at the shared counter. In a window a steady customer is
- * granted just one burst, so that the total of one window tells enough to a node that has never
- * heard of it. Windows of different customers begin at different moments.
+ * The counting windows of one customer at the shared counter. Within limits, a window is as long as
+ * the plan's rate takes to refill one burst: one window's total is then enough for a node that has
+ * no earlier data of the customer. Windows of different customers start at different times.
  */
 final class CountingWindows {
-  private static final double MIN_SECONDS = 1;
-  private static final double MAX_SECONDS = 30;
+  private static final double MIN_LENGTH_SECONDS = 1;
+  private static final double MAX_LENGTH_SECONDS = 30;
 
   private final long customer;
   private final long lengthNanos;
@@ -20,33 +20,35 @@
   CountingWindows(long customer, QuotaPlan plan) {
     this.customer = customer;
     double unitsPerSecond = plan.unitsPerSecond();
-    double refillSeconds = unitsPerSecond > 0 ? plan.burstUnits() / unitsPerSecond : MIN_SECONDS;
-    double seconds = Math.min(MAX_SECONDS, Math.max(MIN_SECONDS, refillSeconds));
+    double refillSeconds =
+        unitsPerSecond > 0 ? plan.burstUnits() / unitsPerSecond : MIN_LENGTH_SECONDS;
+    double seconds = Math.min(MAX_LENGTH_SECONDS, Math.max(MIN_LENGTH_SECONDS, refillSeconds));
     lengthNanos = (long) (seconds * Durations.NANOS_PER_SECOND);
-    phaseNanos = Math.floorMod(mix(customer), lengthNanos);
+    phaseNanos = Math.floorMod(hash(customer), lengthNanos);
   }
 
+  /** The length of each window. */
   long lengthNanos() {
     return lengthNanos;
   }
 
-  /** The number of the window that a moment lies in. */
-  long indexAt(long nanos) {
+  /** Returns the number of the window that contains a point in time. */
+  long windowAt(long nanos) {
     return Math.floorDiv(nanos + phaseNanos, lengthNanos);
   }
 
-  /** The moment at which a window begins. */
-  long startNanos(long index) {
-    return index * lengthNanos - phaseNanos;
+  /** Returns the time at which a window starts. */
+  long startNanos(long window) {
+    return window * lengthNanos - phaseNanos;
   }
 
-  /** The name of a window's count at the shared counter, the same on every node. */
-  long counterName(long index) {
-    return mix(mix(customer) + index) >>> 1;
+  /** Returns the key of a window's counter, the same on every node; 0 or more. */
+  long counterKey(long window) {
+    return hash(hash(customer) + window) >>> 1;
   }
 
-  /** Spreads numbers that lie close together over all long values. */
-  private static long mix(long value) {
+  /** Maps neighboring numbers to numbers spread over all long values. */
+  private static long hash(long value) {
     return new SplittableRandom(value).nextLong();
   }
 }
--- a/edge/src/main/java/edgegateway/policy/quota/CustomerQuota.java
+++ b/edge/src/main/java/edgegateway/policy/quota/CustomerQuota.java
@@ -7,26 +7,30 @@
 import edgegateway.policy.time.Durations;
 
 /**
- * The quota of one customer: decides on each of its requests by the ceiling, the estimated token
- * bucket and, without news from the counter, the local share of the quota.
+ * The quota of one customer. It decides on each of the customer's requests by the hard ceiling, by
+ * the estimate of the token bucket that all nodes share and, while that estimate is stale, by this
+ * node's local share of the quota.
  */
 public final class CustomerQuota {
   private static final long REPORT_PERIOD_NANOS = Durations.NANOS_PER_SECOND / 4;
-  private static final long REPORT_PERIOD_FULL_BUCKET_NANOS = Durations.NANOS_PER_SECOND;
+  private static final long REPORT_PERIOD_FAR_FROM_QUOTA_NANOS = Durations.NANOS_PER_SECOND;
 
   /**
-   * A node's part of a quota while the counter answers, in even parts: customers come unevenly to
-   * the nodes.
+   * While the counter is reachable, the local share is this multiple of an even split of the quota,
+   * because customers' requests are spread unevenly over the nodes.
    */
-  private static final double UNEVEN_SHARE_FACTOR = 1.5;
+  private static final double UNEVEN_TRAFFIC_FACTOR = 1.5;
 
-  /** The estimate is refreshed before admission if older than a quarter of a counting window. */
-  private static final int FRESH_PARTS_OF_WINDOW = 4;
+  /** An estimate older than a quarter of a counting window is refreshed before admission. */
+  private static final int FRESHNESS_WINDOW_DIVISOR = 4;
 
-  /** The least room that urgency is measured by, as a part of the burst. */
-  private static final int MIN_ROOM_PARTS_OF_BURST = 8;
+  /**
+   * The urgency of reports is relative to the remaining quota, taken to be at least 1/8 of the
+   * burst.
+   */
+  private static final int MIN_REMAINING_BURST_DIVISOR = 8;
 
-  /** Less is not reported, and reports are rounded to this. */
+  /** Smaller amounts are not reported, and reports are rounded to a multiple of this. */
   private static final double REPORT_STEP_UNITS = 1e-6;
 
   private static final double REPORT_STEPS_PER_UNIT = 1e6;
@@ -34,14 +38,17 @@
   private final long customer;
   private final int planIndex;
   private final QuotaPlan plan;
-  private final int nodes;
-  private final boolean shared;
+  private final int customerNodes;
+  private final boolean usesCounter;
   private final QuotaContext context;
   private final CountingWindows windows;
   private final UsageEstimate estimate;
   private final CeilingBucket ceiling;
 
-  /** Units that this node may admit without news of the others. */
+  /**
+   * The tokens of the local share, in units: what this node may admit without current totals from
+   * the counter.
+   */
   private double localShare;
 
   private double unreportedUnits;
@@ -49,19 +56,19 @@
   private long lastUsedNanos;
   private long nextReportNanos;
 
-  CustomerQuota(long customer, int planIndex, int customerNodes, QuotaContext context) {
+  CustomerQuota(long customer, int planIndex, int declaredNodes, QuotaContext context) {
     this.customer = customer;
     this.planIndex = planIndex;
     this.context = context;
     plan = context.settings().quotaPlans().get(planIndex);
-    nodes = Math.max(1, Math.min(customerNodes, context.settings().nodeCount()));
-    shared = nodes > 1 && context.settings().counter().present();
+    customerNodes = Math.max(1, Math.min(declaredNodes, context.settings().nodeCount()));
+    usesCounter = customerNodes > 1 && context.settings().counter().present();
     windows = new CountingWindows(customer, plan);
     estimate = new UsageEstimate(context.clock(), plan, context.settings().counter(), windows);
-    ceiling = new CeilingBucket(plan, nodes);
+    ceiling = new CeilingBucket(plan, customerNodes);
     localShare = localShareCapacity(1);
     refilledAtNanos = context.clock().startNanos();
-    // Reports are spread in time: all at once they would crowd the counter.
+    // Spread the reports of all quotas over time: sent together they would overload the counter.
     nextReportNanos = context.clock().nowNanos() + context.random().nextLong(REPORT_PERIOD_NANOS);
   }
 
@@ -70,59 +77,67 @@
     return plan;
   }
 
-  /** How many nodes the customer comes through, 1 or more. */
+  /** The number of nodes that receive the customer's requests, at least 1 and at most all nodes. */
   public int customerNodeCount() {
-    return nodes;
+    return customerNodes;
   }
 
-  /** Creates the reservation of a request, which holds nothing yet. */
+  /** Creates the reservation of a request; it does not hold any units yet. */
   public QuotaReservation newReservation(Request request) {
     return new QuotaReservation(this, request);
   }
 
+  /** Adds to all token buckets what they gained since the last refill. */
   private void refill() {
     double seconds = context.clock().secondsSince(refilledAtNanos);
     refilledAtNanos = context.clock().nowNanos();
     estimate.refill(seconds);
-    double factor = context.availability().unreachable() ? 1 : UNEVEN_SHARE_FACTOR;
-    double gained = seconds * factor * plan.unitsPerSecond() / nodes;
-    localShare = Math.min(localShareCapacity(factor), localShare + gained);
+    double shareFactor = context.availability().unreachable() ? 1 : UNEVEN_TRAFFIC_FACTOR;
+    double gainedUnits = seconds * shareFactor * plan.unitsPerSecond() / customerNodes;
+    localShare = Math.min(localShareCapacity(shareFactor), localShare + gainedUnits);
     ceiling.refill(seconds);
   }
 
-  private double localShareCapacity(double factor) {
-    double share = factor * plan.burstUnits() / nodes;
-    double atLeast = context.settings().counter().maxRequestUnits();
-    return Math.min(plan.burstUnits(), Math.max(share, atLeast));
+  /**
+   * Returns the capacity of the local share, in units: a part of the burst, but at least the units
+   * of the largest request and at most the whole burst.
+   *
+   * @param shareFactor the multiple of an even split of the quota
+   */
+  private double localShareCapacity(double shareFactor) {
+    double share = shareFactor * plan.burstUnits() / customerNodes;
+    double minCapacity = context.settings().counter().maxRequestUnits();
+    return Math.min(plan.burstUnits(), Math.max(share, minCapacity));
   }
 
   /**
-   * Decides on a request: at once if the estimate is fresh, else after its units were reported to
-   * the counter.
+   * Decides on a request at once, or calls the counter first if the estimate is old and a wrong
+   * decision would be costly.
    *
+   * @param reservation the request's reservation, which does not hold any units yet
    * @param priorityWeight the weight of the request's class
-   * @param objectiveNanos the moment by which the request should be answered
+   * @param objectiveNanos the time by which the request should be answered
    */
   QuotaDecision admit(QuotaReservation reservation, double priorityWeight, long objectiveNanos) {
     refill();
     double units = reservation.units();
-    if (!ceiling.hasRoomFor(units)) {
-      return reservation.reject(ceiling.secondsUntilRoomFor(units));
+    if (!ceiling.hasCapacityFor(units)) {
+      return reservation.reject(ceiling.secondsUntilAvailable(units));
     }
     ceiling.acquire(units);
     consume(units);
     reservation.charge();
     double priority =
         context
-            .priority()
-            .of(
+            .callPriority()
+            .compute(
                 reservation,
                 priorityWeight,
                 plan,
-                nodes,
+                customerNodes,
                 context.settings().nodeCount(),
                 localShare >= units);
-    if (counterMayDecide(objectiveNanos) && context.budget().tryAcquire(priority)) {
+    if (shouldCallCounter(objectiveNanos) && context.budget().tryAcquire(priority)) {
       reservation.setAwaitingCounter(true);
       report(reservation);
       return QuotaDecision.AWAITING_COUNTER;
@@ -130,60 +145,64 @@
     return decide(reservation, false);
   }
 
-  /** Whether over-quota requests cost, the estimate is old, and there is time to ask. */
-  private boolean counterMayDecide(long objectiveNanos) {
-    boolean overQuotaCosts =
+  /**
+   * Whether over-quota requests cost at least what they earn, the estimate is old, and there is
+   * time for a call to the counter.
+   *
+   * @param objectiveNanos the time by which the request should be answered
+   */
+  private boolean shouldCallCounter(long objectiveNanos) {
+    boolean overQuotaIsCostly =
         plan.unitsPerSecond() > 0 && plan.overQuotaValueFraction() <= plan.overQuotaCostFraction();
     long now = context.clock().nowNanos();
-    long freshNanos = windows.lengthNanos() / FRESH_PARTS_OF_WINDOW;
-    return overQuotaCosts
-        && now - estimate.lastUpdateNanos() > freshNanos
-        && shared
+    long maxFreshAgeNanos = windows.lengthNanos() / FRESHNESS_WINDOW_DIVISOR;
+    return overQuotaIsCostly
+        && now - estimate.lastUpdateNanos() > maxFreshAgeNanos
+        && usesCounter
         && !context.availability().unreachable()
         && now + 2 * context.settings().counter().timeoutNanos() < objectiveNanos;
   }
 
   /**
-   * Decides on a charged request: by the total just reported, by the estimate, or, if that is
-   * stale, by the local share. An over-quota request is admitted where it earns more than it costs.
+   * Decides on a charged request: by the total just received, by the estimate or, if that is stale,
+   * by the local share. An over-quota request is admitted where it earns more than it costs.
    *
-   * @param totalJustReported whether the counter's reply to this request has just been applied
+   * @param reservation the reservation of the charged request
+   * @param totalJustApplied whether the counter's reply to this request has just been applied
    */
-  QuotaDecision decide(QuotaReservation reservation, boolean totalJustReported) {
+  QuotaDecision decide(QuotaReservation reservation, boolean totalJustApplied) {
     double units = reservation.units();
-    boolean within = plan.unitsPerSecond() <= 0 || hasRoom(units, totalJustReported);
-    reservation.setWithinQuota(within);
-    if (within) {
+    boolean withinQuota = plan.unitsPerSecond() <= 0 || isWithinQuota(units, totalJustApplied);
+    reservation.setWithinQuota(withinQuota);
+    if (withinQuota) {
       localShare = Math.max(0, localShare - units);
     } else {
       consume(-units);
     }
-    if (within || plan.overQuotaValueFraction() > plan.overQuotaCostFraction()) {
+    if (withinQuota || plan.overQuotaValueFraction() > plan.overQuotaCostFraction()) {
       return QuotaDecision.ADMITTED;
     }
     return reservation.reject((units - estimate.tokens()) / plan.unitsPerSecond());
   }
 
-  private boolean hasRoom(double units, boolean totalJustReported) {
-    if (nodes > 1 && estimate.isStale()) {
+  private boolean isWithinQuota(double units, boolean totalJustApplied) {
+    if (customerNodes > 1 && estimate.isStale()) {
       return localShare >= units;
     }
-    // Until the next report, remote usage goes on unseen.
+    // Until the next report, remote usage continues without being known here.
     double reserve =
-        totalJustReported
+        totalJustApplied
             ? 0
             : estimate.remoteUnitsPerSecond() * REPORT_PERIOD_NANOS * Durations.SECONDS_PER_NANO;
     return estimate.tokens() >= reserve;
   }
 
-  /**
-   * Replaces the units of a request within the quota by the true ones, which came with an answer.
-   */
-  void correct(QuotaReservation reservation, double actualUnits) {
+  /** Replaces the units of a request within the quota by the actual units from its answer. */
+  void applyActualUnits(QuotaReservation reservation, double actualUnits) {
     consume(actualUnits - reservation.units());
   }
 
-  /** Gives back what a request holds that was never sent. */
+  /** Gives back the units of a request that was never sent to an endpoint. */
   void release(QuotaReservation reservation) {
     if (!reservation.charged()) {
       return;
@@ -194,6 +213,7 @@
     }
   }
 
+  /** Charges units used here; a negative number gives units back. */
   private void consume(double units) {
     if (plan.unitsPerSecond() > 0) {
       unreportedUnits += units;
@@ -203,56 +223,65 @@
     }
   }
 
-  /** The earliest moment of the next report, in nanoseconds. */
+  /** The earliest time of the next report. */
   long nextReportNanos() {
     return nextReportNanos;
   }
 
   /**
-   * How urgent a report is: what the other nodes don't know of, against the room left in the quota.
+   * How urgent a report is: the units that the other nodes do not know of, relative to the
+   * remaining quota.
    */
   double reportUrgency() {
-    double room = Math.max(estimate.tokens(), plan.burstUnits() / MIN_ROOM_PARTS_OF_BURST);
-    return Math.abs(unreportedUnits) * nodes / 2 / room;
+    double remainingUnits =
+        Math.max(estimate.tokens(), plan.burstUnits() / MIN_REMAINING_BURST_DIVISOR);
+    return Math.abs(unreportedUnits) * customerNodes / 2 / remainingUnits;
   }
 
   /**
-   * Discards what is left to report if it is too little, or too old to matter.
+   * Discards unreported usage that need not be reported: it is too small or too old to matter, or
+   * the quota does not use the counter.
    *
-   * @return whether nothing is left to report
+   * @return whether nothing remains to be reported
    */
-  boolean discardIfSettled() {
+  boolean discardNegligibleUsage() {
     boolean recent = context.clock().nowNanos() - lastUsedNanos < windows.lengthNanos();
-    boolean toReport = Math.abs(unreportedUnits) > REPORT_STEP_UNITS && recent && shared;
-    if (!toReport) {
+    boolean reportNeeded = Math.abs(unreportedUnits) > REPORT_STEP_UNITS && recent && usesCounter;
+    if (!reportNeeded) {
       unreportedUnits = 0;
     }
-    return !toReport;
+    return !reportNeeded;
   }
 
-  /** Reports the usage to the counter. */
+  /** Reports the unreported usage to the counter. */
   void report() {
     report(null);
   }
 
   private void report(QuotaReservation reservation) {
-    long window = estimate.enterPresentWindow();
+    long window = estimate.enterCurrentWindow();
     double units = Math.rint(unreportedUnits * REPORT_STEPS_PER_UNIT) * REPORT_STEP_UNITS;
     boolean nearQuota = estimate.tokens() < plan.burstUnits() / 2;
     nextReportNanos =
         context.clock().nowNanos()
-            + (nearQuota ? REPORT_PERIOD_NANOS : REPORT_PERIOD_FULL_BUCKET_NANOS);
+            + (nearQuota ? REPORT_PERIOD_NANOS : REPORT_PERIOD_FAR_FROM_QUOTA_NANOS);
     unreportedUnits = 0;
     context.calls().send(this, windows, window, units, reservation);
   }
 
-  /** Applies the end of a call to the usage and the estimate. */
+  /**
+   * Applies the end of a call to the usage and the estimate.
+   *
+   * @param total the total units of all nodes in the call's window; valid only with {@link
+   *     Outcome#OK}
+   */
   void callEnded(CounterCall call, Outcome outcome, double total) {
     if (outcome.provesNotExecuted()) {
       unreportedUnits += call.units();
       context.unreported().add(this);
     } else {
-      // Without an answer it may have been added; if not, the next total looks like lost counts.
+      // Without an answer, the counter may or may not have added the units. If it has not, the next
+      // total may look as if the counter had lost its counts.
       estimate.addLocalUsage(call.window(), call.units());
     }
     refill();
@@ -261,14 +290,17 @@
     }
   }
 
-  /** Hands the state over: all of it, and half of what the ceiling allows now. */
+  /**
+   * Returns the state for the process that replaces this one: all of it, but only half of the
+   * ceiling's present tokens.
+   */
   QuotaUsage exportUsage() {
     refill();
     QuotaUsage usage =
         new QuotaUsage(
             customer,
             planIndex,
-            nodes,
+            customerNodes,
             estimate.window(),
             estimate.localUsage(),
             estimate.remoteUsage(),
@@ -278,17 +310,19 @@
             unreportedUnits,
             ceiling.exportHalf(),
             estimate.lastUpdateNanos());
-    // The new process reports it: nothing may be counted twice.
+    // The new process reports this usage; reporting it here too would count it twice.
     unreportedUnits = 0;
     return usage;
   }
 
-  /** From now on the ceiling's bucket gains nothing: the new process has its rate. */
+  /**
+   * Stops the refill of the ceiling's token bucket, since the new process now has the whole rate.
+   */
   void stopCeilingRefill() {
     ceiling.stopRefill();
   }
 
-  /** Goes on from the state of the process that this one replaces. */
+  /** Continues from the state of the process that this one replaces. */
   void importUsage(QuotaUsage usage) {
     refill();
     estimate.importFrom(usage, unreportedUnits);
--- a/edge/src/main/java/edgegateway/policy/quota/QuotaContext.java
+++ b/edge/src/main/java/edgegateway/policy/quota/QuotaContext.java
@@ -5,16 +5,16 @@
 import java.util.SplittableRandom;
 
 /**
- * What the quotas of all customers share.
+ * The state and collaborators that the quotas of all customers share.
  *
  * @param settings the settings of the node
  * @param clock the time of the present event
- * @param random the policy's one source of randomness
+ * @param random the policy's only source of randomness
  * @param availability whether the counter is reachable
  * @param budget the budget of calls to the counter
  * @param calls the calls that have not ended
  * @param unreported the quotas with usage to report
- * @param priority the priority of calls before admission
+ * @param callPriority the priority of calls before admission
  */
 record QuotaContext(
     PolicySettings settings,
@@ -24,4 +24,4 @@
     CounterCallBudget budget,
     CounterCalls calls,
     UnreportedUsage unreported,
-    CallPriority priority) {}
+    CallPriority callPriority) {}
--- a/edge/src/main/java/edgegateway/policy/quota/QuotaManager.java
+++ b/edge/src/main/java/edgegateway/policy/quota/QuotaManager.java
@@ -12,22 +12,30 @@
 import java.util.Map;
 import java.util.SplittableRandom;
 
-/** The quotas of all customers and the calls to the shared counter. */
+/**
+ * Manages the quotas of all customers and the calls to the shared counter.
+ *
+ * <p>Not thread-safe: like the policy, it is called from one thread.
+ */
 public final class QuotaManager {
-  /** Told when a request's wait for the shared counter is over. */
+  /** Is notified when a request's wait for the shared counter has ended. */
   @FunctionalInterface
   public interface CounterWaitListener {
     /**
-     * The wait is over; {@link QuotaManager#decide} is due unless the client has gone.
+     * The wait has ended; {@link QuotaManager#decide} must be called unless the client has
+     * disconnected.
      *
-     * @param requestId the request that waited
+     * @param requestId the id of the request that waited
      * @param answered whether the counter answered; false after an error or a timeout
      */
     void counterWaitEnded(String requestId, boolean answered);
   }
 
-  /** A call that the host never ends must not cost a request its answer: it waits this long. */
-  private static final int MAX_WAIT_TIMEOUTS = 2;
+  /**
+   * A request waits for the counter at most this many timeouts, so that it is answered even if the
+   * host never reports the end of the call.
+   */
+  private static final int MAX_COUNTER_WAIT_TIMEOUTS = 2;
 
   private final PolicySettings settings;
   private final EventClock clock;
@@ -40,7 +48,10 @@
   private final Map<Long, CustomerQuota> customers = new LinkedHashMap<>();
   private boolean handedOver;
 
-  /** Creates the quotas; the counter's call budget draws once from {@code random}. */
+  /**
+   * Creates the manager without customers; the counter's call budget draws once from {@code
+   * random}.
+   */
   public QuotaManager(
       PolicySettings settings,
       EventClock clock,
@@ -65,12 +76,12 @@
         .newReservation(request);
   }
 
-  private CustomerQuota customer(long key, int plan, int nodes) {
-    CustomerQuota known = customers.get(key);
-    if (known != null) {
-      return known;
+  private CustomerQuota customer(long key, int plan, int customerNodes) {
+    CustomerQuota existing = customers.get(key);
+    if (existing != null) {
+      return existing;
     }
-    CustomerQuota created = new CustomerQuota(key, plan, nodes, context);
+    CustomerQuota created = new CustomerQuota(key, plan, customerNodes, context);
     if (handedOver) {
       created.stopCeilingRefill();
     }
@@ -79,10 +90,10 @@
   }
 
   /**
-   * Decides on a request, perhaps after asking the shared counter.
+   * Decides on a request, or calls the shared counter before the decision.
    *
    * @param priorityWeight the weight of the request's class
-   * @param objectiveNanos the moment by which the request should be answered
+   * @param objectiveNanos the time by which the request should be answered
    */
   public QuotaDecision admit(
       QuotaReservation reservation, double priorityWeight, long objectiveNanos) {
@@ -90,7 +101,7 @@
   }
 
   /**
-   * Decides on a request whose wait for the counter is over.
+   * Decides on a request whose wait for the counter has ended.
    *
    * @param answered whether the counter answered
    */
@@ -99,19 +110,19 @@
   }
 
   /**
-   * Replaces the units of a served request by the true ones, if the settings say that answers tell
-   * them, this one did, and the request was within the quota.
+   * Replaces the units of a served request by the actual units, if the settings say that answers
+   * report them, this answer did, and the request was within the quota.
    *
-   * @param actualUnits the actual units; 0 if the server named none
+   * @param actualUnits the actual units; 0 if the answer did not report them
    */
   public void requestServed(QuotaReservation reservation, double actualUnits) {
     boolean hasActualUnits = settings.counter().reportsActualUnits() && actualUnits > 0;
     if (hasActualUnits && reservation.withinQuota()) {
-      reservation.quota().correct(reservation, actualUnits);
+      reservation.quota().applyActualUnits(reservation, actualUnits);
     }
   }
 
-  /** Gives back what a request holds that was never sent to an endpoint. */
+  /** Gives back the units of a request that was never sent to an endpoint. */
   public void release(QuotaReservation reservation) {
     reservation.quota().release(reservation);
   }
@@ -119,11 +130,11 @@
   /**
    * Applies the end of a call to the counter.
    *
-   * @param name the name of the count; unknown names are ignored
-   * @param total the units of all nodes, if the outcome is {@link Outcome#OK}
+   * @param key the key of the counter; a key without pending calls is ignored
+   * @param total the total units of all nodes, if the outcome is {@link Outcome#OK}
    */
-  public void counterReplied(long name, Outcome outcome, double total) {
-    CounterCall call = calls.poll(name);
+  public void counterReplied(long key, Outcome outcome, double total) {
+    CounterCall call = calls.removeOldest(key);
     if (call == null) {
       return;
     }
@@ -137,11 +148,13 @@
   /** Ends waits for the counter that take too long, and reports usage within the call budget. */
   public void timerFired() {
     availability.update();
-    long due = clock.nowNanos() - MAX_WAIT_TIMEOUTS * settings.counter().timeoutNanos();
-    calls.forEachSentBefore(due, call -> endWait(call, false));
+    long sentBeforeNanos =
+        clock.nowNanos() - MAX_COUNTER_WAIT_TIMEOUTS * settings.counter().timeoutNanos();
+    calls.forEachSentBefore(sentBeforeNanos, call -> endWait(call, false));
     unreported.report();
   }
 
+  /** Ends the wait of the call's request, if there is one that still waits. */
   private void endWait(CounterCall call, boolean answered) {
     QuotaReservation reservation = call.reservation();
     if (reservation == null || !reservation.awaitingCounter()) {
@@ -151,14 +164,14 @@
     listener.counterWaitEnded(reservation.requestId(), answered);
   }
 
-  /** The rate of the counter's call budget, in calls a second. */
+  /** The rate of the counter's call budget, in calls per second. */
   public double counterCallsPerSecond() {
     return budget.callsPerSecond();
   }
 
   /**
-   * Hands the usage of all customers over to the process that replaces this one. This one goes on
-   * with what it has: its ceilings gain nothing more.
+   * Returns the usage of all customers for the process that replaces this one. This process
+   * continues with the tokens it still has; its ceilings are no longer refilled.
    */
   public List<QuotaUsage> exportUsages() {
     List<QuotaUsage> usages = new ArrayList<>(customers.size());
@@ -171,11 +184,13 @@
   }
 
   /**
-   * Goes on from the state of the process that this one replaces; usages of unknown plans are
+   * Continues from the state of the process that this one replaces; usages of unknown plans are
    * ignored.
+   *
+   * @param previousCallsPerSecond the rate of that process's counter call budget
    */
-  public void importUsages(double otherCallsPerSecond, List<QuotaUsage> usages) {
-    budget.raiseTo(otherCallsPerSecond);
+  public void importUsages(double previousCallsPerSecond, List<QuotaUsage> usages) {
+    budget.raiseRateTo(previousCallsPerSecond);
     for (QuotaUsage usage : usages) {
       if (usage.plan() >= 0 && usage.plan() < settings.quotaPlans().size()) {
         customer(usage.customer(), usage.plan(), usage.customerNodeCount()).importUsage(usage);
--- a/edge/src/main/java/edgegateway/policy/quota/QuotaReservation.java
+++ b/edge/src/main/java/edgegateway/policy/quota/QuotaReservation.java
@@ -2,7 +2,7 @@
 
 import edgegateway.policy.api.Request;
 
-/** The units that one request holds of its customer's quota. Only the quota changes it. */
+/** The units that one request holds of its customer's quota. Only the quota code changes it. */
 public final class QuotaReservation {
   private final CustomerQuota quota;
   private final Request request;
@@ -21,17 +21,20 @@
     return quota;
   }
 
-  /** Whether the request is within the quota; false before the decision and for over-quota ones. */
+  /**
+   * Whether the request is within the quota: false before it is charged, true from then on unless
+   * the quota decides that it is over quota.
+   */
   public boolean withinQuota() {
     return withinQuota;
   }
 
-  /** Whether the decision waits for the shared counter. */
+  /** Whether the decision waits for a reply of the shared counter. */
   public boolean awaitingCounter() {
     return awaitingCounter;
   }
 
-  /** After a rejection: seconds until the quota should have room for the request. */
+  /** After a rejection: seconds until the quota should have enough units for the request. */
   public double retryAfterSeconds() {
     return retryAfterSeconds;
   }
@@ -48,10 +51,14 @@
     return request.clientRetry();
   }
 
+  /** Whether the units were charged to the quota. */
   boolean charged() {
     return charged;
   }
 
+  /**
+   * Records that the units were charged; the request counts as within the quota until the decision.
+   */
   void charge() {
     charged = true;
     withinQuota = true;
@@ -65,8 +72,13 @@
     awaitingCounter = awaiting;
   }
 
-  QuotaDecision reject(double secondsUntilRoom) {
-    retryAfterSeconds = secondsUntilRoom;
+  /**
+   * Rejects the request.
+   *
+   * @param secondsUntilAvailable seconds until the quota should have enough units for it
+   */
+  QuotaDecision reject(double secondsUntilAvailable) {
+    retryAfterSeconds = secondsUntilAvailable;
     return QuotaDecision.REJECTED;
   }
 }
--- a/edge/src/main/java/edgegateway/policy/quota/UnreportedUsage.java
+++ b/edge/src/main/java/edgegateway/policy/quota/UnreportedUsage.java
@@ -4,7 +4,9 @@
 import java.util.LinkedHashSet;
 import java.util.Set;
 
-/** The quotas with usage not yet reported to the counter, and the order of reporting it. */
+/**
+ * The quotas with usage not yet reported to the counter; chooses the order in which they report it.
+ */
 final class UnreportedUsage {
   private final EventClock clock;
   private final CounterCallBudget budget;
@@ -20,11 +22,11 @@
   }
 
   /**
-   * Reports usage to the counter, the most urgent first, while the budget has a call for it: if it
-   * has none for the most urgent, it has none for the rest.
+   * Reports usage to the counter, the most urgent quota first, until the budget denies a call: if
+   * it denies one for the most urgent quota, it denies one for all others.
    */
   void report() {
-    quotas.removeIf(CustomerQuota::discardIfSettled);
+    quotas.removeIf(CustomerQuota::discardNegligibleUsage);
     CustomerQuota next = mostUrgent();
     while (next != null && budget.tryAcquire(next.reportUrgency())) {
       next.report();
@@ -32,17 +34,17 @@
     }
   }
 
-  /** The most urgent of the quotas whose next report is due; null if none is. */
+  /** Returns the most urgent of the quotas whose next report is due; null if none is due. */
   private CustomerQuota mostUrgent() {
-    CustomerQuota most = null;
-    double mostUrgency = 0;
+    CustomerQuota selected = null;
+    double highestUrgency = 0;
     for (CustomerQuota quota : quotas) {
       double urgency = clock.nowNanos() >= quota.nextReportNanos() ? quota.reportUrgency() : 0;
-      if (urgency > mostUrgency) {
-        most = quota;
-        mostUrgency = urgency;
+      if (urgency > highestUrgency) {
+        selected = quota;
+        highestUrgency = urgency;
       }
     }
-    return most;
+    return selected;
   }
 }
--- a/edge/src/main/java/edgegateway/policy/quota/UsageEstimate.java
+++ b/edge/src/main/java/edgegateway/policy/quota/UsageEstimate.java
@@ -7,17 +7,21 @@
 import edgegateway.policy.time.EventClock;
 
 /**
- * A customer's token bucket over all nodes as one node estimates it: from local usage, from the
- * totals that the counter tells, and between them from the predicted remote usage.
+ * One node's estimate of a customer's token bucket over all nodes. It is based on local usage, on
+ * the totals from the counter and, between two totals, on predicted remote usage.
  */
 final class UsageEstimate {
-  /** The memory of the average rate of remote usage. */
-  private static final double REMOTE_RATE_MEMORY_SECONDS = 3;
+  /** The time constant of the moving average of the rate of remote usage. */
+  private static final double REMOTE_RATE_TIME_CONSTANT_SECONDS = 3;
 
+  /** Rates are computed over no shorter interval than this. */
   private static final double MIN_RATE_INTERVAL_SECONDS = 0.05;
 
-  /** A total this far below local usage shows that counts were lost; above it is rounding. */
-  private static final double ROUNDING_UNITS = 1e-3;
+  /**
+   * A total that is below local usage by more than this shows that the counter lost counts; a
+   * smaller difference is due to rounding.
+   */
+  private static final double ROUNDING_TOLERANCE_UNITS = 1e-3;
 
   private final EventClock clock;
   private final QuotaPlan plan;
@@ -46,67 +50,67 @@
     return tokens;
   }
 
-  /** The number of the counting window that local and remote usage are of. */
+  /** The number of the counting window that local and remote usage belong to. */
   long window() {
     return window;
   }
 
-  /** Units used here in the present window and counted. */
+  /** Units used by this node in the window and reported to the counter. */
   double localUsage() {
     return localUsage;
   }
 
-  /** Units used by other nodes in the present window, by the last total. */
+  /** Units used by other nodes in the window, as of the last total. */
   double remoteUsage() {
     return remoteUsage;
   }
 
-  /** The average rate of remote usage, in units a second. */
+  /** The average rate of remote usage, in units per second. */
   double remoteUnitsPerSecond() {
     return remoteUnitsPerSecond;
   }
 
-  /** Remote usage since the last total as predicted, in units. */
+  /** Predicted remote usage since the last total, in units. */
   double predictedRemoteUsage() {
     return predictedRemoteUsage;
   }
 
-  /** When the counter last reported a total. */
+  /** When the counter last returned a total. */
   long lastUpdateNanos() {
     return lastUpdateNanos;
   }
 
-  /** Whether the last total is older than a counting window: the estimate can't be relied on. */
+  /** Whether the last total is older than a counting window, so that the estimate is unreliable. */
   boolean isStale() {
     return clock.nowNanos() - lastUpdateNanos > windows.lengthNanos();
   }
 
-  /** Adds what the bucket gains in a span, less what remote nodes are predicted to use. */
+  /** Adds what the bucket gained in an interval, less the predicted remote usage. */
   void refill(double seconds) {
     double predicted = seconds * Math.min(plan.unitsPerSecond(), remoteUnitsPerSecond);
     predictedRemoteUsage += predicted;
     tokens = Math.min(plan.burstUnits(), tokens + seconds * plan.unitsPerSecond() - predicted);
   }
 
-  /** Takes units that are used here; a negative number gives them back. */
+  /** Removes units that are used here; a negative number gives units back. */
   void consume(double units) {
     tokens -= units;
   }
 
-  /** Goes to the counting window of this moment and returns its number. */
-  long enterPresentWindow() {
-    long index = windows.indexAt(clock.nowNanos());
-    if (window != index) {
+  /** Switches to the current counting window and returns its number. */
+  long enterCurrentWindow() {
+    long currentWindow = windows.windowAt(clock.nowNanos());
+    if (window != currentWindow) {
       localUsage = 0;
       remoteUsage = 0;
     }
-    window = index;
-    return index;
+    window = currentWindow;
+    return currentWindow;
   }
 
-  /** Notes that a call has added units to a window's count, or may have. */
-  void addLocalUsage(long ofWindow, double units) {
-    if (ofWindow == window) {
+  /** Records that a call has added, or may have added, units to a window's counter. */
+  void addLocalUsage(long callWindow, double units) {
+    if (callWindow == window) {
       localUsage += units;
     }
   }
@@ -114,34 +118,41 @@
   /**
    * Corrects the estimate by a total from the counter.
    *
-   * @param reportedUnits the units that the reporting call had added
-   * @param total the units of all nodes in the present window
+   * @param reportedUnits the units that the call with this total added
+   * @param total the units of all nodes in the current window
    * @param unreportedUnits units used here that no call has reported yet
    */
   void applyTotal(double reportedUnits, double total, double unreportedUnits) {
     double remoteTotal = total - localUsage;
     boolean countsLost =
-        remoteTotal < -ROUNDING_UNITS || remoteTotal < remoteUsage - plan.burstUnits() / 2;
+        remoteTotal < -ROUNDING_TOLERANCE_UNITS
+            || remoteTotal < remoteUsage - plan.burstUnits() / 2;
     if (countsLost) {
-      // The count began anew: what is there now is new since, and tells of the others what it can.
+      // The counter lost its counts and started from zero: of what was added since then, all but
+      // the units of this call counts as remote usage.
       localUsage = reportedUnits;
       remoteUsage = 0;
       remoteTotal = Math.max(0, total - reportedUnits);
     }
     if (isStale()) {
-      // A full bucket less this window's total tells more than an estimate this old.
+      // A full bucket less the total of this window is more accurate than an estimate this old.
       tokens = plan.burstUnits() - localUsage - unreportedUnits;
       predictedRemoteUsage = 0;
     }
     double newRemoteUsage = remoteTotal - remoteUsage;
     remoteUsage = remoteTotal;
     updateRemoteRate(newRemoteUsage);
-    // Over-quota usage took nothing from the bucket: it can't be far below zero.
+    // Over-quota requests take nothing from the bucket, so it cannot be far below zero.
     double corrected = Math.min(plan.burstUnits(), tokens - newRemoteUsage + predictedRemoteUsage);
     tokens = Math.max(corrected, -counter.maxRequestUnits());
     predictedRemoteUsage = 0;
   }
 
+  /**
+   * Updates the average rate of remote usage.
+   *
+   * @param newRemoteUsage remote usage since the last total, in units
+   */
   private void updateRemoteRate(double newRemoteUsage) {
     long sinceNanos = Math.max(lastUpdateNanos, windows.startNanos(window));
     long nowNanos = clock.nowNanos();
@@ -149,17 +160,19 @@
         Math.max(MIN_RATE_INTERVAL_SECONDS, (nowNanos - sinceNanos) * Durations.SECONDS_PER_NANO);
     lastUpdateNanos = nowNanos;
     double rate = Math.max(0, Math.min(newRemoteUsage / seconds, 2 * plan.unitsPerSecond()));
-    double weight = 1 - Math.exp(-seconds / REMOTE_RATE_MEMORY_SECONDS);
+    double weight = 1 - Math.exp(-seconds / REMOTE_RATE_TIME_CONSTANT_SECONDS);
     remoteUnitsPerSecond += weight * (rate - remoteUnitsPerSecond);
   }
 
   /**
-   * Goes on from the estimate of the process that this one replaces.
+   * Continues from the estimate of the process that this one replaces.
    *
-   * @param unreportedUnits units used here so far that no call has reported
+   * @param usage the state of that process
+   * @param unreportedUnits units used in this process that no call has reported yet
    */
   void importFrom(QuotaUsage usage, double unreportedUnits) {
-    // Some requests may have come already: they were taken from a bucket that was thought full.
+    // Requests that arrived before this import were charged to a bucket that was assumed full;
+    // charge them to the imported tokens.
     tokens = usage.tokens() - unreportedUnits - localUsage;
     if (usage.window() >= window) {
       boolean later = usage.window() > window;
--- a/edge/src/main/java/edgegateway/policy/quota/package-info.java
+++ b/edge/src/main/java/edgegateway/policy/quota/package-info.java
@@ -1,6 +1,6 @@
 /**
- * Quotas of customers over all nodes: token buckets, the estimate of remote usage, and the calls to
- * the shared counter with their budget and the counter's outage. {@link
- * edgegateway.policy.quota.QuotaManager} is the entry.
+ * Customer quotas over all nodes: token buckets, the estimate of remote usage, and the calls to the
+ * shared counter with their budget and the detection of counter outages. {@link
+ * edgegateway.policy.quota.QuotaManager} is the entry point.
  */
 package edgegateway.policy.quota;
--- a/edge/src/test/java/edgegateway/policy/quota/CounterAvailabilityTest.java
+++ b/edge/src/test/java/edgegateway/policy/quota/CounterAvailabilityTest.java
@@ -11,20 +11,20 @@
 import org.junit.jupiter.api.Test;
 
 class CounterAvailabilityTest {
-  private static final long START = 1_000 * Durations.NANOS_PER_SECOND;
-  private static final long HALF_SECOND = Durations.NANOS_PER_SECOND / 2;
+  private static final long START_NANOS = 1_000 * Durations.NANOS_PER_SECOND;
+  private static final long HALF_SECOND_NANOS = Durations.NANOS_PER_SECOND / 2;
 
-  private final EventClock clock = new EventClock(START);
+  private final EventClock clock = new EventClock(START_NANOS);
   private final RecordedActions actions = new RecordedActions();
   private final CounterAvailability availability = new CounterAvailability(clock, actions);
 
   @Test
-  void unreachableOnlyAfterHalfASecondWithoutAnswer() {
+  void isUnreachableOnlyAfterMoreThanHalfASecondWithoutAnAnswer() {
     availability.callSent();
-    clock.set(START + HALF_SECOND);
+    clock.set(START_NANOS + HALF_SECOND_NANOS);
     availability.update();
     assertFalse(availability.unreachable());
-    clock.set(START + HALF_SECOND + 1);
+    clock.set(START_NANOS + HALF_SECOND_NANOS + 1);
     availability.update();
     assertTrue(availability.unreachable());
     assertEquals(List.of("counter_unreachable quota_source=local_share"), actions.logs);
@@ -33,7 +33,7 @@
   @Test
   void anAnswerEndsTheOutageAtOnce() {
     availability.callSent();
-    clock.set(START + 2 * HALF_SECOND);
+    clock.set(START_NANOS + 2 * HALF_SECOND_NANOS);
     availability.update();
     availability.callEnded(true);
     assertFalse(availability.unreachable());
@@ -42,8 +42,8 @@
   }
 
   @Test
-  void aPauseWithoutCallsIsNoOutage() {
-    clock.set(START + 100 * HALF_SECOND);
+  void aPeriodWithoutCallsIsNotAnOutage() {
+    clock.set(START_NANOS + 100 * HALF_SECOND_NANOS);
     availability.callSent();
     availability.update();
     assertFalse(availability.unreachable());
--- a/edge/src/test/java/edgegateway/policy/quota/CounterCallBudgetTest.java
+++ b/edge/src/test/java/edgegateway/policy/quota/CounterCallBudgetTest.java
@@ -11,7 +11,7 @@
 import org.junit.jupiter.api.Test;
 
 class CounterCallBudgetTest {
-  private static final long TIMEOUT = 50 * Durations.NANOS_PER_MILLISECOND;
+  private static final long TIMEOUT_NANOS = 50 * Durations.NANOS_PER_MILLISECOND;
 
   private final EventClock clock = new EventClock(Durations.NANOS_PER_SECOND);
   private final CounterCallBudget budget =
@@ -19,9 +19,10 @@
           clock,
           new SplittableRandom(5),
           new CounterAvailability(clock, new RecordedActions()),
-          TIMEOUT);
+          TIMEOUT_NANOS);
 
-  private int acquireAll(double priority) {
+  /** Acquires calls of a priority until one is denied; returns how many were allowed. */
+  private int acquireUntilDenied(double priority) {
     int acquired = 0;
     while (budget.tryAcquire(priority)) {
       acquired++;
@@ -30,15 +31,15 @@
   }
 
   @Test
-  void anEmptyBudgetAsksForAHigherPriority() {
-    acquireAll(Double.MAX_VALUE);
+  void aLowBudgetAllowsOnlyCallsOfHighPriority() {
+    acquireUntilDenied(Double.MAX_VALUE);
     clock.set(clock.nowNanos() + Durations.NANOS_PER_SECOND);
     assertFalse(budget.tryAcquire(0));
     assertTrue(budget.tryAcquire(Double.MAX_VALUE));
   }
 
   @Test
-  void theRateFallsWithEachUnansweredCallToItsMinimum() {
+  void unansweredCallsLowerTheRateToTheMinimum() {
     for (int i = 0; i < 20; i++) {
       budget.callEnded(false, 0);
     }
@@ -49,9 +50,9 @@
   void theRateRisesOnlyAfterACallWasDenied() {
     budget.callEnded(true, 1);
     budget.callEnded(true, 1);
-    assertEquals(2, budget.callsPerSecond(), "nothing was denied");
-    acquireAll(Double.MAX_VALUE);
+    assertEquals(2, budget.callsPerSecond(), "no call was denied");
+    acquireUntilDenied(Double.MAX_VALUE);
     budget.callEnded(true, 1);
-    assertEquals(2.4, budget.callsPerSecond(), 1e-9, "a fifth more, with no queue");
+    assertEquals(2.4, budget.callsPerSecond(), 1e-9, "raised by a fifth, without a queueing delay");
   }
 }
