--- a/edge/src/main/java/edgegateway/policy/quota/CallPriority.java
+++ b/edge/src/main/java/edgegateway/policy/quota/CallPriority.java
@@ -44,7 +44,7 @@
       boolean withinLocalShare) {
     double wrongDecisionCost =
         priorityWeight
-            * plan.priceFactor()
+            * plan.priorityFactor()
             * plan.overQuotaCostFraction()
             * reservation.units()
             * customerNodes
--- a/edge/src/main/java/edgegateway/policy/quota/CustomerQuota.java
+++ b/edge/src/main/java/edgegateway/policy/quota/CustomerQuota.java
@@ -62,7 +62,7 @@
     this.context = context;
     plan = context.settings().quotaPlans().get(planIndex);
     customerNodes = Math.max(1, Math.min(declaredNodes, context.settings().nodeCount()));
-    usesCounter = customerNodes > 1 && context.settings().counter().present();
+    usesCounter = customerNodes > 1 && context.settings().counter().configured();
     windows = new CountingWindows(customer, plan);
     estimate = new UsageEstimate(context.clock(), plan, context.settings().counter(), windows);
     ceiling = new CeilingBucket(plan, customerNodes);
