--- a/edge/src/main/java/edgegateway/policy/quota/CallPriority.java
+++ b/edge/src/main/java/edgegateway/policy/quota/CallPriority.java
@@ -3,8 +3,8 @@
 import edgegateway.policy.api.QuotaPlan;
 
 /**
- * Computes the priority of asking the shared counter before a request is admitted. The priority is
- * the possible cost of a wrong decision, as a multiple of the average of that cost.
+ * Computes the priority of calls to the shared counter that are sent before a request is admitted.
+ * The priority is the possible cost of a wrong decision, as a multiple of the average of that cost.
  */
 final class CallPriority {
   private static final double AVERAGE_WEIGHT = 0.02;
--- a/edge/src/main/java/edgegateway/policy/quota/CounterAvailability.java
+++ b/edge/src/main/java/edgegateway/policy/quota/CounterAvailability.java
@@ -14,7 +14,10 @@
 
   private final EventClock clock;
   private final PolicyActions actions;
+
+  /** When the first call since the last answer was sent; {@link Long#MAX_VALUE} if none was. */
   private long unansweredSinceNanos = Long.MAX_VALUE;
+
   private boolean unreachable;
 
   CounterAvailability(EventClock clock, PolicyActions actions) {
--- a/edge/src/main/java/edgegateway/policy/quota/CounterCallBudget.java
+++ b/edge/src/main/java/edgegateway/policy/quota/CounterCallBudget.java
@@ -11,15 +11,15 @@
 final class CounterCallBudget {
   private static final double INITIAL_CALLS_PER_SECOND = 2;
   private static final double MIN_CALLS_PER_SECOND = 1;
-  private static final double MAX_INCREASE_PER_ANSWER = 0.2;
-  private static final double MAX_DECREASE_PER_ANSWER = 0.3;
+  private static final double MAX_RATE_INCREASE_FRACTION = 0.2;
+  private static final double MAX_RATE_DECREASE_FRACTION = 0.3;
 
   /** The queueing delay, as a fraction of the timeout, at which the rate does not change. */
   private static final double TARGET_DELAY_FRACTION = 0.22;
 
   /**
-   * The bucket's capacity is the calls of this time at the present rate, or twice the initial calls
-   * per second if that is more.
+   * The bucket's capacity is what its rate gains in this time, but at least twice {@link
+   * #INITIAL_CALLS_PER_SECOND}.
    */
   private static final double MAX_ACCUMULATION_SECONDS = 0.25;
 
@@ -114,8 +114,8 @@
    * @param delayFraction the queueing delay as a fraction of the timeout
    */
   private void adjustRate(double delayFraction) {
-    double increase = MAX_INCREASE_PER_ANSWER * (1 - delayFraction / TARGET_DELAY_FRACTION);
-    double step = Math.max(-MAX_DECREASE_PER_ANSWER, increase);
+    double increase = MAX_RATE_INCREASE_FRACTION * (1 - delayFraction / TARGET_DELAY_FRACTION);
+    double step = Math.max(-MAX_RATE_DECREASE_FRACTION, increase);
     if (step < 0 || deniedForLackOfTokens) {
       callsPerSecond = Math.max(MIN_CALLS_PER_SECOND, callsPerSecond * (1 + step));
     }
--- a/edge/src/main/java/edgegateway/policy/quota/CountingWindows.java
+++ b/edge/src/main/java/edgegateway/policy/quota/CountingWindows.java
@@ -5,9 +5,10 @@
 import java.util.SplittableRandom;
 
 /**
- * The counting windows of one customer at the shared counter. Within limits, a window is as long as
- * the plan's rate takes to refill one burst: one window's total is then enough for a node that has
- * no earlier data of the customer. Windows of different customers start at different times.
+ * The counting windows of one customer at the shared counter. Within limits, a window lasts as long
+ * as the plan's rate takes to refill one burst. A customer with steady traffic is then granted one
+ * burst per window, so the total of one window is enough for a node without earlier data of the
+ * customer. Windows of different customers start at different times.
  */
 final class CountingWindows {
   private static final double MIN_LENGTH_SECONDS = 1;
--- a/edge/src/main/java/edgegateway/policy/quota/CustomerQuota.java
+++ b/edge/src/main/java/edgegateway/policy/quota/CustomerQuota.java
@@ -12,7 +12,10 @@
  * node's local share of the quota.
  */
 public final class CustomerQuota {
+  /** The minimum time to the next report by the timer while the bucket is less than half full. */
   private static final long REPORT_PERIOD_NANOS = Durations.NANOS_PER_SECOND / 4;
+
+  /** The minimum time to the next report by the timer while the bucket is at least half full. */
   private static final long REPORT_PERIOD_FAR_FROM_QUOTA_NANOS = Durations.NANOS_PER_SECOND;
 
   /**
@@ -67,6 +70,7 @@
     estimate = new UsageEstimate(context.clock(), plan, context.settings().counter(), windows);
     ceiling = new CeilingBucket(plan, customerNodes);
     localShare = localShareCapacity(1);
+    // Tokens accumulate from the start of the process, not from the first request.
     refilledAtNanos = context.clock().startNanos();
     // Spread the reports of all quotas over time: sent together they would overload the counter.
     nextReportNanos = context.clock().nowNanos() + context.random().nextLong(REPORT_PERIOD_NANOS);
--- a/edge/src/main/java/edgegateway/policy/quota/UsageEstimate.java
+++ b/edge/src/main/java/edgegateway/policy/quota/UsageEstimate.java
@@ -42,6 +42,7 @@
     this.counter = counter;
     this.windows = windows;
     tokens = plan.burstUnits();
+    // No total has been received yet, so the estimate starts as stale.
     lastUpdateNanos = clock.nowNanos() - 2 * windows.lengthNanos();
   }
 
