--- a/edge/src/main/java/edgegateway/policy/RequestLifecycle.java
+++ b/edge/src/main/java/edgegateway/policy/RequestLifecycle.java
@@ -95,7 +95,7 @@
       giveUp(pending);
     } else {
       double priorityWeight = pending.requestClass().priorityWeight();
-      apply(pending, quotas.admit(reservation, priorityWeight, pending.objectiveNanos()));
+      apply(pending, quotas.admit(reservation, priorityWeight, pending.objectiveAtNanos()));
     }
     dispatch();
   }
@@ -115,7 +115,7 @@
   /** A request's wait for the shared counter is over. */
   void counterWaitEnded(String requestId, boolean answered) {
     PendingRequest request = requests.get(requestId);
-    if (request.isClientGone()) {
+    if (request.isClientDisconnected()) {
       finish(request);
     } else {
       apply(request, quotas.decide(request.reservation(), answered));
@@ -137,7 +137,7 @@
   private void enqueue(PendingRequest request) {
     request.queue().add(request);
     shedLoad(request.queue());
-    router.checkHealthIfRarelyUsed(request);
+    router.checkHealthIfTrafficLow(request);
   }
 
   private void shedLoad(RequestClassQueue queue) {
@@ -164,7 +164,7 @@
 
   /** Sends requests in the order of the fair queue while the concurrency limit has room. */
   void dispatch() {
-    while (inFlight.mayRelease()) {
+    while (inFlight.mayDispatch()) {
       PendingRequest next = queues.next();
       if (next == null) {
         return;
@@ -178,7 +178,7 @@
       if (endpoint == null) {
         return;
       }
-      queues.release(next);
+      queues.dequeue(next);
       send(next, endpoint);
     }
   }
@@ -209,7 +209,7 @@
     if (result.outcome() == Outcome.OK) {
       quotas.requestServed(request.reservation(), result.actualUnits());
     }
-    if (result.requestComplete() || request.isClientGone()) {
+    if (result.requestComplete() || request.isClientDisconnected()) {
       finish(request);
     } else {
       retryOrGiveUp(request, provesNotExecuted);
--- a/edge/src/main/java/edgegateway/policy/admission/DeadlinePolicy.java
+++ b/edge/src/main/java/edgegateway/policy/admission/DeadlinePolicy.java
@@ -32,7 +32,7 @@
             ? Durations.toNanos(
                 MIN_SERVICE_TIMES_FOR_FIRST_ATTEMPT * request.expectedServiceSeconds())
             : 0;
-    long earliestAnswerNanos = clock.nowNanos() + Math.max(neededNanos, minRemainingNanos);
-    return earliestAnswerNanos >= request.objectiveNanos();
+    long earliestAnswerAtNanos = clock.nowNanos() + Math.max(neededNanos, minRemainingNanos);
+    return earliestAnswerAtNanos >= request.objectiveAtNanos();
   }
 }
--- a/edge/src/main/java/edgegateway/policy/quota/CustomerQuota.java
+++ b/edge/src/main/java/edgegateway/policy/quota/CustomerQuota.java
@@ -120,9 +120,9 @@
    *
    * @param reservation the request's reservation, which does not hold any units yet
    * @param priorityWeight the weight of the request's class
-   * @param objectiveNanos the time by which the request should be answered
+   * @param objectiveAtNanos the time by which the request should be answered
    */
-  QuotaDecision admit(QuotaReservation reservation, double priorityWeight, long objectiveNanos) {
+  QuotaDecision admit(QuotaReservation reservation, double priorityWeight, long objectiveAtNanos) {
     refill();
     double units = reservation.units();
     if (!ceiling.hasCapacityFor(units)) {
@@ -141,7 +141,7 @@
                 customerNodes,
                 context.settings().nodeCount(),
                 localShare >= units);
-    if (shouldCallCounter(objectiveNanos) && context.budget().tryAcquire(priority)) {
+    if (shouldCallCounter(objectiveAtNanos) && context.budget().tryAcquire(priority)) {
       reservation.setAwaitingCounter(true);
       report(reservation);
       return QuotaDecision.AWAITING_COUNTER;
@@ -153,9 +153,9 @@
    * Whether over-quota requests cost at least what they earn, the estimate is old, and there is
    * time for a call to the counter.
    *
-   * @param objectiveNanos the time by which the request should be answered
+   * @param objectiveAtNanos the time by which the request should be answered
    */
-  private boolean shouldCallCounter(long objectiveNanos) {
+  private boolean shouldCallCounter(long objectiveAtNanos) {
     boolean overQuotaIsCostly =
         plan.unitsPerSecond() > 0 && plan.overQuotaValueFraction() <= plan.overQuotaCostFraction();
     long now = context.clock().nowNanos();
@@ -164,7 +164,7 @@
         && now - estimate.lastUpdateNanos() > maxFreshAgeNanos
         && usesCounter
         && !context.availability().unreachable()
-        && now + 2 * context.settings().counter().timeoutNanos() < objectiveNanos;
+        && now + 2 * context.settings().counter().timeoutNanos() < objectiveAtNanos;
   }
 
   /**
--- a/edge/src/main/java/edgegateway/policy/quota/QuotaManager.java
+++ b/edge/src/main/java/edgegateway/policy/quota/QuotaManager.java
@@ -93,11 +93,11 @@
    * Decides on a request, or calls the shared counter before the decision.
    *
    * @param priorityWeight the weight of the request's class
-   * @param objectiveNanos the time by which the request should be answered
+   * @param objectiveAtNanos the time by which the request should be answered
    */
   public QuotaDecision admit(
-      QuotaReservation reservation, double priorityWeight, long objectiveNanos) {
-    return reservation.quota().admit(reservation, priorityWeight, objectiveNanos);
+      QuotaReservation reservation, double priorityWeight, long objectiveAtNanos) {
+    return reservation.quota().admit(reservation, priorityWeight, objectiveAtNanos);
   }
 
   /**
--- a/edge/src/main/java/edgegateway/policy/retry/AttemptTimeouts.java
+++ b/edge/src/main/java/edgegateway/policy/retry/AttemptTimeouts.java
@@ -38,8 +38,8 @@
    */
   public long timeoutNanos(PendingRequest request, boolean belowConcurrencyLimit) {
     boolean lateIsWorthless = request.requestClass().lateValueFraction() <= 0;
-    long endNanos = lateIsWorthless ? request.objectiveNanos() : request.deadlineNanos();
-    long remainingNanos = endNanos - clock.nowNanos();
+    long endAtNanos = lateIsWorthless ? request.objectiveAtNanos() : request.deadlineNanos();
+    long remainingNanos = endAtNanos - clock.nowNanos();
     double serviceSeconds = request.expectedServiceSeconds();
     long shortTimeoutNanos = Durations.toNanos(SHORT_TIMEOUT_SERVICE_TIMES * serviceSeconds);
     long retryReserveNanos = Durations.toNanos(RETRY_RESERVE_SERVICE_TIMES * serviceSeconds);
--- a/edge/src/main/java/edgegateway/policy/retry/RetryPolicy.java
+++ b/edge/src/main/java/edgegateway/policy/retry/RetryPolicy.java
@@ -31,9 +31,9 @@
    */
   public boolean mayRetry(PendingRequest request, boolean provesNotExecuted) {
     double halfServiceSeconds = request.queue().serviceTime().averageSeconds() / 2;
-    long expectedAnswerNanos = clock.nowNanos() + Durations.toNanos(halfServiceSeconds);
+    long expectedAnswerAtNanos = clock.nowNanos() + Durations.toNanos(halfServiceSeconds);
     return isSafeToRetry(request)
-        && expectedAnswerNanos < request.objectiveNanos()
+        && expectedAnswerAtNanos < request.objectiveAtNanos()
         && budget.hasTokens(budgetCost(provesNotExecuted))
         && !request.isBodyForwarded()
         && request.attempts() < limits.maxAttempts();
--- a/edge/src/main/java/edgegateway/policy/routing/EndpointRouter.java
+++ b/edge/src/main/java/edgegateway/policy/routing/EndpointRouter.java
@@ -52,7 +52,7 @@
   /** Ejects an endpoint for an operator, or readmits it in slow start. */
   public EjectionResult setEndpointEjected(String id, boolean ejected) {
     if (registry.get(id) == null && !registry.ejectedByOperator().contains(id)) {
-      return EjectionResult.REFUSED;
+      return EjectionResult.REJECTED;
     }
     if (ejected) {
       registry.eject(id);
@@ -81,7 +81,7 @@
    */
   public EjectionResult setZoneEjected(int zone, boolean ejected, long rampNanos) {
     if (ejected && noneRoutableOutside(zone)) {
-      return EjectionResult.REFUSED;
+      return EjectionResult.REJECTED;
     }
     if (ejected == zones.isEjectedByOperator(zone)) {
       return EjectionResult.UNCHANGED;
@@ -116,8 +116,8 @@
   }
 
   /** The zones that operators have ever ejected. */
-  public List<Integer> zonesChangedByOperator() {
-    return zones.changedByOperator();
+  public List<Integer> zonesEverEjectedByOperator() {
+    return zones.everEjectedByOperator();
   }
 
   /** Sets a zone's traffic by decision of the fleet; null: all of it. */
@@ -166,17 +166,17 @@
   /** Counts an attempt that is sent to an endpoint. */
   public void attemptSent(RoutableRequest request, EndpointTracker endpoint) {
     slowStart.attemptSent(request.expectedServiceSeconds());
-    endpoint.add(request);
+    endpoint.addInFlight(request);
   }
 
   /** While its client sends the body, an attempt is no load: a slow client holds no place. */
   public void bodyForwarded(RoutableRequest request, EndpointTracker endpoint) {
-    endpoint.remove(request);
+    endpoint.removeInFlight(request);
   }
 
   /** From now on the endpoint works on the attempt. */
   public void uploadCompleted(RoutableRequest request, EndpointTracker endpoint) {
-    endpoint.add(request);
+    endpoint.addInFlight(request);
   }
 
   /**
@@ -186,7 +186,7 @@
    */
   public boolean attemptEnded(
       RoutableRequest request, EndpointTracker endpoint, AttemptResult result) {
-    boolean inProgress = endpoint.remove(request);
+    boolean inProgress = endpoint.removeInFlight(request);
     Outcome outcome = result.outcome();
     if (outcome == Outcome.CANCELLED || outcome == Outcome.NOT_SENT) {
       return inProgress;
@@ -194,7 +194,8 @@
     EndpointStatistics statistics = endpoint.statistics();
     statistics.attemptEnded(
         endpoint.entry(), result, request.expectedServiceSeconds(), registry.routable().size());
-    zoneHealth.attemptEnded(endpoint.zone(), statistics.lastFailed(), statistics.lastUnanswered());
+    zoneHealth.attemptEnded(
+        endpoint.zone(), statistics.lastAttemptFailed(), statistics.lastAttemptUnanswered());
     if (outcome == Outcome.OK) {
       recent.add(endpoint);
     }
@@ -205,7 +206,7 @@
   public void healthChecked(String id, List<Double> report) {
     EndpointTracker endpoint = registry.get(id);
     if (endpoint != null) {
-      endpoint.loadReported(loads.read(report));
+      endpoint.loadReported(loads.add(report));
       recent.add(endpoint);
     }
   }
@@ -214,13 +215,13 @@
    * Asks one random endpoint for its load, where own answers come less than once a second from each
    * and the settings allow health checks.
    */
-  public void checkHealthIfRarelyUsed(RoutableRequest request) {
+  public void checkHealthIfTrafficLow(RoutableRequest request) {
     List<EndpointTracker> routable = registry.routable();
-    boolean rarelyUsed =
+    boolean trafficLow =
         slowStart.workPerSecond() < request.expectedServiceSeconds() * routable.size();
     boolean reportsLoad =
         settings.limits().healthChecksAllowed() && !settings.loadReportNames().isEmpty();
-    if (rarelyUsed && reportsLoad) {
+    if (trafficLow && reportsLoad) {
       actions.healthCheck(routable.get(random.nextInt(routable.size())).id());
     }
   }
@@ -259,14 +260,14 @@
   }
 
   /** The listed endpoints that are avoided: ejected by an operator, draining, or outliers. */
-  public List<String> avoidedEndpoints() {
-    List<String> avoided = new ArrayList<>();
+  public List<String> skippedEndpoints() {
+    List<String> skipped = new ArrayList<>();
     for (EndpointTracker endpoint : registry.all()) {
       boolean outlier = endpoint.statistics().isOutlier(endpoint.entry());
       if (endpoint.listed() && (!endpoint.usable() || outlier)) {
-        avoided.add(endpoint.id());
+        skipped.add(endpoint.id());
       }
     }
-    return avoided;
+    return skipped;
   }
 }
--- a/edge/src/test/java/edgegateway/policy/admission/ConcurrencyCapsTest.java
+++ b/edge/src/test/java/edgegateway/policy/admission/ConcurrencyCapsTest.java
@@ -17,12 +17,12 @@
   void aCapIsDividedByTheCustomersNodesAndIsAtLeastOne() {
     ConcurrencyCap capOfTwo = caps.of(1, planWithCap(6), 3);
     capOfTwo.acquire();
-    assertTrue(capOfTwo.hasRoom());
+    assertTrue(capOfTwo.hasCapacity());
     capOfTwo.acquire();
-    assertFalse(caps.of(1, planWithCap(6), 3).hasRoom(), "the cap is the same customer's");
+    assertFalse(caps.of(1, planWithCap(6), 3).hasCapacity(), "the cap is the same customer's");
     capOfTwo.release();
-    assertTrue(capOfTwo.hasRoom());
-    assertTrue(caps.of(2, planWithCap(2), 3).hasRoom(), "at least one request per node");
+    assertTrue(capOfTwo.hasCapacity());
+    assertTrue(caps.of(2, planWithCap(2), 3).hasCapacity(), "at least one request per node");
   }
 
   @Test
@@ -31,6 +31,6 @@
     for (int i = 0; i < 1000; i++) {
       unlimited.acquire();
     }
-    assertTrue(unlimited.hasRoom());
+    assertTrue(unlimited.hasCapacity());
   }
 }
