--- a/edge/src/main/java/edgegateway/policy/RequestLifecycle.java
+++ b/edge/src/main/java/edgegateway/policy/RequestLifecycle.java
@@ -90,7 +90,8 @@
     }
     QuotaReservation reservation = quotas.newReservation(request);
     CustomerQuota quota = reservation.quota();
-    SendPermit permit = concurrencyCaps.of(request.customer(), quota.plan(), quota.nodes());
+    SendPermit permit =
+        concurrencyCaps.of(request.customer(), quota.plan(), quota.customerNodeCount());
     PendingRequest pending = queues.newRequest(request, reservation, permit);
     requests.put(request.id(), pending);
     if (deadlines.cannotMeetObjective(pending)) {
@@ -112,7 +113,7 @@
 
   /** Rejects a request for which the host has no capacity left. */
   void requestOverHostCapacity(Request request) {
-    actions.reject(request.id(), retryAfter.overCapacityNanos());
+    actions.reject(request.id(), retryAfter.overCapacityRetryAfterNanos());
   }
 
   /**
@@ -134,7 +135,7 @@
       case ADMITTED -> enqueue(request);
       case REJECTED -> {
         double seconds = request.reservation().retryAfterSeconds();
-        actions.reject(request.id(), retryAfter.adviceNanos(seconds));
+        actions.reject(request.id(), retryAfter.retryAfterNanos(seconds));
         finish(request);
       }
       case AWAITING_COUNTER -> {}
@@ -157,7 +158,7 @@
     }
     LoadShedder.WaitLimit limit = loadShedder.waitLimit(queue, concurrency.limit());
     while (!inFlight.belowLimit() && limit.isExceededBy(queue)) {
-      PendingRequest leastValuable = LoadShedder.leastValuable(queue);
+      PendingRequest leastValuable = LoadShedder.lowestValueRequest(queue);
       queue.remove(leastValuable);
       giveUp(leastValuable);
     }
@@ -294,7 +295,7 @@
       // A client that retries before the requests queued now are served only lengthens the queue.
       RequestClassQueue queue = request.queue();
       double seconds = queue.size() * queue.serviceTime().averageSeconds() / concurrency.limit();
-      actions.reject(request.id(), retryAfter.adviceNanos(seconds));
+      actions.reject(request.id(), retryAfter.retryAfterNanos(seconds));
     } else {
       actions.fail(request.id());
     }
