--- a/edge/src/main/java/edgegateway/policy/retry/RetryPolicy.java
+++ b/edge/src/main/java/edgegateway/policy/retry/RetryPolicy.java
@@ -63,7 +63,7 @@
 
   /** Whether the endpoints still drop repeats of the request's idempotency key. */
   private boolean isKeyStillKnown(PendingRequest request, RequestClass requestClass) {
-    long ageNanos = clock.nowNanos() - request.mayHaveExecutedSinceNanos();
+    long ageNanos = clock.nowNanos() - request.possibleExecutionSentAtNanos();
     return ageNanos + Durations.TIMER_PERIOD_NANOS < requestClass.idempotencyKeyWindowNanos();
   }
 
--- a/edge/src/main/java/edgegateway/policy/scheduling/PendingRequest.java
+++ b/edge/src/main/java/edgegateway/policy/scheduling/PendingRequest.java
@@ -18,7 +18,7 @@
   private int attempts;
   private EndpointTracker endpoint;
   private long sentAtNanos;
-  private long mayHaveExecutedSinceNanos;
+  private long possibleExecutionSentAtNanos;
   private EndpointTracker possibleExecutionEndpoint;
   private boolean bodyForwarded;
   private boolean clientDisconnected;
@@ -70,7 +70,7 @@
 
   @Override
   public boolean mayHaveExecuted() {
-    return mayHaveExecutedSinceNanos != 0;
+    return possibleExecutionSentAtNanos != 0;
   }
 
   @Override
@@ -82,8 +82,8 @@
    * When the first attempt that may have been executed was sent, in nanoseconds; 0 if there is
    * none.
    */
-  public long mayHaveExecutedSinceNanos() {
-    return mayHaveExecutedSinceNanos;
+  public long possibleExecutionSentAtNanos() {
+    return possibleExecutionSentAtNanos;
   }
 
   @Override
@@ -173,8 +173,8 @@
    * @param provesNotExecuted whether its outcome proves that the endpoint did not execute it
    */
   public void attemptEnded(boolean provesNotExecuted) {
-    if (!provesNotExecuted && mayHaveExecutedSinceNanos == 0) {
-      mayHaveExecutedSinceNanos = sentAtNanos;
+    if (!provesNotExecuted && possibleExecutionSentAtNanos == 0) {
+      possibleExecutionSentAtNanos = sentAtNanos;
       possibleExecutionEndpoint = endpoint;
     }
     endpoint = null;
