--- a/edge/src/main/java/edgegateway/policy/retry/RetryPolicy.java
+++ b/edge/src/main/java/edgegateway/policy/retry/RetryPolicy.java
@@ -67,7 +67,7 @@
 
   /** Whether the endpoints still drop repeated requests with the request's idempotency key. */
   private boolean isIdempotencyKeyValid(PendingRequest request, RequestClass requestClass) {
-    long ageNanos = clock.nowNanos() - request.mayHaveExecutedSinceNanos();
+    long ageNanos = clock.nowNanos() - request.possibleExecutionSentAtNanos();
     return ageNanos + Durations.TIMER_PERIOD_NANOS < requestClass.idempotencyKeyWindowNanos();
   }
 
