--- a/edge/src/main/java/edgegateway/policy/routing/EndpointScorer.java
+++ b/edge/src/main/java/edgegateway/policy/routing/EndpointScorer.java
@@ -30,6 +30,7 @@
     this.loadReports = loadReports;
   }
 
+  /** Returns the score of an endpoint now. */
   double score(EndpointTracker endpoint) {
     double latency = latencyRatio(endpoint) * loadFactor(endpoint);
     double successProbability =
--- a/edge/src/main/java/edgegateway/policy/routing/PeerAverages.java
+++ b/edge/src/main/java/edgegateway/policy/routing/PeerAverages.java
@@ -8,20 +8,21 @@
  * for an endpoint's own averages where this node has sent it few attempts lately.
  */
 final class PeerAverages {
-  private static final double INITIAL_LATENCY_RATIO = 1;
-  private static final double INITIAL_ERROR_RATE = 0;
+  // Averages before the first sample.
+  private static final double DEFAULT_LATENCY_RATIO = 1;
+  private static final double DEFAULT_ERROR_RATE = 0;
 
   private final Map<Integer, Double> latencyRatios = new HashMap<>();
   private final Map<Integer, Double> errorRates = new HashMap<>();
 
   /** The average latency of a machine type, as a multiple of the expected service time. */
   double latencyRatio(int machineType) {
-    return latencyRatios.getOrDefault(machineType, INITIAL_LATENCY_RATIO);
+    return latencyRatios.getOrDefault(machineType, DEFAULT_LATENCY_RATIO);
   }
 
   /** The average error rate in a zone, 0 to 1. */
   double errorRate(int zone) {
-    return errorRates.getOrDefault(zone, INITIAL_ERROR_RATE);
+    return errorRates.getOrDefault(zone, DEFAULT_ERROR_RATE);
   }
 
   void addLatencyRatio(int machineType, double ratio, double weight) {
--- a/edge/src/main/java/edgegateway/policy/routing/ZoneAttempts.java
+++ b/edge/src/main/java/edgegateway/policy/routing/ZoneAttempts.java
@@ -8,8 +8,8 @@
  */
 final class ZoneAttempts {
   /**
-   * Time constant of the decay of the failure excess. It is longer than the second of the other
-   * counts, because a node that avoids failing endpoints sees few of their failures.
+   * Time constant of the decay of the failure excess. It is longer than the 1 s of the other counts
+   * because a node that avoids failing endpoints sees few of their failures.
    */
   private static final double EXCESS_TIME_CONSTANT_SECONDS = 5;
 
--- a/edge/src/test/java/edgegateway/policy/routing/EndpointStatisticsTest.java
+++ b/edge/src/test/java/edgegateway/policy/routing/EndpointStatisticsTest.java
@@ -33,7 +33,7 @@
   }
 
   @Test
-  void oneConnectFailureEjectsAndFourSuccessesReadmit() {
+  void connectFailureEjectsAtOnceAndFourSuccessesReadmit() {
     attemptEnded(Outcome.CONNECT_FAILED);
     assertTrue(statistics.isOutlier(ENDPOINT));
     assertEquals(List.of("endpoint_ejected id=a cause=CONNECT_FAILED"), actions.logs);
