--- a/edge/src/main/java/edgegateway/node/EdgeNode.java
+++ b/edge/src/main/java/edgegateway/node/EdgeNode.java
@@ -102,7 +102,7 @@
     this.config = config;
     loop = ownLoops == null ? sharedLoop : ownLoops.next();
     ConnectionMetrics connectionMetrics = new ConnectionMetrics();
-    metrics = new NodeMetrics(config.names().classes(), connectionMetrics);
+    metrics = new NodeMetrics(config.names().requestClasses(), connectionMetrics);
     BufferedBodies bufferedBodies = new BufferedBodies(connectionMetrics);
     BodyRelay.Group relays = new BodyRelay.Group(loop);
     EventLoopStallDetector stallDetector = new EventLoopStallDetector(System.nanoTime());
--- a/edge/src/main/java/edgegateway/node/WarmUp.java
+++ b/edge/src/main/java/edgegateway/node/WarmUp.java
@@ -175,16 +175,16 @@
   }
 
   private String request(int number) {
-    int requestClass = number % config.names().classes().size();
+    int requestClass = number % config.names().requestClasses().size();
     RequestClass terms = config.settings().requestClasses().get(requestClass);
-    List<String> plans = config.names().plans();
+    List<String> plans = config.names().quotaPlans();
     boolean idempotent = terms.idempotency() == Idempotency.IDEMPOTENT;
     String id = "warm-up-" + number;
     return (idempotent ? "GET" : "POST")
         + " /api HTTP/1.1\r\nHost: app.svc\r\nX-Trace-Id: "
         + id
         + "\r\nX-Qos: "
-        + config.names().classes().get(requestClass)
+        + config.names().requestClasses().get(requestClass)
         + "\r\nX-Plan: "
         + plans.get(number / 2 % plans.size())
         + "\r\nCookie: customer=00000000000000"
--- a/edge/src/main/java/edgegateway/node/clients/RequestParser.java
+++ b/edge/src/main/java/edgegateway/node/clients/RequestParser.java
@@ -72,8 +72,8 @@
     }
     HttpHeaders headers = message.headers();
     String traceId = traceId(headers);
-    int requestClass = indexOf(config.names().classes(), headers, REQUEST_CLASS);
-    int plan = indexOf(config.names().plans(), headers, PLAN);
+    int requestClass = indexOf(config.names().requestClasses(), headers, REQUEST_CLASS);
+    int plan = indexOf(config.names().quotaPlans(), headers, PLAN);
     Idempotency idempotency = config.settings().requestClasses().get(requestClass).idempotency();
     HttpMethod method = checkedMethod(message, idempotency, body);
     String idempotencyKey =
--- a/edge/src/main/java/edgegateway/node/config/NodeConfigParser.java
+++ b/edge/src/main/java/edgegateway/node/config/NodeConfigParser.java
@@ -83,7 +83,7 @@
   private static NodeConfig config(JsonNode root)
       throws InvalidConfigException, InvalidFieldException {
     JsonNode settings = JsonFields.required(root, "settings");
-    Map<String, String> pairs = SettingsFlattener.of(settings);
+    Map<String, String> pairs = SettingsFlattener.flatten(settings);
     SettingNames names = names(settings);
     checkIdempotencies(pairs, names);
     checkRequired(pairs, names);
@@ -149,7 +149,7 @@
 
   private static void checkIdempotencies(Map<String, String> pairs, SettingNames names)
       throws InvalidConfigException {
-    for (int i = 0; i < names.classes().size(); i++) {
+    for (int i = 0; i < names.requestClasses().size(); i++) {
       String path = "classes." + i + ".idempotency";
       if (!IDEMPOTENCIES.contains(pairs.getOrDefault(path, ""))) {
         String key = "settings." + path;
@@ -163,12 +163,12 @@
     for (String path : REQUIRED_SETTINGS) {
       checkNumber(pairs, path);
     }
-    for (int i = 0; i < names.classes().size(); i++) {
+    for (int i = 0; i < names.requestClasses().size(); i++) {
       for (String name : REQUIRED_CLASS_SETTINGS) {
         checkNumber(pairs, "classes." + i + "." + name);
       }
     }
-    for (int i = 0; i < names.plans().size(); i++) {
+    for (int i = 0; i < names.quotaPlans().size(); i++) {
       for (String name : REQUIRED_PLAN_SETTINGS) {
         checkNumber(pairs, "tariffs." + i + "." + name);
       }
--- a/edge/src/main/java/edgegateway/protocol/EndpointListParser.java
+++ b/edge/src/main/java/edgegateway/protocol/EndpointListParser.java
@@ -69,7 +69,7 @@
             item.path("size").asDouble(DEFAULT_WEIGHT),
             names.zones().indexOf(item.path("locality").asText()),
             item.path("cell").asInt(0),
-            names.kinds().indexOf(item.path("flavor").asText()),
+            names.machineTypes().indexOf(item.path("flavor").asText()),
             state,
             startedNanos(item));
     return new EndpointEntry(endpoint, JsonFields.address(item, "host_port"));
--- a/edge/src/main/java/edgegateway/protocol/SettingNames.java
+++ b/edge/src/main/java/edgegateway/protocol/SettingNames.java
@@ -3,12 +3,16 @@
 import java.util.List;
 
 /**
- * The names that stand for the settings' indices, each at its index.
+ * The names of the objects to which the settings refer by index; each name is at its object's
+ * index.
  *
- * @param classes request classes
- * @param plans quota plans
- * @param zones zones; empty if the settings name none
- * @param kinds machine types; empty if the settings name none
+ * @param requestClasses names of the request classes
+ * @param quotaPlans names of the quota plans
+ * @param zones names of the zones; empty if the settings name none
+ * @param machineTypes names of the machine types; empty if the settings name none
  */
 public record SettingNames(
-    List<String> classes, List<String> plans, List<String> zones, List<String> kinds) {}
+    List<String> requestClasses,
+    List<String> quotaPlans,
+    List<String> zones,
+    List<String> machineTypes) {}
--- a/edge/src/main/java/edgegateway/protocol/SettingsFlattener.java
+++ b/edge/src/main/java/edgegateway/protocol/SettingsFlattener.java
@@ -6,42 +6,42 @@
 import java.util.List;
 import java.util.Map;
 
-/**
- * The settings' tree as the path=value pairs that {@link edgegateway.protocol.PolicySettingsReader}
- * reads.
- */
+/** Converts the settings from a JSON tree to the paths that {@link PolicySettingsReader} reads. */
 public final class SettingsFlattener {
   private SettingsFlattener() {}
 
   /**
-   * A list of objects has its length under {@code .count}, plain values are joined by commas, nulls
-   * are left out.
+   * Returns the value of each setting by its path, whose parts are separated by dots. An array has
+   * its length under {@code <path>.count}; its objects are below {@code <path>.<index>}, and its
+   * plain values are joined by commas under {@code <path>}. Fields that are null are omitted.
    */
-  public static Map<String, String> of(JsonNode settings) {
-    Map<String, String> pairs = new HashMap<>();
-    flatten("", settings, pairs);
-    return pairs;
+  public static Map<String, String> flatten(JsonNode settings) {
+    Map<String, String> valuesByPath = new HashMap<>();
+    addValues("", settings, valuesByPath);
+    return valuesByPath;
   }
 
-  private static void flatten(String path, JsonNode node, Map<String, String> into) {
+  private static void addValues(String path, JsonNode node, Map<String, String> valuesByPath) {
     if (node.isObject()) {
       for (Map.Entry<String, JsonNode> field : node.properties()) {
-        flatten(
-            path.isEmpty() ? field.getKey() : path + "." + field.getKey(), field.getValue(), into);
+        addValues(
+            path.isEmpty() ? field.getKey() : path + "." + field.getKey(),
+            field.getValue(),
+            valuesByPath);
       }
     } else if (node.isArray()) {
-      into.put(path + ".count", Integer.toString(node.size()));
-      List<String> plain = new ArrayList<>();
+      valuesByPath.put(path + ".count", Integer.toString(node.size()));
+      List<String> plainValues = new ArrayList<>();
       for (int i = 0; i < node.size(); i++) {
         if (node.get(i).isValueNode()) {
-          plain.add(node.get(i).asText());
+          plainValues.add(node.get(i).asText());
         } else {
-          flatten(path + "." + i, node.get(i), into);
+          addValues(path + "." + i, node.get(i), valuesByPath);
         }
       }
-      into.put(path, String.join(",", plain));
+      valuesByPath.put(path, String.join(",", plainValues));
     } else if (!node.isNull()) {
-      into.put(path, node.asText());
+      valuesByPath.put(path, node.asText());
     }
   }
 }
--- a/testbed/src/main/java/edgegateway/testbed/simulation/FleetSimulation.java
+++ b/testbed/src/main/java/edgegateway/testbed/simulation/FleetSimulation.java
@@ -96,7 +96,8 @@
     for (NetworkPeer node : topology.nodes()) {
       PolicySettings settings =
           PolicySettingsReader.read(
-              SettingsFlattener.of(NodeConfigWriter.settings(topology, scenario.told(), node)));
+              SettingsFlattener.flatten(
+                  NodeConfigWriter.settings(topology, scenario.told(), node)));
       nodes.add(
           new SimulatedNode(
               node,
