--- a/edge/src/main/java/edgegateway/protocol/EndpointEntry.java
+++ b/edge/src/main/java/edgegateway/protocol/EndpointEntry.java
@@ -3,5 +3,5 @@
 import edgegateway.policy.api.Endpoint;
 import java.net.InetSocketAddress;
 
-/** An endpoint of discovery's list and the address at which this node reaches it. */
+/** An entry of discovery's endpoint list, with the address to connect to. */
 public record EndpointEntry(Endpoint endpoint, InetSocketAddress address) {}
--- a/edge/src/main/java/edgegateway/protocol/EndpointListParser.java
+++ b/edge/src/main/java/edgegateway/protocol/EndpointListParser.java
@@ -8,7 +8,10 @@
 import java.util.List;
 import java.util.concurrent.TimeUnit;
 
-/** Reads discovery's messages and maps their names to the code's terms. Safe for any thread. */
+/**
+ * Parses endpoint lists in the JSON format of discovery, which the node's configuration uses as
+ * well. Thread-safe.
+ */
 public final class EndpointListParser {
   private static final String ENTRIES = "members";
   private static final double DEFAULT_WEIGHT = 1;
@@ -16,39 +19,47 @@
   private EndpointListParser() {}
 
   /**
-   * Reads a message entry by entry, so that a long one is never a tree as a whole.
+   * Parses the text of a message entry by entry, so that a long list is never held as a complete
+   * tree.
    *
-   * @param names the settings' names, for the indices of zones and machine types
+   * @param names names of the zones and machine types, for their indices
+   * @throws InvalidFieldException if the text is not JSON or a field is missing or invalid
    */
   public static EndpointList parse(String message, SettingNames names)
       throws InvalidFieldException {
     List<EndpointEntry> entries = new ArrayList<>();
     try {
-      JsonNode rest =
+      JsonNode messageWithoutEntries =
           Json.<InvalidFieldException>read(
               message, ENTRIES, item -> entries.add(entry(item, names)));
-      return list(rest, entries);
+      return endpointList(messageWithoutEntries, entries);
     } catch (JsonProcessingException e) {
       throw new InvalidFieldException(
-          "", "discovery's message is not JSON: " + e.getOriginalMessage().replace('\n', ' '));
+          "", "the endpoint list is not JSON: " + e.getOriginalMessage().replace('\n', ' '));
     }
   }
 
-  /** Reads a message that is a tree already. */
+  /**
+   * Parses a message that was already read as a tree.
+   *
+   * @param names names of the zones and machine types, for their indices
+   * @throws InvalidFieldException if a field is missing or invalid
+   */
   public static EndpointList parse(JsonNode message, SettingNames names)
       throws InvalidFieldException {
     List<EndpointEntry> entries = new ArrayList<>();
     for (JsonNode item : JsonFields.required(message, ENTRIES)) {
       entries.add(entry(item, names));
     }
-    return list(message, entries);
+    return endpointList(message, entries);
   }
 
-  private static EndpointList list(JsonNode message, List<EndpointEntry> entries)
+  private static EndpointList endpointList(JsonNode message, List<EndpointEntry> entries)
       throws InvalidFieldException {
     if (!JsonFields.required(message, ENTRIES).isArray()
         || !JsonFields.required(message, "revision").isIntegralNumber()) {
-      throw new InvalidFieldException(ENTRIES, "a list of app servers without revision or members");
+      throw new InvalidFieldException(
+          ENTRIES, "members is not an array or revision is not an integer");
     }
     return new EndpointList(
         message.get("revision").asLong(), message.path("complete").asBoolean(false), entries);
@@ -61,6 +72,7 @@
         switch (JsonFields.required(item, "phase").asText()) {
           case "Ready" -> EndpointState.READY;
           case "Gone" -> EndpointState.REMOVED;
+          // Any other phase counts as draining, so that the endpoint gets no new requests.
           default -> EndpointState.DRAINING;
         };
     Endpoint endpoint =
@@ -76,9 +88,10 @@
   }
 
   /**
-   * When the server started, on the policy's clock. That clock begins at the wall clock's time, so
-   * a start needs no more than a new unit; the policy compares starts to tell a restart, so the
-   * same start has to give the same number every time.
+   * Returns the time of the server's last start, in nanoseconds of the policy's clock; 0 if it is
+   * not given. That clock starts at the time of the wall clock, so only the unit is converted. The
+   * same start must always give the same value, because the policy takes a changed value for a
+   * restart.
    */
   private static long startedNanos(JsonNode item) {
     return Math.max(0, item.path("up_since_ms").asLong(0)) * TimeUnit.MILLISECONDS.toNanos(1);
--- a/edge/src/main/java/edgegateway/protocol/InvalidFieldException.java
+++ b/edge/src/main/java/edgegateway/protocol/InvalidFieldException.java
@@ -1,6 +1,6 @@
 package edgegateway.protocol;
 
-/** A field that is missing or cannot be used; the message is one plain line that names its key. */
+/** A JSON field is missing or invalid. The message is a single line that names the field's key. */
 public final class InvalidFieldException extends Exception {
   private static final long serialVersionUID = 1L;
 
@@ -11,7 +11,7 @@
     this.key = key;
   }
 
-  /** The field's key; empty if no field but the whole text cannot be used. */
+  /** The key of the field; empty if the text as a whole is invalid. */
   public String key() {
     return key;
   }
--- a/edge/src/main/java/edgegateway/protocol/InvalidSettingException.java
+++ b/edge/src/main/java/edgegateway/protocol/InvalidSettingException.java
@@ -1,6 +1,6 @@
 package edgegateway.protocol;
 
-/** A setting that cannot be used; the message is one line that names it. */
+/** A setting is invalid. The message is a single line that names it. */
 public final class InvalidSettingException extends IllegalArgumentException {
   private static final long serialVersionUID = 1L;
 
--- a/edge/src/main/java/edgegateway/protocol/Json.java
+++ b/edge/src/main/java/edgegateway/protocol/Json.java
@@ -13,59 +13,64 @@
 import java.io.UncheckedIOException;
 
 /**
- * JSON text as a tree, as {@code ObjectMapper.readTree} gives it, without the mapper: making one
- * costs an edge node more processor time at its start than reading its whole configuration.
+ * Parses JSON text to the same tree as {@code ObjectMapper.readTree}, but without an {@code
+ * ObjectMapper}: creating one takes an edge node more CPU time at its start than reading its
+ * complete configuration. Thread-safe.
  */
 public final class Json {
-  private static final JsonFactory FACTORY = new JsonFactory();
-  private static final JsonNodeFactory NODES = JsonNodeFactory.instance;
+  private static final JsonFactory PARSER_FACTORY = new JsonFactory();
+  private static final JsonNodeFactory NODE_FACTORY = JsonNodeFactory.instance;
 
   private Json() {}
 
   /**
-   * The first value in {@code text}; a missing node if there is none. Nesting is bounded by the
-   * parser.
+   * Returns the first value in {@code text}, or a missing node if there is none. Text after the
+   * first value is ignored.
+   *
+   * @throws JsonProcessingException if the text is not JSON or exceeds the parser's limit on
+   *     nesting
    */
   public static JsonNode read(String text) throws JsonProcessingException {
-    try (JsonParser parser = FACTORY.createParser(text)) {
+    try (JsonParser parser = PARSER_FACTORY.createParser(text)) {
       return parser.nextToken() == null ? MissingNode.getInstance() : node(parser);
     } catch (JsonProcessingException e) {
       throw e;
     } catch (IOException e) {
-      // Text in memory has no other trouble.
+      // Not expected: a parser of a String does no I/O.
       throw new UncheckedIOException(e);
     }
   }
 
   /**
-   * Takes the items of a list, in their order.
+   * Receives the items of an array in their order.
    *
-   * @param <E> what it throws for an item that cannot be used
+   * @param <E> exception for an invalid item
    */
   public interface ItemHandler<E extends Exception> {
-    /** Takes one item; what it throws ends the reading. */
+    /** Receives one item; an exception ends the parsing and is passed to its caller. */
     void handle(JsonNode item) throws E;
   }
 
   /**
-   * The object in {@code text}, but for the items of its array {@code list}: each is handed over
-   * and not kept, so that a long list is never a complete tree. Items before a fault in the text
-   * are handed over all the same.
+   * Returns the object in {@code text} with its array {@code arrayName} empty. Each item of that
+   * array is passed to {@code itemHandler} instead, so that a long array is never held as a
+   * complete tree. If the text is not JSON, the items before the error have already been passed. If
+   * it does not start with an object, the result is that of {@link #read(String)}.
    */
-  public static <E extends Exception> JsonNode read(String text, String list, ItemHandler<E> items)
-      throws JsonProcessingException, E {
-    try (JsonParser parser = FACTORY.createParser(text)) {
+  public static <E extends Exception> JsonNode read(
+      String text, String arrayName, ItemHandler<E> itemHandler) throws JsonProcessingException, E {
+    try (JsonParser parser = PARSER_FACTORY.createParser(text)) {
       JsonToken first = parser.nextToken();
       if (first != JsonToken.START_OBJECT) {
         return first == null ? MissingNode.getInstance() : node(parser);
       }
-      ObjectNode object = NODES.objectNode();
+      ObjectNode object = NODE_FACTORY.objectNode();
       for (String name = parser.nextFieldName(); name != null; name = parser.nextFieldName()) {
-        if (parser.nextToken() == JsonToken.START_ARRAY && name.equals(list)) {
+        if (parser.nextToken() == JsonToken.START_ARRAY && name.equals(arrayName)) {
           while (!parser.nextToken().isStructEnd()) {
-            items.handle(node(parser));
+            itemHandler.handle(node(parser));
           }
-          object.set(name, NODES.arrayNode());
+          object.set(name, NODE_FACTORY.arrayNode());
         } else {
           object.set(name, node(parser));
         }
@@ -74,7 +79,7 @@
     } catch (JsonProcessingException e) {
       throw e;
     } catch (IOException e) {
-      // Text in memory has no other trouble.
+      // Not expected: a parser of a String does no I/O.
       throw new UncheckedIOException(e);
     }
   }
@@ -82,7 +87,7 @@
   private static JsonNode node(JsonParser parser) throws IOException {
     switch (parser.currentToken()) {
       case START_OBJECT -> {
-        ObjectNode object = NODES.objectNode();
+        ObjectNode object = NODE_FACTORY.objectNode();
         for (String name = parser.nextFieldName(); name != null; name = parser.nextFieldName()) {
           parser.nextToken();
           object.set(name, node(parser));
@@ -90,30 +95,30 @@
         return object;
       }
       case START_ARRAY -> {
-        ArrayNode array = NODES.arrayNode();
+        ArrayNode array = NODE_FACTORY.arrayNode();
         while (!parser.nextToken().isStructEnd()) {
           array.add(node(parser));
         }
         return array;
       }
       case VALUE_STRING -> {
-        return NODES.textNode(parser.getText());
+        return NODE_FACTORY.textNode(parser.getText());
       }
       case VALUE_NUMBER_INT -> {
         return switch (parser.getNumberType()) {
-          case INT -> NODES.numberNode(parser.getIntValue());
-          case LONG -> NODES.numberNode(parser.getLongValue());
-          default -> NODES.numberNode(parser.getBigIntegerValue());
+          case INT -> NODE_FACTORY.numberNode(parser.getIntValue());
+          case LONG -> NODE_FACTORY.numberNode(parser.getLongValue());
+          default -> NODE_FACTORY.numberNode(parser.getBigIntegerValue());
         };
       }
       case VALUE_NUMBER_FLOAT -> {
-        return NODES.numberNode(parser.getDoubleValue());
+        return NODE_FACTORY.numberNode(parser.getDoubleValue());
       }
       case VALUE_NULL -> {
-        return NODES.nullNode();
+        return NODE_FACTORY.nullNode();
       }
       default -> {
-        return NODES.booleanNode(parser.getBooleanValue());
+        return NODE_FACTORY.booleanNode(parser.getBooleanValue());
       }
     }
   }
--- a/edge/src/main/java/edgegateway/protocol/JsonFields.java
+++ b/edge/src/main/java/edgegateway/protocol/JsonFields.java
@@ -3,12 +3,12 @@
 import com.fasterxml.jackson.databind.JsonNode;
 import java.net.InetSocketAddress;
 
-/** Reads fields of a JSON object that have to be there. */
+/** Reads required fields of a JSON object. */
 public final class JsonFields {
   private JsonFields() {}
 
   /**
-   * A field's value.
+   * Returns the value of a field.
    *
    * @throws InvalidFieldException if it is missing or null
    */
@@ -20,9 +20,10 @@
   }
 
   /**
-   * A field's value as an address of the form {@code host:port}.
+   * Returns the value of a field that is an address of the form {@code host:port}. A host name is
+   * resolved.
    *
-   * @throws InvalidFieldException if it is missing or of another form
+   * @throws InvalidFieldException if it is missing, null or of another form
    */
   public static InetSocketAddress address(JsonNode object, String key)
       throws InvalidFieldException {
@@ -34,7 +35,7 @@
         return new InetSocketAddress(text.substring(0, colon), port);
       }
     } catch (IllegalArgumentException e) {
-      // A port that is no number or out of range: reported below, as a missing host is.
+      // The port is not a number or out of range; reported below, like a missing host.
     }
     throw new InvalidFieldException(key, key + " is not host:port: " + text);
   }
--- a/edge/src/main/java/edgegateway/protocol/SettingKeys.java
+++ b/edge/src/main/java/edgegateway/protocol/SettingKeys.java
@@ -1,38 +1,43 @@
 package edgegateway.protocol;
 
 /**
- * Keys and words of the settings, as the simulator's wire and the node's configuration spell them.
- * A setting that is absent, empty or {@code -} is 0, false or no text, unless said otherwise.
- * Durations are whole nanoseconds. The effect of each is that of the component it is read into.
+ * Keys of the settings and their predefined values, as in the simulator's wire and the node's
+ * configuration. A setting that is missing, empty or {@code -} is 0, false or an empty text, unless
+ * its comment says otherwise. Durations are nanoseconds; integers and durations are rounded. A
+ * boolean is true if its text is {@code true} or {@code 1}. The component of the settings that is
+ * named with a key explains its effect.
  */
 final class SettingKeys {
-  /** Value of a setting that is not given. */
+  /** Value of a setting that is not specified. */
   static final String ABSENT = "-";
 
-  /** Value of a text that switches something off. */
+  /** Value that disables a feature. */
   static final String OFF = "off";
 
-  /** Number of elements of a list of objects. */
+  /** After the key of a list of objects: the number of its elements. */
   static final String COUNT_SUFFIX = ".count";
 
-  /** Whole number from 0: index of this node, {@code PolicySettings.nodeIndex}. */
+  /** Integer, at least 0: {@code PolicySettings.nodeIndex}. */
   static final String NODE_INDEX = "my-number";
 
-  /** Whole number, at least 1 and 1 by default: {@code PolicySettings.nodeCount}. */
+  /** Integer, at least 1 and 1 by default: {@code PolicySettings.nodeCount}. */
   static final String NODE_COUNT = "siblings";
 
-  /** Index of a zone: {@code PolicySettings.localZone}. */
+  /** Integer: {@code PolicySettings.localZone}. */
   static final String LOCAL_ZONE = "my-zone";
 
-  /** Duration: minimum time between batches of events, {@code PolicySettings.tickNanos}. */
+  /** Duration: {@code PolicySettings.tickNanos}. */
   static final String TICK_NANOS = "tick-ns";
 
-  /** {@link #OFF}: endpoints' weights have no meaning. Else, and by default, they have one. */
+  /**
+   * {@link #OFF} for false; any other value, and by default, true: {@code
+   * PolicySettings.endpointWeightsUsed}.
+   */
   static final String ENDPOINT_WEIGHTS = "weights";
 
   /**
-   * {@link #DISCOVERY_SUBSCRIBE}: changes of the endpoint list must be subscribed to. Else, and by
-   * default, they come without.
+   * {@link #DISCOVERY_SUBSCRIBE} for true; any other value, and by default, false: {@code
+   * RequestLimits.subscribesToEndpoints}.
    */
   static final String DISCOVERY = "discovery";
 
@@ -46,7 +51,7 @@
     /** Names separated by commas, none by default: {@code PolicySettings.loadReportNames}. */
     static final String NAMES = "load-info.names";
 
-    /** {@link SettingKeys#OFF}: there are no load reports, whatever the names. */
+    /** {@link SettingKeys#OFF}: there are no load reports, even if {@link #NAMES} is set. */
     static final String SOURCE = "load-info.source";
 
     private LoadReport() {}
@@ -62,13 +67,19 @@
     /** Duration: {@code RequestClass.clientTimeoutNanos}. */
     static final String CLIENT_TIMEOUT_NANOS = "deadline-ns";
 
-    /** {@link #IDEMPOTENT} or {@link #KEYED}; else, and by default, not idempotent. */
+    /**
+     * {@link #IDEMPOTENT} or {@link #KEYED}; any other value, and by default, not idempotent:
+     * {@code RequestClass.idempotency}.
+     */
     static final String IDEMPOTENCY = "idempotency";
 
     static final String IDEMPOTENT = "retryable";
     static final String KEYED = "dedup";
 
-    /** {@link #SCOPE_ALL} or {@link #SCOPE_ZONE}; else, and by default, the cell. */
+    /**
+     * {@link #SCOPE_ALL} or {@link #SCOPE_ZONE}; any other value, and by default, the cell: {@code
+     * RequestClass.deduplicationScope}.
+     */
     static final String DEDUPLICATION_SCOPE = "group";
 
     static final String SCOPE_ALL = "all";
@@ -96,7 +107,7 @@
     /** Units: {@code QuotaPlan.burstUnits}. */
     static final String BURST_UNITS = "peak-units";
 
-    /** Whole number, 0 for no limit: {@code QuotaPlan.maxConcurrentAttempts}. */
+    /** Integer, 0 for no limit: {@code QuotaPlan.maxConcurrentAttempts}. */
     static final String MAX_CONCURRENT_ATTEMPTS = "at-once";
 
     /** Number: {@code QuotaPlan.priorityFactor}. */
@@ -120,18 +131,18 @@
     private QuotaPlans() {}
   }
 
-  /** What the site allows a node. */
+  /** Limits on the requests of a node. */
   static final class Limits {
-    /** Whole number: {@code RequestLimits.maxAttempts}. */
+    /** Integer: {@code RequestLimits.maxAttempts}. */
     static final String MAX_ATTEMPTS = "caps.max-attempts";
 
-    /** Whole number: {@code RequestLimits.maxInFlight}. */
+    /** Integer: {@code RequestLimits.maxInFlight}. */
     static final String MAX_IN_FLIGHT = "caps.max-open";
 
-    /** Truth value: {@code RequestLimits.healthChecksAllowed}. */
+    /** Boolean: {@code RequestLimits.healthChecksAllowed}. */
     static final String HEALTH_CHECKS_ALLOWED = "caps.probes";
 
-    /** Truth value: {@code RequestLimits.retryAfterAllowed}. */
+    /** Boolean: {@code RequestLimits.retryAfterAllowed}. */
     static final String RETRY_AFTER_ALLOWED = "caps.retry-after";
 
     /** Duration: {@code RequestLimits.maxRetryAfterNanos}. */
@@ -142,13 +153,13 @@
 
   /** The shared quota counter. */
   static final class Counter {
-    /** Truth value: {@code CounterSettings.configured}. */
+    /** Boolean: {@code CounterSettings.configured}. */
     static final String CONFIGURED = "domain.has-counter";
 
     /** Duration: {@code CounterSettings.timeoutNanos}. */
     static final String TIMEOUT_NANOS = "domain.count-wait-ns";
 
-    /** Truth value: {@code CounterSettings.reportsActualUnits}. */
+    /** Boolean: {@code CounterSettings.reportsActualUnits}. */
     static final String REPORTS_ACTUAL_UNITS = "domain.trued-up";
 
     /** Units: {@code CounterSettings.maxRequestUnits}. */
--- a/edge/src/test/java/edgegateway/protocol/JsonTest.java
+++ b/edge/src/test/java/edgegateway/protocol/JsonTest.java
@@ -11,12 +11,12 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
-/** A tree without the mapper is the tree that the mapper makes. */
+/** Compares {@link Json} with Jackson's {@link ObjectMapper}: same trees and same errors. */
 class JsonTest {
   private final ObjectMapper mapper = new ObjectMapper();
 
   @Test
-  void theTreeIsTheMappers() throws Exception {
+  void parsesTextToTheTreeOfTheMapper() throws Exception {
     for (String text :
         List.of(
             "{\"a\":[1,-2.5e3,9999999999,123456789012345678901234567890,null,true,false,\"\\u00e4\"],\"b\":{},\"c\":[]}",
@@ -31,7 +31,7 @@
   }
 
   @Test
-  void whatIsNoJsonIsRefusedAsByTheMapper() {
+  void malformedTextFailsWithTheErrorOfTheMapper() {
     for (String text :
         List.of("{", "{\"a\"", "{\"a\":}", "[1,", "nul", "{]", "[}", "\"a", "[".repeat(100_000))) {
       String expected =
@@ -44,7 +44,7 @@
   }
 
   @Test
-  void aListsItemsAreToldAndTheRestIsTheTree() throws Exception {
+  void arrayItemsArePassedToTheHandlerAndNotHeldInTheTree() throws Exception {
     for (String text :
         List.of(
             "{\"a\":[1,{\"b\":[2,\"c\"]},[]],\"d\":[3],\"e\":{\"a\":[4]}}",
@@ -56,22 +56,22 @@
             "[{\"a\":[1]}]")) {
       JsonNode tree = mapper.readTree(text);
       List<JsonNode> items = new ArrayList<>();
-      List<JsonNode> expected = new ArrayList<>();
-      JsonNode rest = Json.read(text, "a", items::add);
+      List<JsonNode> expectedItems = new ArrayList<>();
+      JsonNode treeWithoutItems = Json.read(text, "a", items::add);
       if (tree.isObject() && tree.path("a").isArray()) {
-        tree.get("a").forEach(expected::add);
+        tree.get("a").forEach(expectedItems::add);
         ((ObjectNode) tree).putArray("a");
       }
-      assertEquals(expected, items, text);
-      assertEquals(tree, rest, text);
+      assertEquals(expectedItems, items, text);
+      assertEquals(tree, treeWithoutItems, text);
     }
   }
 
   @Test
-  void aListThatIsNoJsonIsRefusedWhereverItBreaks() {
-    String whole = "{\"revision\":1,\"a\":[{\"b\":1},{\"b\":2}],\"c\":true}";
-    for (int end = 1; end < whole.length(); end++) {
-      String text = whole.substring(0, end);
+  void textTruncatedAtAnyPositionIsMalformed() {
+    String complete = "{\"revision\":1,\"a\":[{\"b\":1},{\"b\":2}],\"c\":true}";
+    for (int end = 1; end < complete.length(); end++) {
+      String text = complete.substring(0, end);
       assertThrows(JsonProcessingException.class, () -> Json.read(text, "a", item -> {}), text);
     }
   }
--- a/edge/src/test/java/edgegateway/protocol/PolicySettingsReaderTest.java
+++ b/edge/src/test/java/edgegateway/protocol/PolicySettingsReaderTest.java
@@ -17,14 +17,17 @@
 import java.util.Map;
 import org.junit.jupiter.api.Test;
 
-/** The words here are those of the wire and the configuration: they must not follow a renaming. */
+/**
+ * The keys here are literals and not {@link SettingKeys}, because the simulator's wire and the
+ * configuration use them: they must stay when code is renamed.
+ */
 class PolicySettingsReaderTest {
   private static PolicySettings read(String line) {
     return PolicySettingsReader.read(line.split(" "), 0);
   }
 
   @Test
-  void nothingGivenIsZeroFalseAndEmpty() {
+  void defaultsAreZeroFalseAndEmpty() {
     assertEquals(
         new PolicySettings(
             0,
@@ -42,7 +45,7 @@
   }
 
   @Test
-  void readsTheNodeAndItsLimits() {
+  void readsNodeSettingsAndRequestLimits() {
     PolicySettings settings =
         read(
             "my-number=3 siblings=7 my-zone=2 tick-ns=4000000 weights=off discovery=subscribe"
@@ -57,7 +60,7 @@
   }
 
   @Test
-  void readsTheCounterAndTheRules() {
+  void readsCounterSettingsAndPlatformRules() {
     PolicySettings settings =
         read(
             "domain.has-counter=true domain.count-wait-ns=30000000 domain.trued-up=true"
@@ -99,7 +102,7 @@
   }
 
   @Test
-  void loadReportsMayBeOff() {
+  void readsLoadReportNamesUnlessTheSourceIsOff() {
     assertEquals(
         List.of("rps", "cpu"),
         read("load-info.names=rps,cpu load-info.source=inline").loadReportNames());
@@ -110,7 +113,7 @@
   }
 
   @Test
-  void absentAndUnknownSettingsAreNoErrors() {
+  void absentAndUnknownSettingsAreIgnored() {
     PolicySettings settings = read("siblings=- rules.cold-from=- colour=blue goal.whole=x");
     assertEquals(1, settings.nodeCount());
     assertEquals(0, settings.rules().slowStartInitialFraction());
@@ -118,13 +121,13 @@
   }
 
   @Test
-  void wholeNumbersAreRounded() {
+  void integersAreRounded() {
     assertEquals(1_000_000, read("tick-ns=1e6").tickNanos());
     assertEquals(3, read("tick-ns=2.5").tickNanos());
   }
 
   @Test
-  void anErrorNamesTheSetting() {
+  void errorNamesTheInvalidSetting() {
     assertEquals(
         "classes.1.worth is not a number",
         assertThrows(
