--- a/edge/src/main/java/edgegateway/simulator/MalformedInputException.java
+++ b/edge/src/main/java/edgegateway/simulator/MalformedInputException.java
@@ -1,6 +1,6 @@
 package edgegateway.simulator;
 
-/** Input that is not of the wire; the message gives the line, its number and what is wrong. */
+/** The simulator sent an invalid line. The message gives its number, the error and its start. */
 final class MalformedInputException extends Exception {
   private static final long serialVersionUID = 1L;
 
--- a/edge/src/main/java/edgegateway/simulator/SimulatorAdapter.java
+++ b/edge/src/main/java/edgegateway/simulator/SimulatorAdapter.java
@@ -8,8 +8,8 @@
 import java.nio.charset.StandardCharsets;
 
 /**
- * Entry point of the simulator's adapter: runs the policies of many nodes on the simulator's wire,
- * events on standard input and actions on standard output, until its input ends.
+ * Entry point of the simulator's adapter: reads events for the policies of many nodes from standard
+ * input and writes their actions to standard output, until the input ends.
  */
 public final class SimulatorAdapter {
   private static final String COMMAND = "drill";
@@ -20,8 +20,9 @@
   private SimulatorAdapter() {}
 
   /**
-   * Runs the adapter; the only argument is the word {@code drill}. Exits with 2 if it is called
-   * otherwise, and with 1 and one line on standard error if the input is malformed or broken.
+   * Runs the adapter; the only argument is {@code drill}. With other arguments it exits with status
+   * 2. If the input is malformed or cannot be read, or the output cannot be written, it prints one
+   * line to standard error and exits with status 1.
    */
   public static void main(String[] args) {
     if (args.length != 1 || !args[0].equals(COMMAND)) {
@@ -37,7 +38,7 @@
     } catch (MalformedInputException e) {
       exit(EXIT_FAILURE, e.getMessage());
     } catch (IOException e) {
-      exit(EXIT_FAILURE, "the wire broke: " + e.getMessage());
+      exit(EXIT_FAILURE, "cannot read input or write output: " + e.getMessage());
     }
   }
 
--- a/edge/src/main/java/edgegateway/simulator/WireLine.java
+++ b/edge/src/main/java/edgegateway/simulator/WireLine.java
@@ -5,66 +5,73 @@
 import java.util.List;
 
 /**
- * A line of the wire. Values are addressed by their position, the first word being at 0. A value
- * that is absent reads as 0, and as an empty list.
+ * A line of the simulator's protocol. Values are accessed by position; the keyword is at position
+ * 0. A value of {@code -} is 0 as a number and empty as a list. Each accessor throws {@link
+ * MalformedInputException} if its value is missing or invalid.
  */
 final class WireLine {
   private final long number;
   private final String line;
-  private final String[] words;
+  private final String[] fields;
 
-  /** The line of the given number, from 1, without its line end. */
+  /**
+   * Splits a line.
+   *
+   * @param number number of the line in the input, from 1
+   * @param line the line without its terminator
+   */
   WireLine(long number, String line) {
     this.number = number;
     this.line = line;
     String[] split = line.split(SimulatorWire.SEPARATOR);
-    words = split.length == 0 ? new String[] {""} : split;
+    // The split of a line that holds only separators is empty.
+    fields = split.length == 0 ? new String[] {""} : split;
   }
 
-  /** The word that says what the line is. */
-  String firstWord() {
-    return words[0];
+  /** The keyword of the line; empty if the line is empty or begins with a separator. */
+  String keyword() {
+    return fields[0];
   }
 
-  /** All words of the line. */
-  String[] words() {
-    return words.clone();
+  /** A copy of all fields of the line, including the keyword. */
+  String[] fields() {
+    return fields.clone();
   }
 
-  /** A text, never empty. */
-  String text(int position) throws MalformedInputException {
-    if (position >= words.length || words[position].isEmpty()) {
+  /** Returns a text that is not empty; {@code -} has no special meaning. */
+  String textAt(int position) throws MalformedInputException {
+    if (position >= fields.length || fields[position].isEmpty()) {
       throw malformed("value " + position + " is missing");
     }
-    return words[position];
+    return fields[position];
   }
 
-  private boolean absent(int position) throws MalformedInputException {
-    return text(position).equals(SimulatorWire.ABSENT);
+  private boolean isAbsent(int position) throws MalformedInputException {
+    return textAt(position).equals(SimulatorWire.ABSENT);
   }
 
-  /** A whole number of 32 bits. */
-  int integer(int position) throws MalformedInputException {
-    long value = whole(position);
+  /** Returns an integer of 32 bits. */
+  int intAt(int position) throws MalformedInputException {
+    long value = longAt(position);
     if (value != (int) value) {
       throw malformed("value " + position + " is out of range");
     }
     return (int) value;
   }
 
-  /** A whole number of 64 bits. */
-  long whole(int position) throws MalformedInputException {
+  /** Returns an integer of 64 bits. */
+  long longAt(int position) throws MalformedInputException {
     try {
-      return absent(position) ? 0 : Long.parseLong(words[position]);
+      return isAbsent(position) ? 0 : Long.parseLong(fields[position]);
     } catch (NumberFormatException e) {
-      throw malformed("value " + position + " is not a whole number");
+      throw malformed("value " + position + " is not an integer");
     }
   }
 
-  /** A finite number. */
-  double number(int position) throws MalformedInputException {
+  /** Returns a finite number. */
+  double doubleAt(int position) throws MalformedInputException {
     try {
-      double value = absent(position) ? 0 : Double.parseDouble(words[position]);
+      double value = isAbsent(position) ? 0 : Double.parseDouble(fields[position]);
       if (!Double.isFinite(value)) {
         throw malformed("value " + position + " is not finite");
       }
@@ -74,24 +81,24 @@
     }
   }
 
-  /** Numbers separated by commas; none if the line ends before. */
-  List<Double> numbers(int position) throws MalformedInputException {
+  /** Returns a list of numbers separated by commas; empty if the line ends before it. */
+  List<Double> doublesAt(int position) throws MalformedInputException {
     List<Double> values = new ArrayList<>();
-    if (position < words.length && !absent(position)) {
-      for (String value : words[position].split(SimulatorWire.LIST_SEPARATOR)) {
+    if (position < fields.length && !isAbsent(position)) {
+      for (String value : fields[position].split(SimulatorWire.LIST_SEPARATOR)) {
         try {
           values.add(Double.parseDouble(value));
         } catch (NumberFormatException e) {
-          throw malformed("value " + position + " is not a row of numbers");
+          throw malformed("value " + position + " is not a list of numbers");
         }
       }
     }
     return values;
   }
 
-  /** An outcome. */
-  Outcome outcome(int position) throws MalformedInputException {
-    return switch (text(position)) {
+  /** Returns an outcome. */
+  Outcome outcomeAt(int position) throws MalformedInputException {
+    return switch (textAt(position)) {
       case SimulatorWire.Outcomes.OK -> Outcome.OK;
       case SimulatorWire.Outcomes.ERROR -> Outcome.ERROR;
       case SimulatorWire.Outcomes.REJECTED -> Outcome.REJECTED;
@@ -104,7 +111,7 @@
     };
   }
 
-  /** An error about this line. */
+  /** Returns an exception for an error in this line. */
   MalformedInputException malformed(String reason) {
     return new MalformedInputException(number, line, reason);
   }
--- a/edge/src/main/java/edgegateway/simulator/WireReader.java
+++ b/edge/src/main/java/edgegateway/simulator/WireReader.java
@@ -15,8 +15,9 @@
 import java.util.Map;
 
 /**
- * Reads batches of events from the wire, hands each event to the policy of its node and has the
- * reply to each batch written. The values of each event are listed in {@link SimulatorWire.Events}.
+ * Reads batches of events from the simulator, passes each event to the policy of its node and lets
+ * a {@link WireWriter} reply to each batch. {@link SimulatorWire.Events} lists the values of each
+ * event by position.
  */
 final class WireReader {
   private final BufferedReader in;
@@ -24,10 +25,10 @@
   private final Map<Integer, GatewayPolicy> policies = new HashMap<>();
   private long lineNumber;
 
-  /** The line read last. */
+  /** The last line that was read. */
   private WireLine line = new WireLine(0, "");
 
-  /** Time of the present batch. */
+  /** Time of the current batch. */
   private long nowNanos;
 
   WireReader(BufferedReader in, WireWriter out) {
@@ -35,13 +36,14 @@
     this.out = out;
   }
 
-  /** Runs batches until the input ends. */
+  /** Processes batches until the input ends. */
   void run() throws IOException, MalformedInputException {
     while (readLine()) {
-      if (!line.firstWord().equals(SimulatorWire.BATCH_BEGIN)) {
-        throw line.malformed("a batch begins with '" + SimulatorWire.BATCH_BEGIN + "'");
+      if (!line.keyword().equals(SimulatorWire.BATCH_BEGIN)) {
+        throw line.malformed(
+            "expected '" + SimulatorWire.BATCH_BEGIN + "' at the start of a batch");
       }
-      nowNanos = line.whole(1);
+      nowNanos = line.longAt(1);
       readEvents();
       out.flush();
     }
@@ -50,41 +52,41 @@
   private void readEvents() throws IOException, MalformedInputException {
     while (true) {
       if (!readLine()) {
-        throw line.malformed("the input ends inside a batch, after");
+        throw line.malformed("the input ended inside a batch after this line");
       }
-      if (line.firstWord().equals(SimulatorWire.BATCH_END)) {
+      if (line.keyword().equals(SimulatorWire.BATCH_END)) {
         return;
       }
-      event();
+      processEvent();
     }
   }
 
-  /** Reads the next line; false, and the line stays, if the input has ended. */
+  /** Reads the next line into {@link #line}; false, and no change, if the input has ended. */
   private boolean readLine() throws IOException {
-    String read = in.readLine();
-    if (read == null) {
+    String text = in.readLine();
+    if (text == null) {
       return false;
     }
     lineNumber++;
-    line = new WireLine(lineNumber, read);
+    line = new WireLine(lineNumber, text);
     return true;
   }
 
-  private void event() throws IOException, MalformedInputException {
-    int node = line.integer(1);
-    switch (line.firstWord()) {
+  private void processEvent() throws IOException, MalformedInputException {
+    int node = line.intAt(1);
+    switch (line.keyword()) {
       case SimulatorWire.Events.NODE_STARTED -> nodeStarted(node);
       case SimulatorWire.Events.NODE_STOPPED -> policies.remove(node);
       case SimulatorWire.Events.ENDPOINTS_UPDATED -> endpointsUpdated(node);
       case SimulatorWire.Events.REQUEST_RECEIVED -> requestReceived(policy(node));
       case SimulatorWire.Events.ATTEMPT_ENDED -> attemptEnded(policy(node));
       case SimulatorWire.Events.CLIENT_DISCONNECTED ->
-          policy(node).clientDisconnected(nowNanos, line.text(2));
+          policy(node).clientDisconnected(nowNanos, line.textAt(2));
       case SimulatorWire.Events.STREAM_STARTED ->
-          policy(node).streamStarted(nowNanos, line.text(2));
+          policy(node).streamStarted(nowNanos, line.textAt(2));
       case SimulatorWire.Events.COUNTER_REPLIED -> counterReplied(policy(node));
       case SimulatorWire.Events.HEALTH_CHECKED -> healthChecked(policy(node));
-      case SimulatorWire.Events.TIMER_FIRED -> policy(node).timerFired(nowNanos, line.whole(2));
+      case SimulatorWire.Events.TIMER_FIRED -> policy(node).timerFired(nowNanos, line.longAt(2));
       case SimulatorWire.Events.PEER_MESSAGE -> policy(node);
       default -> throw line.malformed("unknown event");
     }
@@ -93,31 +95,31 @@
   private GatewayPolicy policy(int node) throws MalformedInputException {
     GatewayPolicy policy = policies.get(node);
     if (policy == null) {
-      throw line.malformed("instance " + node + " was not started");
+      throw line.malformed("node " + node + " is not running");
     }
     return policy;
   }
 
   private void nodeStarted(int node) throws MalformedInputException {
-    long seed = line.whole(2);
+    long seed = line.longAt(2);
     try {
       policies.put(
           node,
           new GatewayPolicy(
-              PolicySettingsReader.read(line.words(), 3), seed, nowNanos, out.actionsOf(node)));
+              PolicySettingsReader.read(line.fields(), 3), seed, nowNanos, out.actionsOf(node)));
     } catch (IllegalArgumentException e) {
-      throw line.malformed("bad settings (" + e.getMessage() + ")");
+      throw line.malformed("invalid settings (" + e.getMessage() + ")");
     }
   }
 
   private void endpointsUpdated(int node) throws IOException, MalformedInputException {
     GatewayPolicy policy = policy(node);
-    EndpointListKind kind = listKind(line.integer(3));
-    int count = line.integer(4);
+    EndpointListKind kind = listKind(line.intAt(3));
+    int count = line.intAt(4);
     List<Endpoint> endpoints = new ArrayList<>();
     for (int index = 0; index < count; index++) {
-      if (!readLine() || !line.firstWord().equals(SimulatorWire.Events.ENDPOINT)) {
-        throw line.malformed("'" + SimulatorWire.Events.ENDPOINT + "' expected");
+      if (!readLine() || !line.keyword().equals(SimulatorWire.Events.ENDPOINT)) {
+        throw line.malformed("expected '" + SimulatorWire.Events.ENDPOINT + "'");
       }
       endpoints.add(endpoint());
     }
@@ -130,18 +132,18 @@
       case SimulatorWire.ListKinds.CACHED -> EndpointListKind.CACHED;
       case SimulatorWire.ListKinds.DELTA -> EndpointListKind.DELTA;
       case SimulatorWire.ListKinds.FAILED -> EndpointListKind.FAILED;
-      default -> throw line.malformed("unknown kind of list");
+      default -> throw line.malformed("unknown endpoint list kind");
     };
   }
 
   private Endpoint endpoint() throws MalformedInputException {
-    EndpointState state = endpointState(line.integer(3));
-    String id = line.text(6);
-    double weight = line.number(1);
-    int zone = line.integer(2);
-    int cell = line.integer(5);
-    int machineType = line.integer(7);
-    long startedAtNanos = line.whole(4);
+    EndpointState state = endpointState(line.intAt(3));
+    String id = line.textAt(6);
+    double weight = line.doubleAt(1);
+    int zone = line.intAt(2);
+    int cell = line.intAt(5);
+    int machineType = line.intAt(7);
+    long startedAtNanos = line.longAt(4);
     return new Endpoint(id, weight, zone, cell, machineType, state, startedAtNanos);
   }
 
@@ -150,20 +152,20 @@
       case SimulatorWire.EndpointStates.REMOVED -> EndpointState.REMOVED;
       case SimulatorWire.EndpointStates.READY -> EndpointState.READY;
       case SimulatorWire.EndpointStates.DRAINING -> EndpointState.DRAINING;
-      default -> throw line.malformed("unknown readiness");
+      default -> throw line.malformed("unknown endpoint state");
     };
   }
 
   private void requestReceived(GatewayPolicy policy) throws MalformedInputException {
-    String id = line.text(2);
-    int requestClass = line.integer(3);
-    int plan = line.integer(4);
-    long customer = line.whole(5);
-    long deadlineNanos = line.whole(6);
-    double units = line.number(7);
-    int nodeCount = line.integer(8);
-    int firstNode = line.integer(9);
-    boolean clientRetry = (line.whole(10) & SimulatorWire.OPTION_CLIENT_RETRY) != 0;
+    String id = line.textAt(2);
+    int requestClass = line.intAt(3);
+    int plan = line.intAt(4);
+    long customer = line.longAt(5);
+    long deadlineNanos = line.longAt(6);
+    double units = line.doubleAt(7);
+    int customerNodeCount = line.intAt(8);
+    int firstCustomerNode = line.intAt(9);
+    boolean clientRetry = (line.longAt(10) & SimulatorWire.OPTION_CLIENT_RETRY) != 0;
     policy.requestReceived(
         nowNanos,
         new Request(
@@ -173,30 +175,31 @@
             customer,
             deadlineNanos,
             units,
-            nodeCount,
-            firstNode,
+            customerNodeCount,
+            firstCustomerNode,
             clientRetry));
   }
 
   private void attemptEnded(GatewayPolicy policy) throws MalformedInputException {
     AttemptResult result =
         new AttemptResult(
-            line.text(2),
-            line.outcome(3),
-            line.whole(4),
-            line.text(5),
-            line.whole(6) != 0,
-            line.integer(7),
-            line.number(9),
-            line.numbers(10));
+            line.textAt(2),
+            line.outcomeAt(3),
+            line.longAt(4),
+            line.textAt(5),
+            line.longAt(6) != 0,
+            line.intAt(7),
+            line.doubleAt(9),
+            line.doublesAt(10));
     policy.attemptEnded(nowNanos, result);
   }
 
   private void counterReplied(GatewayPolicy policy) throws MalformedInputException {
-    policy.counterReplied(nowNanos, line.whole(4), line.outcome(3), line.number(2));
+    policy.counterReplied(nowNanos, line.longAt(4), line.outcomeAt(3), line.doubleAt(2));
   }
 
   private void healthChecked(GatewayPolicy policy) throws MalformedInputException {
-    policy.healthChecked(nowNanos, line.text(4), line.outcome(3), line.whole(2), line.numbers(5));
+    policy.healthChecked(
+        nowNanos, line.textAt(4), line.outcomeAt(3), line.longAt(2), line.doublesAt(5));
   }
 }
--- a/edge/src/main/java/edgegateway/simulator/WireWriter.java
+++ b/edge/src/main/java/edgegateway/simulator/WireWriter.java
@@ -6,8 +6,8 @@
 import java.math.BigDecimal;
 
 /**
- * Collects the actions of all nodes as lines of the wire, in the order in which they were asked
- * for, and writes them as the reply to a batch.
+ * Collects the actions of all nodes as lines of the simulator's protocol, in the order of the
+ * calls, and writes them as the reply to a batch.
  */
 final class WireWriter {
   private static final String ENABLE = "1";
@@ -19,12 +19,12 @@
     this.out = out;
   }
 
-  /** The actions of one node. */
+  /** Returns the actions of one node, which are added to the current reply. */
   PolicyActions actionsOf(int node) {
     return new NodeActions(node);
   }
 
-  /** Writes and ends the reply to a batch. */
+  /** Writes the reply to a batch, with its end, and starts the next reply. */
   void flush() throws IOException {
     reply.append(SimulatorWire.REPLY_END).append('\n');
     out.append(reply);
@@ -39,8 +39,8 @@
       this.node = node;
     }
 
-    private void line(String action, Object... values) {
-      reply.append(action).append(SimulatorWire.SEPARATOR).append(node);
+    private void appendLine(String keyword, Object... values) {
+      reply.append(keyword).append(SimulatorWire.SEPARATOR).append(node);
       for (Object value : values) {
         reply.append(SimulatorWire.SEPARATOR).append(value);
       }
@@ -49,46 +49,46 @@
 
     @Override
     public void sendAttempt(String requestId, String endpointId, long timeoutNanos) {
-      line(SimulatorWire.Actions.SEND_ATTEMPT, requestId, endpointId, timeoutNanos);
+      appendLine(SimulatorWire.Actions.SEND_ATTEMPT, requestId, endpointId, timeoutNanos);
     }
 
     @Override
     public void reject(String requestId, long retryAfterNanos) {
-      line(SimulatorWire.Actions.REJECT, requestId, retryAfterNanos);
+      appendLine(SimulatorWire.Actions.REJECT, requestId, retryAfterNanos);
     }
 
     @Override
     public void fail(String requestId) {
-      line(SimulatorWire.Actions.FAIL, requestId);
+      appendLine(SimulatorWire.Actions.FAIL, requestId);
     }
 
     @Override
     public void healthCheck(String endpointId) {
-      line(SimulatorWire.Actions.HEALTH_CHECK, endpointId);
+      appendLine(SimulatorWire.Actions.HEALTH_CHECK, endpointId);
     }
 
     @Override
     public void addToCounter(long key, double amount, long lifetimeNanos) {
-      line(SimulatorWire.Actions.ADD_TO_COUNTER, lifetimeNanos, decimal(amount), key);
+      appendLine(SimulatorWire.Actions.ADD_TO_COUNTER, lifetimeNanos, format(amount), key);
     }
 
     @Override
     public void scheduleTimer(long token, long delayNanos) {
-      line(SimulatorWire.Actions.SCHEDULE_TIMER, token, delayNanos);
+      appendLine(SimulatorWire.Actions.SCHEDULE_TIMER, token, delayNanos);
     }
 
     @Override
     public void subscribeToEndpoints() {
-      line(SimulatorWire.Actions.SUBSCRIBE_TO_ENDPOINTS, ENABLE);
+      appendLine(SimulatorWire.Actions.SUBSCRIBE_TO_ENDPOINTS, ENABLE);
     }
 
     @Override
     public void log(String message) {
-      line(SimulatorWire.Actions.LOG, message);
+      appendLine(SimulatorWire.Actions.LOG, message);
     }
 
-    /** Without an exponent, and without a fraction where there is none. */
-    private static String decimal(double amount) {
+    /** Formats a number without an exponent, and an integer without a decimal point. */
+    private static String format(double amount) {
       return amount == Math.rint(amount)
           ? Long.toString((long) amount)
           : BigDecimal.valueOf(amount).toPlainString();
--- a/edge/src/test/java/edgegateway/ArchitectureTest.java
+++ b/edge/src/test/java/edgegateway/ArchitectureTest.java
@@ -11,7 +11,9 @@
 import com.tngtech.archunit.core.importer.ImportOption;
 import org.junit.jupiter.api.Test;
 
-/** Which package may know which: the table in {@code docs/ARCHITECTURE.md}. */
+/**
+ * Checks the dependencies between packages that the table in {@code docs/ARCHITECTURE.md} allows.
+ */
 class ArchitectureTest {
   private static final JavaClasses CLASSES =
       new ClassFileImporter()
@@ -19,7 +21,7 @@
           .importPackages("edgegateway");
 
   @Test
-  void policyInterfaceKnowsOnlyTheJdk() {
+  void policyApiDependsOnlyOnTheJdk() {
     classes()
         .that()
         .resideInAPackage("edgegateway.policy.api..")
@@ -30,7 +32,7 @@
   }
 
   @Test
-  void policyKnowsNeitherHostNorNettyNorJackson() {
+  void policyDependsOnNeitherHostNorNettyNorJackson() {
     classes()
         .that()
         .resideInAPackage("edgegateway.policy..")
@@ -41,7 +43,7 @@
   }
 
   @Test
-  void policyDoesNoInputOrOutputAndReadsNoClock() {
+  void policyDoesNoIoAndReadsNoClock() {
     noClasses()
         .that()
         .resideInAPackage("edgegateway.policy..")
@@ -56,7 +58,7 @@
   }
 
   @Test
-  void mechanismsOfThePolicyDoNotKnowTheFacade() {
+  void subpackagesOfPolicyDoNotDependOnItsFacade() {
     noClasses()
         .that()
         .resideInAnyPackage("edgegateway.policy.*..")
@@ -67,7 +69,7 @@
   }
 
   @Test
-  void protocolMapsNamesAndKnowsNoHost() {
+  void protocolDependsOnlyOnThePolicyApiAndJackson() {
     classes()
         .that()
         .resideInAPackage("edgegateway.protocol..")
@@ -82,7 +84,7 @@
   }
 
   @Test
-  void simulatorKnowsThePolicyAndNoNode() {
+  void simulatorDependsOnPolicyAndProtocolButNotOnNode() {
     classes()
         .that()
         .resideInAPackage("edgegateway.simulator..")
@@ -98,7 +100,7 @@
   }
 
   @Test
-  void nodeKnowsOfThePolicyOnlyTheFacadeAndItsInterface() {
+  void nodeDependsOnPolicyOnlyThroughFacadeAndApi() {
     noClasses()
         .that()
         .resideInAPackage("edgegateway.node..")
@@ -110,7 +112,7 @@
   }
 
   @Test
-  void partsOfTheNodeDoNotReachBackIntoIt() {
+  void subpackagesOfNodeDoNotDependOnNode() {
     noClasses()
         .that()
         .resideInAPackage("edgegateway.node.*..")
@@ -121,17 +123,17 @@
   }
 
   @Test
-  void mechanismsOfThePolicyHaveNoCycles() {
+  void subpackagesOfPolicyHaveNoCycles() {
     slices().matching("edgegateway.policy.(*)..").should().beFreeOfCycles().check(CLASSES);
   }
 
   @Test
-  void partsOfTheNodeHaveNoCycles() {
+  void subpackagesOfNodeHaveNoCycles() {
     slices().matching("edgegateway.node.(*)..").should().beFreeOfCycles().check(CLASSES);
   }
 
   @Test
-  void clientsAndUpstreamMeetOnlyInRequests() {
+  void clientsAndUpstreamDoNotDependOnEachOther() {
     noClasses()
         .that()
         .resideInAPackage("edgegateway.node.clients..")
--- a/edge/src/test/java/edgegateway/simulator/SimulatorAdapterTest.java
+++ b/edge/src/test/java/edgegateway/simulator/SimulatorAdapterTest.java
@@ -9,11 +9,11 @@
 import java.util.concurrent.TimeUnit;
 import org.junit.jupiter.api.Test;
 
-/** The adapter as a process: framing, absent values, and plain words on malformed input. */
+/** Runs the adapter as a process: batches, absent values and errors about malformed input. */
 class SimulatorAdapterTest {
-  private record Run(int exit, String out, String err) {}
+  private record Result(int exitStatus, String out, String err) {}
 
-  private static Run play(String input) throws IOException, InterruptedException {
+  private static Result runAdapter(String input) throws IOException, InterruptedException {
     Process process =
         new ProcessBuilder(
                 System.getProperty("java.home") + File.separator + "bin" + File.separator + "java",
@@ -28,39 +28,40 @@
     String out = new String(process.getInputStream().readAllBytes(), StandardCharsets.UTF_8);
     String err = new String(process.getErrorStream().readAllBytes(), StandardCharsets.UTF_8);
     assertTrue(process.waitFor(60, TimeUnit.SECONDS));
-    return new Run(process.exitValue(), out, err);
+    return new Result(process.exitValue(), out, err);
   }
 
   @Test
-  void emptyBatchesGetEmptyReplies() throws Exception {
-    assertEquals(new Run(0, "yield\nyield\n", ""), play("mark 5\ncommit\nmark 6\ncommit\n"));
+  void emptyBatchGetsEmptyReply() throws Exception {
+    assertEquals(
+        new Result(0, "yield\nyield\n", ""), runAdapter("mark 5\ncommit\nmark 6\ncommit\n"));
   }
 
   @Test
-  void hostsAnInstanceAndForgetsItAtItsEnd() throws Exception {
+  void runsANodeUntilItIsStopped() throws Exception {
     String start =
         "start 3 9 classes.count=1 classes.0.aim-ns=500000000 classes.0.deadline-ns=900000000 "
             + "classes.0.idempotency=retryable classes.0.worth=1 caps.max-attempts=2 tariffs.count=1 odd.key=- ";
-    Run run =
-        play(
+    Result result =
+        runAdapter(
             "mark 5\n"
                 + start
                 + "\nview 3 1 1 1\nentry 1 0 1 - 0 srv 0\n"
                 + "ingress 3 r-a 0 0 77 800000005 1 1 0 -\nretire 3\ncommit\n");
-    assertEquals(0, run.exit, run.err);
-    assertTrue(run.out.contains("try 3 r-a srv "), run.out);
-    Run gone = play("mark 5\n" + start + "\nretire 3\nreminder 3 0\ncommit\n");
-    assertEquals(1, gone.exit);
-    assertTrue(gone.err.contains("line 4"), gone.err);
+    assertEquals(0, result.exitStatus, result.err);
+    assertTrue(result.out.contains("try 3 r-a srv "), result.out);
+    Result stopped = runAdapter("mark 5\n" + start + "\nretire 3\nreminder 3 0\ncommit\n");
+    assertEquals(1, stopped.exitStatus);
+    assertTrue(stopped.err.contains("line 4"), stopped.err);
   }
 
   @Test
-  void malformedInputIsNamed() throws Exception {
-    for (String bad :
+  void malformedInputExitsWithTheLineNumber() throws Exception {
+    for (String malformed :
         new String[] {"hello\n", "mark x\n", "mark 5\nnonsense 1\n", "mark 5\nreminder one 2\n"}) {
-      Run run = play(bad);
-      assertEquals(1, run.exit, bad);
-      assertTrue(run.err.startsWith("line "), run.err);
+      Result result = runAdapter(malformed);
+      assertEquals(1, result.exitStatus, malformed);
+      assertTrue(result.err.startsWith("line "), result.err);
     }
   }
 }
--- a/edge/src/test/java/edgegateway/simulator/WireWriterTest.java
+++ b/edge/src/test/java/edgegateway/simulator/WireWriterTest.java
@@ -7,7 +7,10 @@
 import java.io.StringWriter;
 import org.junit.jupiter.api.Test;
 
-/** The words here are those of the wire: they must not follow a renaming. */
+/**
+ * The keywords here are literals and not {@link SimulatorWire}'s constants, because the simulator
+ * uses them: they must stay when code is renamed.
+ */
 class WireWriterTest {
   private final StringWriter out = new StringWriter();
   private final WireWriter writer = new WireWriter(out);
@@ -20,12 +23,12 @@
   }
 
   @Test
-  void anEmptyReplyHasItsEndOnly() throws IOException {
+  void replyWithoutActionsIsOnlyItsEnd() throws IOException {
     assertEquals("yield\n", reply());
   }
 
   @Test
-  void eachActionIsALine() throws IOException {
+  void writesEachActionAsALine() throws IOException {
     actions.sendAttempt("r-1", "s-1", 80_000_000);
     actions.reject("r-2", 0);
     actions.fail("r-3");
@@ -40,7 +43,7 @@
   }
 
   @Test
-  void amountsHaveNoExponentAndNoNeedlessFraction() throws IOException {
+  void writesAmountsWithoutExponentAndIntegersWithoutDecimalPoint() throws IOException {
     actions.addToCounter(9_041_552, 4, 3_000_000_000L);
     actions.addToCounter(1, -2.5, 1);
     actions.addToCounter(1, 0.000001, 1);
@@ -52,7 +55,7 @@
   }
 
   @Test
-  void actionsOfAllNodesStandInTheirOrder() throws IOException {
+  void writesActionsOfAllNodesInTheOrderOfTheCalls() throws IOException {
     actions.fail("r-1");
     writer.actionsOf(4).fail("r-2");
     actions.fail("r-3");
