--- a/edge/src/main/java/edgegateway/simulator/MalformedInputException.java
+++ b/edge/src/main/java/edgegateway/simulator/MalformedInputException.java
@@ -1,6 +1,9 @@
 package edgegateway.simulator;
 
-/** The simulator sent an invalid line. The message gives its number, the error and its start. */
+/**
+ * The simulator sent an invalid line. The message consists of the line's number, the error and the
+ * start of the line.
+ */
 final class MalformedInputException extends Exception {
   private static final long serialVersionUID = 1L;
 
