--- a/edge/src/main/java/edgegateway/node/InFlightRequestTable.java
+++ b/edge/src/main/java/edgegateway/node/InFlightRequestTable.java
@@ -157,7 +157,7 @@
       ByteBuf body) {
     request.attemptInFlight = false;
     if (outcome == Outcome.OK) {
-      InFlightRequest.ResponseWriter response = answerOnce(request, RequestEnd.PASSED);
+      InFlightRequest.ResponseWriter response = answerOnce(request, RequestEnd.FORWARDED);
       if (response != null) {
         response.sendResponse(body);
       }
@@ -243,7 +243,7 @@
   void reject(String id, long retryAfterNanos) {
     InFlightRequest request = inFlight.get(id);
     InFlightRequest.ResponseWriter response =
-        request == null ? null : answerOnce(request, RequestEnd.DROPPED);
+        request == null ? null : answerOnce(request, RequestEnd.REJECTED);
     if (response != null) {
       response.sendRejection(retryAfterNanos);
       forgetIfSettled(request);
@@ -259,7 +259,7 @@
   }
 
   private void fail(InFlightRequest request) {
-    InFlightRequest.ResponseWriter response = answerOnce(request, RequestEnd.BAD_GATEWAY);
+    InFlightRequest.ResponseWriter response = answerOnce(request, RequestEnd.FAILED);
     if (response != null) {
       response.sendFailure();
       forgetIfSettled(request);
--- a/edge/src/main/java/edgegateway/node/ZoneEjectionService.java
+++ b/edge/src/main/java/edgegateway/node/ZoneEjectionService.java
@@ -56,7 +56,7 @@
   private void tick() {
     policyEvents.run(
         (policy, now) ->
-            controller.tick(now, metrics.discoverySilenceMillis() < DISCOVERY_HEARD_MILLIS));
+            controller.tick(now, metrics.millisSinceDiscoveryMessage() < DISCOVERY_HEARD_MILLIS));
   }
 
   /** A call to the counter ended; it belongs to the zones' votes or to the policy's quotas. */
@@ -88,7 +88,7 @@
   /** Brings the metrics up to date. */
   void updateMetrics() {
     if (controller != null) {
-      metrics.zones(
+      metrics.zonesChanged(
           controller.consensus().ejectedZones(),
           controller.consensus().voteCalls(),
           controller.consensus().probes());
--- a/edge/src/main/java/edgegateway/node/clients/ClientResponseWriter.java
+++ b/edge/src/main/java/edgegateway/node/clients/ClientResponseWriter.java
@@ -88,11 +88,11 @@
     if (complete) {
       lastWrite = responses.endStream();
       lastWrite.addListener(
-          done -> handler.responseEnded(request, done.isSuccess() ? RequestEnd.PASSED : null));
+          done -> handler.responseEnded(request, done.isSuccess() ? RequestEnd.FORWARDED : null));
       session.responseWritten(lastWrite);
       return;
     }
-    handler.responseEnded(request, RequestEnd.BAD_GATEWAY);
+    handler.responseEnded(request, RequestEnd.FAILED);
     session.requestAbandoned();
     if (closeDelimited) {
       // A close would be the end of a complete body.
@@ -117,7 +117,7 @@
     if (isStreaming()) {
       Runnable onClientGone = session.takeOnClientGone();
       session.requestAbandoned();
-      handler.responseEnded(streamedRequest, RequestEnd.BAD_GATEWAY);
+      handler.responseEnded(streamedRequest, RequestEnd.FAILED);
       ConnectionCloser.reset(channel);
       onClientGone.run();
     } else if (lastWrite != null && !lastWrite.isDone() && session.isWithoutRequest()) {
--- a/edge/src/main/java/edgegateway/node/discovery/DiscoveryClient.java
+++ b/edge/src/main/java/edgegateway/node/discovery/DiscoveryClient.java
@@ -66,7 +66,7 @@
 
   /** Opens the first watch, for what comes after the revision that is held. */
   public void start(long heldRevision) {
-    metrics.discoveryHeard();
+    metrics.discoveryMessageReceived();
     loop.schedule(
         () -> firstMessage.complete(null), FIRST_MESSAGE_TIMEOUT_MILLIS, TimeUnit.MILLISECONDS);
     scheduler.start(System.nanoTime(), heldRevision);
@@ -110,7 +110,7 @@
 
   private void poll() {
     long now = System.nanoTime();
-    long silenceNanos = TimeUnit.MILLISECONDS.toNanos(metrics.discoverySilenceMillis());
+    long silenceNanos = TimeUnit.MILLISECONDS.toNanos(metrics.millisSinceDiscoveryMessage());
     if (!scheduler.isResponsive(now)
         && silenceNanos >= WatchScheduler.WATCH_SILENCE_TIMEOUT_NANOS) {
       silenceLog.watchLost();
@@ -184,6 +184,6 @@
 
   private void eventAccepted() {
     silenceLog.eventReceived();
-    metrics.discoveryHeard();
+    metrics.discoveryMessageReceived();
   }
 }
--- a/edge/src/main/java/edgegateway/node/discovery/DiscoverySilenceLog.java
+++ b/edge/src/main/java/edgegateway/node/discovery/DiscoverySilenceLog.java
@@ -58,7 +58,7 @@
     if (silent) {
       silent = false;
       nextReport.cancel(false);
-      LOG.info("discovery_recovered", field("silent_ms", metrics.discoverySilenceMillis()));
+      LOG.info("discovery_recovered", field("silent_ms", metrics.millisSinceDiscoveryMessage()));
     }
   }
 
@@ -66,14 +66,14 @@
     nextReport =
         loop.schedule(
             () -> report(silenceMillis),
-            silenceMillis - metrics.discoverySilenceMillis(),
+            silenceMillis - metrics.millisSinceDiscoveryMessage(),
             TimeUnit.MILLISECONDS);
   }
 
   private void report(long silenceMillis) {
     LOG.info(
         "discovery_unreachable",
-        field("silent_ms", metrics.discoverySilenceMillis()),
+        field("silent_ms", metrics.millisSinceDiscoveryMessage()),
         field("address", status.address()),
         field("revision", status.revision()));
     scheduleReport(2 * silenceMillis);
--- a/edge/src/main/java/edgegateway/node/metrics/NodeMetrics.java
+++ b/edge/src/main/java/edgegateway/node/metrics/NodeMetrics.java
@@ -15,11 +15,11 @@
   /** How a request ended for its client. */
   public enum RequestEnd {
     /** It got an archive server's answer. */
-    PASSED("passed"),
+    FORWARDED("passed"),
     /** It was rejected. */
-    DROPPED("dropped"),
+    REJECTED("dropped"),
     /** It failed. */
-    BAD_GATEWAY("bad_gateway");
+    FAILED("bad_gateway");
 
     private final String label;
 
@@ -42,9 +42,9 @@
   private final AtomicLong unansweredCounterCalls = new AtomicLong();
   private final AtomicInteger inProgress = new AtomicInteger();
   private final AtomicInteger listedEndpoints = new AtomicInteger();
-  private final AtomicInteger avoidedEndpoints = new AtomicInteger();
+  private final AtomicInteger skippedEndpoints = new AtomicInteger();
 
-  private volatile long discoveryHeardNanos = System.nanoTime();
+  private volatile long lastDiscoveryMessageNanos = System.nanoTime();
 
   /** Written on the event loop alone, as is the next. */
   private volatile long longestLoopStallNanos;
@@ -93,28 +93,28 @@
     }
   }
 
-  /** How many endpoints the list holds, and how many of these are avoided. */
-  public void endpointsChanged(int listed, int avoided) {
+  /** How many endpoints the list holds, and how many of these are skipped. */
+  public void endpointsChanged(int listed, int skipped) {
     listedEndpoints.set(listed);
-    avoidedEndpoints.set(avoided);
+    skippedEndpoints.set(skipped);
   }
 
   /**
    * How many zones are out or on their way by the fleet's decision, calls to the counter about
    * zones, requests sent to try one.
    */
-  public void zones(long ejectedZones, long calls, long halfOpenAttempts) {
+  public void zonesChanged(long ejectedZones, long calls, long halfOpenAttempts) {
     zones = new ZoneMetrics(ejectedZones, calls, halfOpenAttempts);
   }
 
   /** A line of discovery came, or the first one is waited for from now on. */
-  public void discoveryHeard() {
-    discoveryHeardNanos = System.nanoTime();
+  public void discoveryMessageReceived() {
+    lastDiscoveryMessageNanos = System.nanoTime();
   }
 
   /** For how long nothing was heard of discovery, in milliseconds; a line comes every 2 s. */
-  public long discoverySilenceMillis() {
-    return TimeUnit.NANOSECONDS.toMillis(System.nanoTime() - discoveryHeardNanos);
+  public long millisSinceDiscoveryMessage() {
+    return TimeUnit.NANOSECONDS.toMillis(System.nanoTime() - lastDiscoveryMessageNanos);
   }
 
   /** A timer of the policy ran this late: for so long the loop was at something else. */
@@ -152,10 +152,10 @@
     appendLine(text, "upstream_tries", attempts.get());
     appendLine(text, "in_progress", inProgress.get());
     appendLine(text, "known_archive_servers", listedEndpoints.get());
-    appendLine(text, "skipped_archive_servers", avoidedEndpoints.get());
+    appendLine(text, "skipped_archive_servers", skippedEndpoints.get());
     appendLine(text, "counter.calls", counterCalls.get());
     appendLine(text, "counter.unanswered", unansweredCounterCalls.get());
-    appendLine(text, "discovery.silent_ms", discoverySilenceMillis());
+    appendLine(text, "discovery.silent_ms", millisSinceDiscoveryMessage());
     appendLine(text, "discovery.longest_wait_ms", longestDiscoveryWaitMillis());
     appendLine(text, "loop.longest_standstill_ms", longestLoopStallMillis());
     ZoneMetrics currentZones = zones;
--- a/edge/src/test/java/edgegateway/node/SignalsTest.java
+++ b/edge/src/test/java/edgegateway/node/SignalsTest.java
@@ -138,7 +138,7 @@
               }
             });
     EdgeNode node = start(config());
-    while (node.metrics.discoverySilenceMillis() < 50) {
+    while (node.metrics.millisSinceDiscoveryMessage() < 50) {
       assertNull(process.onExit().getNow(null));
     }
     assertTrue(
@@ -146,7 +146,7 @@
             .matcher(node.metrics.render())
             .find());
     go.complete(null);
-    while (node.metrics.discoverySilenceMillis() >= 50) {
+    while (node.metrics.millisSinceDiscoveryMessage() >= 50) {
       assertNull(process.onExit().getNow(null));
     }
   }
