--- a/edge/src/main/java/edgegateway/node/ConfigurationReloader.java
+++ b/edge/src/main/java/edgegateway/node/ConfigurationReloader.java
@@ -36,12 +36,12 @@
    * @param text what the node goes by now
    */
   void follow(String text) {
-    SignalDispositions signals = SignalDispositions.now();
-    if (signals.ignored(SignalDispositions.SIGTERM)) {
+    SignalDispositions signals = SignalDispositions.current();
+    if (signals.isIgnored(SignalDispositions.SIGTERM)) {
       log.info(
           "signal_ignored", field("signal", "SIGTERM"), field("use", "drain-on, then SIGKILL"));
     }
-    if (!signals.ignored(SignalDispositions.SIGHUP)) {
+    if (!signals.isIgnored(SignalDispositions.SIGHUP)) {
       Signal.handle(new Signal("HUP"), signal -> reload());
       return;
     }
@@ -59,7 +59,7 @@
     try {
       while (true) {
         Thread.sleep(ConfigFileWatcher.POLL_INTERVAL_MILLIS);
-        if (watcher.changed()) {
+        if (watcher.pollForChange()) {
           reload();
         }
       }
--- a/edge/src/main/java/edgegateway/node/EdgeNode.java
+++ b/edge/src/main/java/edgegateway/node/EdgeNode.java
@@ -88,7 +88,7 @@
    * @param configuration what the file that {@code GW_CONFIG} names would hold
    * @throws IllegalArgumentException with one line that names the key, if it can't be used
    */
-  public static EdgeNode on(EventLoop loop, String configuration) throws IOException {
+  public static EdgeNode onSharedLoop(EventLoop loop, String configuration) throws IOException {
     try {
       return new EdgeNode(NodeConfigParser.parse(configuration), null, null, loop);
     } catch (InvalidConfigException e) {
@@ -326,7 +326,7 @@
   }
 
   /** The version of the endpoint list that the node goes by; on the loop only. */
-  public long revision() {
+  public long endpointListRevision() {
     return discovery.revision();
   }
 
--- a/edge/src/main/java/edgegateway/node/NodePolicyActions.java
+++ b/edge/src/main/java/edgegateway/node/NodePolicyActions.java
@@ -71,7 +71,7 @@
     loop.schedule(
         () -> {
           long firedNanos = System.nanoTime();
-          stallDetector.tick(firedNanos);
+          stallDetector.timerFired(firedNanos);
           metrics.timerFiredLate(firedNanos - dueNanos);
           policyEvents.run((policy, now) -> policy.timerFired(now, token));
         },
--- a/edge/src/main/java/edgegateway/node/clients/ClientPresenceCheck.java
+++ b/edge/src/main/java/edgegateway/node/clients/ClientPresenceCheck.java
@@ -100,7 +100,7 @@
     }
     long now = System.nanoTime();
     return channel.config().isAutoRead()
-        ? stallDetector.none(now)
+        ? stallDetector.noRecentStall(now)
         : now - lastPresentNanos <= PRESENCE_VALID_NANOS;
   }
 
--- a/edge/src/main/java/edgegateway/node/lifecycle/ClassArchive.java
+++ b/edge/src/main/java/edgegateway/node/lifecycle/ClassArchive.java
@@ -16,14 +16,15 @@
   /** As the kernel tells it; false where it does not. */
   public static boolean inUse() {
     try {
-      return mapped(Files.readString(Path.of("/proc/self/maps")), System.getProperty("java.home"));
+      return isMapped(
+          Files.readString(Path.of("/proc/self/maps")), System.getProperty("java.home"));
     } catch (IOException e) {
       return false;
     }
   }
 
   /** Whether {@code maps}, as in proc(5), name an archive other than those that the JDK brings. */
-  public static boolean mapped(String maps, String jdk) {
+  public static boolean isMapped(String maps, String jdk) {
     return maps.lines().anyMatch(line -> line.endsWith(SUFFIX) && !line.contains(jdk));
   }
 }
--- a/edge/src/main/java/edgegateway/node/lifecycle/ConfigFileWatcher.java
+++ b/edge/src/main/java/edgegateway/node/lifecycle/ConfigFileWatcher.java
@@ -36,7 +36,7 @@
    * Whether the file now holds another text than at the last look; one that is gone or can't be
    * read does not.
    */
-  public boolean changed() {
+  public boolean pollForChange() {
     try {
       BasicFileAttributes now = Files.readAttributes(file, BasicFileAttributes.class);
       if (seen != null
--- a/edge/src/main/java/edgegateway/node/lifecycle/EventLoopStallDetector.java
+++ b/edge/src/main/java/edgegateway/node/lifecycle/EventLoopStallDetector.java
@@ -26,13 +26,13 @@
   }
 
   /** The loop's timer came. */
-  public void tick(long now) {
+  public void timerFired(long now) {
     look(now);
     ticked = now;
   }
 
   /** Whether there was none of late. */
-  public boolean none(long now) {
+  public boolean noRecentStall(long now) {
     look(now);
     return now - settled >= 0;
   }
--- a/edge/src/main/java/edgegateway/node/lifecycle/SignalDispositions.java
+++ b/edge/src/main/java/edgegateway/node/lifecycle/SignalDispositions.java
@@ -27,7 +27,7 @@
   }
 
   /** As the kernel tells them now; where it does not, none counts as ignored. */
-  public static SignalDispositions now() {
+  public static SignalDispositions current() {
     try {
       return parse(Files.readString(STATUS));
     } catch (IOException e) {
@@ -50,7 +50,7 @@
   }
 
   /** Whether a signal is ignored, by its number. */
-  public boolean ignored(int signal) {
+  public boolean isIgnored(int signal) {
     return (ignored >>> signal - 1 & 1) != 0;
   }
 }
--- a/edge/src/test/java/edgegateway/node/EdgeNodeTest.java
+++ b/edge/src/test/java/edgegateway/node/EdgeNodeTest.java
@@ -655,7 +655,7 @@
                         + "\r\n"));
     EdgeNode node = node();
     assertEquals(8_900, node.loop.submit(() -> node.upstreamPool.endpointCount()).get());
-    assertEquals(6, node.loop.submit(node::revision).get());
+    assertEquals(6, node.loop.submit(node::endpointListRevision).get());
   }
 
   @Test
--- a/edge/src/test/java/edgegateway/node/SignalsTest.java
+++ b/edge/src/test/java/edgegateway/node/SignalsTest.java
@@ -103,7 +103,7 @@
     servingAt(process);
     assertFalse(
         SignalDispositions.parse(Files.readString(Path.of("/proc/" + process.pid() + "/status")))
-            .ignored(SignalDispositions.SIGHUP));
+            .isIgnored(SignalDispositions.SIGHUP));
     discovery.next();
     discovery = peer(m -> never.join());
     Files.move(written("next.json"), file, StandardCopyOption.REPLACE_EXISTING);
@@ -156,39 +156,39 @@
     SignalDispositions read =
         SignalDispositions.parse(
             "SigBlk:\t0000000000000000\nSigIgn:\t0000000000004001\nSigCgt:\t01\n");
-    assertTrue(read.ignored(SignalDispositions.SIGHUP));
-    assertTrue(read.ignored(SignalDispositions.SIGTERM));
-    assertFalse(read.ignored(2));
-    assertFalse(SignalDispositions.parse("").ignored(SignalDispositions.SIGHUP));
+    assertTrue(read.isIgnored(SignalDispositions.SIGHUP));
+    assertTrue(read.isIgnored(SignalDispositions.SIGTERM));
+    assertFalse(read.isIgnored(2));
+    assertFalse(SignalDispositions.parse("").isIgnored(SignalDispositions.SIGHUP));
   }
 
   @Test
   void aChangeIsSeenOnceHoweverTheFileChanges() throws Exception {
     Path file = Files.writeString(folder.resolve("c"), "one");
     ConfigFileWatcher watch = new ConfigFileWatcher(file, "one");
-    assertFalse(watch.changed());
+    assertFalse(watch.pollForChange());
     FileTime time = Files.getLastModifiedTime(file);
     Files.writeString(file, "two");
     Files.setLastModifiedTime(file, time);
-    assertTrue(watch.changed(), "the same length, within one tick of the file's time");
-    assertFalse(watch.changed());
+    assertTrue(watch.pollForChange(), "the same length, within one tick of the file's time");
+    assertFalse(watch.pollForChange());
     Files.delete(file);
-    assertFalse(watch.changed());
+    assertFalse(watch.pollForChange());
     Files.writeString(file, "two");
-    assertFalse(watch.changed(), "the same text as before");
+    assertFalse(watch.pollForChange(), "the same text as before");
     Path old = Files.writeString(folder.resolve("d"), "six");
     Files.setLastModifiedTime(old, FileTime.from(1_000, TimeUnit.SECONDS));
     Files.move(old, file, StandardCopyOption.REPLACE_EXISTING);
-    assertTrue(watch.changed(), "by another file with an old time");
-    assertFalse(watch.changed());
+    assertTrue(watch.pollForChange(), "by another file with an old time");
+    assertFalse(watch.pollForChange());
   }
 
   @Test
   void theArchiveOfTheBuildIsToldFromThatOfTheJdk() {
     String base = "7fff-8000 rw-p 0 00:00 1 /jdk/lib/server/classes.jsa\n";
-    assertFalse(ClassArchive.mapped(base, "/jdk"));
+    assertFalse(ClassArchive.isMapped(base, "/jdk"));
     assertTrue(
-        ClassArchive.mapped(
+        ClassArchive.isMapped(
             base + "8000-9000 r--p 0 00:00 2 /srv/target/edge-gateway.jsa\n", "/jdk"));
   }
 }
--- a/testbed/src/main/java/edgegateway/testbed/scale/sockets/HollowNodeMain.java
+++ b/testbed/src/main/java/edgegateway/testbed/scale/sockets/HollowNodeMain.java
@@ -86,7 +86,7 @@
     try (Stream<String> lines = Files.lines(file)) {
       for (String line : (Iterable<String>) lines::iterator) {
         int number = nodes.size();
-        Hollow one = new Hollow(number, EdgeNode.on(all.get(number % loops), line));
+        Hollow one = new Hollow(number, EdgeNode.onSharedLoop(all.get(number % loops), line));
         nodes.add(one);
         byLoop.get(number % loops).add(one);
       }
@@ -106,7 +106,7 @@
   }
 
   private static void look(Hollow one) {
-    long revision = one.node.revision();
+    long revision = one.node.endpointListRevision();
     if (revision != one.revision) {
       one.revision = revision;
       say(LISTED, one.number, revision, System.nanoTime());
