--- a/edge/src/main/java/edgegateway/node/connections/UpstreamConnectionTable.java
+++ b/edge/src/main/java/edgegateway/node/connections/UpstreamConnectionTable.java
@@ -76,7 +76,7 @@
    *
    * @param slowStart whether it has just begun, and is known to be slow at first
    */
-  public Upstream addUpstream(Object address, boolean slowStart) {
+  public Upstream createUpstream(Object address, boolean slowStart) {
     return new Upstream(this, transport, new ConnectBackoff(random), address, slowStart);
   }
 
--- a/edge/src/main/java/edgegateway/node/upstream/UpstreamPool.java
+++ b/edge/src/main/java/edgegateway/node/upstream/UpstreamPool.java
@@ -114,7 +114,7 @@
     long startedAtNanos = entry.endpoint().startedAtNanos();
     boolean slowStart =
         startedAtNanos > 0 && context.listener().nowNanos() - startedAtNanos < slowStartNanos;
-    Upstream upstream = connections.addUpstream(entry.address(), slowStart);
+    Upstream upstream = connections.createUpstream(entry.address(), slowStart);
     ListedEndpoint added = new ListedEndpoint(entry, upstream);
     endpoints.put(entry.endpoint().id(), added);
     if (!added.isReady()) {
--- a/edge/src/test/java/edgegateway/node/connections/UpstreamConnectionTableScenarioTest.java
+++ b/edge/src/test/java/edgegateway/node/connections/UpstreamConnectionTableScenarioTest.java
@@ -59,12 +59,12 @@
       table.applyBudget(
           new DescriptorBudget(1, 1, maxOpen, maxOpenPerUpstream, 1, 1, 1, List.of()));
       for (int i = 0; i < 6; i++) {
-        upstreams.add(addUpstream(random.nextBoolean()));
+        upstreams.add(createUpstream(random.nextBoolean()));
       }
     }
 
-    private Upstream addUpstream(boolean slowStart) {
-      Upstream added = table.addUpstream("server", slowStart);
+    private Upstream createUpstream(boolean slowStart) {
+      Upstream added = table.createUpstream("server", slowStart);
       capacity.put(added, random.nextInt(0, 6));
       return added;
     }
@@ -125,7 +125,7 @@
     private void restartOne() {
       int index = random.nextInt(upstreams.size());
       upstreams.get(index).retire();
-      upstreams.set(index, addUpstream(true));
+      upstreams.set(index, createUpstream(true));
     }
 
     private void beginAttempt() {
--- a/edge/src/test/java/edgegateway/node/connections/UpstreamConnectionTableTest.java
+++ b/edge/src/test/java/edgegateway/node/connections/UpstreamConnectionTableTest.java
@@ -63,7 +63,7 @@
 
   @Test
   void idleConnectionsAreReusedMostRecentFirst() {
-    Upstream upstream = table.addUpstream("a", false);
+    Upstream upstream = table.createUpstream("a", false);
     RecordingWaiter first = acquire(upstream);
     RecordingWaiter second = acquire(upstream);
     opened.forEach(connection -> connection.connected(now));
@@ -77,7 +77,7 @@
 
   @Test
   void aWaiterGetsTheFirstReleasedConnectionAndTheNewOneStaysIdle() {
-    Upstream upstream = table.addUpstream("a", false);
+    Upstream upstream = table.createUpstream("a", false);
     UpstreamConnection connection = respondedOnce(upstream);
     RecordingWaiter busy = acquire(upstream);
     RecordingWaiter waits = acquire(upstream);
@@ -90,7 +90,7 @@
 
   @Test
   void aWaiterWaitsForAConnectionThatIsReleasedSoonerThanANewOneOpens() {
-    Upstream upstream = table.addUpstream("a", false);
+    Upstream upstream = table.createUpstream("a", false);
     RecordingWaiter slow = acquire(upstream);
     now += 80 * MS;
     opened.get(0).connected(now);
@@ -113,7 +113,7 @@
 
   @Test
   void duringSlowStartConnectionsAreOpenedOneAtATime() {
-    Upstream upstream = table.addUpstream("a", true);
+    Upstream upstream = table.createUpstream("a", true);
     List<RecordingWaiter> waiters = new ArrayList<>();
     for (int i = 0; i < 4; i++) {
       waiters.add(acquire(upstream));
@@ -129,7 +129,7 @@
 
   @Test
   void refusedConnectsAreFollowedByAGrowingBackoff() {
-    Upstream upstream = table.addUpstream("a", false);
+    Upstream upstream = table.createUpstream("a", false);
     long before = 0;
     for (int i = 0; i < 10; i++) {
       RecordingWaiter waiter = acquire(upstream);
@@ -156,7 +156,7 @@
 
   @Test
   void beyondTheLearnedLimitWaitersGetTheOpenConnections() {
-    Upstream upstream = table.addUpstream("a", false);
+    Upstream upstream = table.createUpstream("a", false);
     UpstreamConnection only = respondedOnce(upstream);
     RecordingWaiter busy = acquire(upstream);
     RecordingWaiter second = acquire(upstream);
@@ -192,7 +192,7 @@
 
   @Test
   void aSuspectedUpstreamIsTrustedAgainAfterAResponse() {
-    Upstream upstream = table.addUpstream("a", false);
+    Upstream upstream = table.createUpstream("a", false);
     UpstreamConnection idle = idleBesideATimedOutOne(upstream);
     RecordingWaiter next = acquire(upstream);
     assertNull(next.connection, "what is idle may be dead");
@@ -208,7 +208,7 @@
 
   @Test
   void idleConnectionsOfAnUnreachableUpstreamAreClosed() {
-    Upstream upstream = table.addUpstream("a", false);
+    Upstream upstream = table.createUpstream("a", false);
     UpstreamConnection idle = idleBesideATimedOutOne(upstream);
     RecordingWaiter next = acquire(upstream);
     opened.get(2).connectFailed(now, ConnectFailure.UNRESPONSIVE);
@@ -219,7 +219,7 @@
 
   @Test
   void aTimeoutBesideOtherResponsesRaisesNoSuspicion() {
-    Upstream upstream = table.addUpstream("a", false);
+    Upstream upstream = table.createUpstream("a", false);
     respondedOnce(upstream);
     RecordingWaiter slow = acquire(upstream);
     RecordingWaiter quick = acquire(upstream);
@@ -233,7 +233,7 @@
 
   @Test
   void idleConnectionsAreClosedAheadOfTheServersKeepAlive() {
-    Upstream upstream = table.addUpstream("a", false);
+    Upstream upstream = table.createUpstream("a", false);
     UpstreamConnection connection = respondedOnce(upstream);
     now += KEEP_ALIVE - 1_600 * MS;
     table.closeExpired(now);
@@ -246,8 +246,8 @@
   @Test
   void atTheBoundTheLongestIdleConnectionOfAnotherUpstreamIsClosed() {
     bound(3, 2);
-    Upstream a = table.addUpstream("a", false);
-    Upstream b = table.addUpstream("b", false);
+    Upstream a = table.createUpstream("a", false);
+    Upstream b = table.createUpstream("b", false);
     UpstreamConnection oldest = respondedOnce(a);
     now += MS;
     acquire(a);
@@ -264,7 +264,7 @@
     RecordingWaiter second = acquire(b);
     assertEquals(4, opened.size());
     assertEquals(List.of(oldest), closed);
-    RecordingWaiter third = acquire(table.addUpstream("c", false));
+    RecordingWaiter third = acquire(table.createUpstream("c", false));
     assertEquals(true, third.localCause, "it is the node's own bound, not the server's fault");
     assertNull(second.localCause);
     assertNotNull(busy.connection);
@@ -272,7 +272,7 @@
 
   @Test
   void aRetiredUpstreamKeepsNoConnection() {
-    Upstream old = table.addUpstream("a", false);
+    Upstream old = table.createUpstream("a", false);
     UpstreamConnection idle = respondedOnce(old);
     RecordingWaiter busy = acquire(old);
     RecordingWaiter waiting = acquire(old);
@@ -289,7 +289,7 @@
 
   @Test
   void aLackOfDescriptorsIsNoConnectFailure() {
-    Upstream upstream = table.addUpstream("a", false);
+    Upstream upstream = table.createUpstream("a", false);
     RecordingWaiter waiter = acquire(upstream);
     opened.get(0).connectFailed(now, ConnectFailure.NO_DESCRIPTOR);
     assertEquals(true, waiter.localCause);
@@ -301,7 +301,7 @@
 
   @Test
   void aCancelledWaiterGetsNoConnection() {
-    Upstream upstream = table.addUpstream("a", false);
+    Upstream upstream = table.createUpstream("a", false);
     RecordingWaiter waiter = acquire(upstream);
     assertTrue(upstream.cancel(waiter));
     assertFalse(upstream.cancel(waiter));
--- a/edge/src/test/java/edgegateway/node/upstream/UpstreamConnectionHandlerTest.java
+++ b/edge/src/test/java/edgegateway/node/upstream/UpstreamConnectionHandlerTest.java
@@ -51,7 +51,7 @@
           new BodyRelay.Group(channel.eventLoop()));
   private final Upstream upstream =
       new UpstreamConnectionTable(this, connectionMetrics, 1, TimeUnit.SECONDS.toNanos(15))
-          .addUpstream("server", false);
+          .createUpstream("server", false);
 
   UpstreamConnectionHandlerTest() {
     bufferedBodies.applyBudget(new DescriptorBudget(1, 1, 9, 9, 1, 1 << 20, 1, List.of()));
