--- a/edge/src/main/java/edgegateway/node/clients/ClientHttpServer.java
+++ b/edge/src/main/java/edgegateway/node/clients/ClientHttpServer.java
@@ -245,13 +245,13 @@
     @Override
     public void connectionAccepted() {
       if (connections.isFull()) {
-        acceptor.pauseWhileFull();
+        acceptor.pauseAccepting();
       }
     }
 
     @Override
     public void connectionRemoved() {
-      acceptor.resumeWithRoom();
+      acceptor.resumeAccepting();
     }
 
     @Override
--- a/edge/src/main/java/edgegateway/node/connections/ConnectionAcceptor.java
+++ b/edge/src/main/java/edgegateway/node/connections/ConnectionAcceptor.java
@@ -137,14 +137,14 @@
    * Leaves new connections in the kernel's backlog for a moment, or until there is room. If there
    * is none by then, the next ones are accepted all the same: none may be left unheard there.
    */
-  public void pauseWhileFull() {
+  public void pauseAccepting() {
     if (mayPause) {
       pause();
     }
   }
 
   /** There is room for new connections. */
-  public void resumeWithRoom() {
+  public void resumeAccepting() {
     mayPause = true;
     resume();
   }
