--- a/edge/src/main/java/edgegateway/node/connections/Upstream.java
+++ b/edge/src/main/java/edgegateway/node/connections/Upstream.java
@@ -125,7 +125,7 @@
     if (!recheckScheduled) {
       recheckScheduled = true;
       long delayNanos = Math.max(MIN_RECHECK_NANOS, (long) table.newConnectionCostNanos());
-      transport.scheduleConnect(this, delayNanos);
+      transport.scheduleRecheck(this, delayNanos);
     }
   }
 
@@ -187,7 +187,7 @@
   }
 
   /** What waits is sent to it no more, and its idle connections are closed. */
-  public void rejectWaiting() {
+  public void rejectWaitersAndCloseIdle() {
     closeIdle();
     rejectAllWaiting(true);
   }
@@ -198,7 +198,7 @@
    */
   public void retire() {
     retired = true;
-    rejectWaiting();
+    rejectWaitersAndCloseIdle();
   }
 
   private void closeIdle() {
--- a/edge/src/main/java/edgegateway/node/connections/UpstreamTransport.java
+++ b/edge/src/main/java/edgegateway/node/connections/UpstreamTransport.java
@@ -9,5 +9,5 @@
   void connect(UpstreamConnection connection);
 
   /** Calls {@link Upstream#connectIfNeeded} after a delay. */
-  void scheduleConnect(Upstream upstream, long delayNanos);
+  void scheduleRecheck(Upstream upstream, long delayNanos);
 }
--- a/edge/src/main/java/edgegateway/node/upstream/UpstreamConnector.java
+++ b/edge/src/main/java/edgegateway/node/upstream/UpstreamConnector.java
@@ -103,7 +103,7 @@
   }
 
   @Override
-  public void scheduleConnect(Upstream upstream, long delayNanos) {
+  public void scheduleRecheck(Upstream upstream, long delayNanos) {
     context
         .loop()
         .schedule(
--- a/edge/src/main/java/edgegateway/node/upstream/UpstreamPool.java
+++ b/edge/src/main/java/edgegateway/node/upstream/UpstreamPool.java
@@ -157,7 +157,7 @@
   public void endpointEjected(String endpointId) {
     ListedEndpoint endpoint = endpoints.get(endpointId);
     if (endpoint != null) {
-      endpoint.upstream().rejectWaiting();
+      endpoint.upstream().rejectWaitersAndCloseIdle();
     }
   }
 }
--- a/edge/src/test/java/edgegateway/node/connections/UpstreamConnectionTableScenarioTest.java
+++ b/edge/src/test/java/edgegateway/node/connections/UpstreamConnectionTableScenarioTest.java
@@ -76,7 +76,7 @@
     }
 
     @Override
-    public void scheduleConnect(Upstream upstream, long delayNanos) {
+    public void scheduleRecheck(Upstream upstream, long delayNanos) {
       rechecks.add(upstream);
     }
 
--- a/edge/src/test/java/edgegateway/node/connections/UpstreamConnectionTableTest.java
+++ b/edge/src/test/java/edgegateway/node/connections/UpstreamConnectionTableTest.java
@@ -30,7 +30,7 @@
             }
 
             @Override
-            public void scheduleConnect(Upstream upstream, long delayNanos) {
+            public void scheduleRecheck(Upstream upstream, long delayNanos) {
               rechecks.add(upstream);
             }
           },
--- a/edge/src/test/java/edgegateway/node/upstream/UpstreamConnectionHandlerTest.java
+++ b/edge/src/test/java/edgegateway/node/upstream/UpstreamConnectionHandlerTest.java
@@ -67,7 +67,7 @@
   }
 
   @Override
-  public void scheduleConnect(Upstream waiting, long delayNanos) {}
+  public void scheduleRecheck(Upstream waiting, long delayNanos) {}
 
   @Override
   public long nowNanos() {
