--- a/edge/src/main/java/edgegateway/node/EdgeNode.java
+++ b/edge/src/main/java/edgegateway/node/EdgeNode.java
@@ -185,7 +185,7 @@
   /** Returns when discovery was heard, or has been waited for. */
   private void startDiscovery() throws Exception {
     loop.submit(() -> discovery.start(config.knownEndpoints().revision())).get();
-    discovery.firstMessage().get();
+    discovery.initialization().get();
   }
 
   /**
@@ -307,12 +307,12 @@
 
   @Override
   public boolean ready() {
-    return takingClients && discovery.hasStarted() && !clients.draining();
+    return takingClients && discovery.isInitialized() && !clients.draining();
   }
 
   @Override
   public boolean healthy() {
-    return admitted && discovery.hasStarted() && (!clients.draining() || clients.isSuperseded());
+    return admitted && discovery.isInitialized() && (!clients.draining() || clients.isSuperseded());
   }
 
   /** What operators can ask of this node; any thread. */
--- a/edge/src/main/java/edgegateway/node/discovery/DiscoveryClient.java
+++ b/edge/src/main/java/edgegateway/node/discovery/DiscoveryClient.java
@@ -32,8 +32,8 @@
     implements WatchTransport, WatchEventListener, DiscoverySilenceLog.WatchStatus {
   private static final EventLog LOG = EventLog.console();
 
-  /** Discovery that is down must not keep the node from serving by the list it has. */
-  private static final long FIRST_MESSAGE_TIMEOUT_MILLIS = 1_000;
+  /** While discovery is down, the node starts to serve with its cached list after this time. */
+  private static final long INITIALIZATION_TIMEOUT_MILLIS = 1_000;
 
   private final EndpointListListener listener;
   private final NodeMetrics metrics;
@@ -43,7 +43,7 @@
   private final WatchScheduler scheduler;
   private final DiscoverySilenceLog silenceLog;
   private final Map<WatchScheduler.Watch, Channel> channels = new HashMap<>();
-  private final CompletableFuture<Void> firstMessage = new CompletableFuture<>();
+  private final CompletableFuture<Void> initialization = new CompletableFuture<>();
   private InetSocketAddress address;
 
   /** Connects from {@link #start} on. */
@@ -68,7 +68,7 @@
   public void start(long heldRevision) {
     metrics.discoveryHeard();
     loop.schedule(
-        () -> firstMessage.complete(null), FIRST_MESSAGE_TIMEOUT_MILLIS, TimeUnit.MILLISECONDS);
+        () -> initialization.complete(null), INITIALIZATION_TIMEOUT_MILLIS, TimeUnit.MILLISECONDS);
     scheduler.start(System.nanoTime(), heldRevision);
     loop.scheduleAtFixedRate(
         this::poll,
@@ -77,14 +77,14 @@
         TimeUnit.NANOSECONDS);
   }
 
-  /** Completes when a first list has come, or has been waited for long enough; any thread. */
-  public CompletableFuture<Void> firstMessage() {
-    return firstMessage;
+  /** Completes when the first list is received, or after a timeout without one. Thread-safe. */
+  public CompletableFuture<Void> initialization() {
+    return initialization;
   }
 
-  /** Whether a first list has come, or has been waited for long enough; any thread. */
-  public boolean hasStarted() {
-    return firstMessage.isDone();
+  /** Whether {@link #initialization()} has completed. Thread-safe. */
+  public boolean isInitialized() {
+    return initialization.isDone();
   }
 
   /** The revision of the list that is held. */
@@ -176,7 +176,7 @@
       eventAccepted();
       listener.endpointListReceived(
           list, list.complete() ? EndpointListKind.FULL : EndpointListKind.DELTA);
-      firstMessage.complete(null);
+      initialization.complete(null);
     } else if (!watch.isOpen()) {
       LOG.info("discovery_list_stale", field("revision", list.revision()));
     }
