--- a/edge/src/main/java/edgegateway/node/DescriptorBudgetService.java
+++ b/edge/src/main/java/edgegateway/node/DescriptorBudgetService.java
@@ -42,7 +42,7 @@
 
   /** Shares the descriptors out among the processes of this node that live now. */
   void allocate() {
-    allocate(slots.otherLives() ? PROCESSES_IN_UPGRADE : 1);
+    allocate(slots.isOtherProcessAlive() ? PROCESSES_IN_UPGRADE : 1);
   }
 
   private DescriptorBudget allocate(int processes) {
--- a/edge/src/main/java/edgegateway/node/EdgeNode.java
+++ b/edge/src/main/java/edgegateway/node/EdgeNode.java
@@ -246,7 +246,7 @@
     loop.submit(
             () -> {
               if (!clients.stopping()) {
-                slots.take(true);
+                slots.setAccepting(true);
                 admitted = true;
                 takingClients = true;
               }
@@ -270,8 +270,8 @@
 
   /** What the successor is to know; null if there is none. */
   private StateTransfer stopOnLoop(CompletableFuture<Void> done) {
-    boolean succeeded = slots.otherTakes();
-    slots.take(false);
+    boolean succeeded = slots.isOtherProcessAccepting();
+    slots.setAccepting(false);
     zoneEjection.stopVoting();
     clients.stop(done, succeeded);
     return succeeded ? policyEvents.policy().exportState(policyEvents.nowNanos()) : null;
--- a/edge/src/main/java/edgegateway/node/Main.java
+++ b/edge/src/main/java/edgegateway/node/Main.java
@@ -52,7 +52,7 @@
     String text = NodeConfigParser.readText(file);
     NodeConfig config = NodeConfigParser.parse(text);
     EdgeNode node = new EdgeNode(config, sharedFolder());
-    boolean upgrade = node.slots.otherLives();
+    boolean upgrade = node.slots.isOtherProcessAlive();
     if (config.operators() != null) {
       OperatorServer operators = new OperatorServer(node.operatorCommands(), config.operators());
       LOG.info("operators_listening", field("address", operators.address()));
--- a/edge/src/main/java/edgegateway/node/upgrade/ProcessSlots.java
+++ b/edge/src/main/java/edgegateway/node/upgrade/ProcessSlots.java
@@ -73,12 +73,12 @@
   }
 
   /** Whether another process of this node lives. */
-  public boolean otherLives() {
+  public boolean isOtherProcessAlive() {
     return isLocked(otherSlot());
   }
 
   /** Whether another process of this node takes clients. */
-  public boolean otherTakes() {
+  public boolean isOtherProcessAccepting() {
     return isLocked(TAKING_OFFSET + otherSlot());
   }
 
@@ -87,7 +87,7 @@
   }
 
   /** From now on this process takes clients, or no more. */
-  public void take(boolean on) {
+  public void setAccepting(boolean on) {
     try {
       if (on && taking == null && living != null) {
         for (int tries = 0; taking == null && tries < LOCK_TRIES; tries++) {
--- a/edge/src/test/java/edgegateway/node/UpgradeTest.java
+++ b/edge/src/test/java/edgegateway/node/UpgradeTest.java
@@ -41,7 +41,7 @@
     }
     Socket kept = client(first);
     assertEquals("200", ask(kept, "t-0"));
-    assertFalse(first.slots.otherLives());
+    assertFalse(first.slots.isOtherProcessAlive());
     EdgeNode next =
         new EdgeNode(
             NodeConfigParser.parse(
@@ -49,11 +49,11 @@
                     .replace("127.0.0.1:0", "127.0.0.1:" + first.address().getPort())),
             folder);
     toClose.add(next);
-    assertTrue(next.slots.otherLives());
-    assertTrue(first.slots.otherLives());
-    assertFalse(first.slots.otherTakes());
+    assertTrue(next.slots.isOtherProcessAlive());
+    assertTrue(first.slots.isOtherProcessAlive());
+    assertFalse(first.slots.isOtherProcessAccepting());
     next.startAsSuccessor();
-    assertTrue(first.slots.otherTakes());
+    assertTrue(first.slots.isOtherProcessAccepting());
     List<Socket> clients = new ArrayList<>();
     // The old process is busy: what the kernel gives it stays in its line, and SIGTERM comes
     // behind.
@@ -92,8 +92,8 @@
     Files.write(folder.resolve("slots"), new byte[] {1, 1, 1, 1});
     Files.write(folder.resolve("handover"), new byte[] {1});
     EdgeNode node = start(config(), folder);
-    assertFalse(node.slots.otherLives());
-    assertFalse(node.slots.otherTakes());
+    assertFalse(node.slots.isOtherProcessAlive());
+    assertFalse(node.slots.isOtherProcessAccepting());
   }
 
   @Test
--- a/edge/src/test/java/edgegateway/node/upgrade/ProcessSlotsTest.java
+++ b/edge/src/test/java/edgegateway/node/upgrade/ProcessSlotsTest.java
@@ -40,35 +40,35 @@
   void eachProcessLocksAByteForItsLifeAndAnotherForItsClients() throws Exception {
     ProcessSlots first = new ProcessSlots(folder);
     assertEquals(List.of(0), locked());
-    first.take(true);
+    first.setAccepting(true);
     assertEquals(List.of(0, 2), locked());
     ProcessSlots second = new ProcessSlots(folder);
     assertEquals(List.of(0, 1, 2), locked());
-    second.take(true);
+    second.setAccepting(true);
     assertEquals(List.of(0, 1, 2, 3), locked());
-    first.take(false);
+    first.setAccepting(false);
     assertEquals(List.of(0, 1, 3), locked());
   }
 
   @Test
   void theTwoProcessesSeeEachOther() {
     ProcessSlots first = new ProcessSlots(folder);
-    assertFalse(first.otherLives());
-    first.take(true);
+    assertFalse(first.isOtherProcessAlive());
+    first.setAccepting(true);
     ProcessSlots second = new ProcessSlots(folder);
-    assertTrue(first.otherLives());
-    assertFalse(first.otherTakes());
-    assertTrue(second.otherLives());
-    assertTrue(second.otherTakes());
-    first.take(false);
-    assertFalse(second.otherTakes());
+    assertTrue(first.isOtherProcessAlive());
+    assertFalse(first.isOtherProcessAccepting());
+    assertTrue(second.isOtherProcessAlive());
+    assertTrue(second.isOtherProcessAccepting());
+    first.setAccepting(false);
+    assertFalse(second.isOtherProcessAccepting());
   }
 
   @Test
   void nobodyIsSeenWithoutAFolder() {
     ProcessSlots alone = new ProcessSlots(null);
-    alone.take(true);
-    assertFalse(alone.otherLives());
-    assertFalse(alone.otherTakes());
+    alone.setAccepting(true);
+    assertFalse(alone.isOtherProcessAlive());
+    assertFalse(alone.isOtherProcessAccepting());
   }
 }
