--- a/edge/src/main/java/edgegateway/node/OperatorEjections.java
+++ b/edge/src/main/java/edgegateway/node/OperatorEjections.java
@@ -44,12 +44,12 @@
 
   /** Applies ejections that another process of this node, or an earlier one, wrote. */
   void readChanges() {
-    Set<String> endpoints = endpointsFile.changed();
+    Set<String> endpoints = endpointsFile.readIfChanged();
     if (endpoints != null) {
       policyEvents.run((policy, now) -> policy.restoreEjectedEndpoints(now, endpoints));
       endpoints.forEach(upstreamPool::endpointEjected);
     }
-    Set<String> zones = zonesFile.changed();
+    Set<String> zones = zonesFile.readIfChanged();
     if (zones != null) {
       Set<Integer> indices = indicesOf(zones);
       policyEvents.run((policy, now) -> policy.restoreEjectedZones(now, indices));
--- a/edge/src/main/java/edgegateway/node/operators/EjectionFile.java
+++ b/edge/src/main/java/edgegateway/node/operators/EjectionFile.java
@@ -44,7 +44,7 @@
    * The names on file if another process wrote it since it was last read or written here; else
    * null. A file that cannot be read is logged and ignored until it is written again.
    */
-  public Set<String> changed() {
+  public Set<String> readIfChanged() {
     try {
       if (file == null || !Files.exists(file)) {
         return null;
--- a/edge/src/test/java/edgegateway/node/operators/EjectionFileTest.java
+++ b/edge/src/test/java/edgegateway/node/operators/EjectionFileTest.java
@@ -30,8 +30,8 @@
   void readsWhatTheVersionBeforeWrote() throws Exception {
     Files.write(folder.resolve("left-out.json"), SERVERS_BY_F416BEE);
     Files.write(folder.resolve("zones-out.json"), ZONES_BY_F416BEE);
-    assertEquals(SERVERS, new EjectionFile(folder, "left-out").changed());
-    assertEquals(Set.of("a", "b"), new EjectionFile(folder, "zones-out").changed());
+    assertEquals(SERVERS, new EjectionFile(folder, "left-out").readIfChanged());
+    assertEquals(Set.of("a", "b"), new EjectionFile(folder, "zones-out").readIfChanged());
   }
 
   @Test
@@ -45,25 +45,25 @@
   @Test
   void tellsOnlyWhatAnotherProcessWrote() throws Exception {
     EjectionFile file = new EjectionFile(folder, "left-out");
-    assertNull(file.changed());
+    assertNull(file.readIfChanged());
     file.write(SERVERS);
-    assertNull(file.changed());
-    assertEquals(SERVERS, new EjectionFile(folder, "left-out").changed());
+    assertNull(file.readIfChanged());
+    assertEquals(SERVERS, new EjectionFile(folder, "left-out").readIfChanged());
   }
 
   @Test
   void aFileThatIsNoListIsIgnored() throws Exception {
     Files.writeString(folder.resolve("left-out.json"), "{\"s-0\":1}");
     EjectionFile file = new EjectionFile(folder, "left-out");
-    assertNull(file.changed());
+    assertNull(file.readIfChanged());
     Files.writeString(folder.resolve("left-out.json"), "[\"s-0");
-    assertNull(new EjectionFile(folder, "left-out").changed());
+    assertNull(new EjectionFile(folder, "left-out").readIfChanged());
   }
 
   @Test
   void nothingIsKeptWithoutAFolder() throws Exception {
     EjectionFile file = new EjectionFile(null, "left-out");
     file.write(SERVERS);
-    assertNull(file.changed());
+    assertNull(file.readIfChanged());
   }
 }
