--- a/edge/src/main/java/edgegateway/node/ZoneEjectionService.java
+++ b/edge/src/main/java/edgegateway/node/ZoneEjectionService.java
@@ -48,8 +48,8 @@
             actions);
     loop.scheduleAtFixedRate(
         this::tick,
-        ZoneEjectionController.TICK_NANOS,
-        ZoneEjectionController.TICK_NANOS,
+        ZoneEjectionController.TICK_INTERVAL_NANOS,
+        ZoneEjectionController.TICK_INTERVAL_NANOS,
         TimeUnit.NANOSECONDS);
   }
 
--- a/edge/src/main/java/edgegateway/node/zones/ZoneEjectionController.java
+++ b/edge/src/main/java/edgegateway/node/zones/ZoneEjectionController.java
@@ -14,7 +14,7 @@
  */
 public final class ZoneEjectionController implements ZoneConsensus.Actions {
   /** How often {@link #tick} is to be called, nanoseconds. */
-  public static final long TICK_NANOS = 100_000_000L;
+  public static final long TICK_INTERVAL_NANOS = 100_000_000L;
 
   /** A returning zone gets at most this fraction of what overloads an endpoint in slow start. */
   private static final double OVERLOAD_MARGIN = 0.8;
@@ -86,7 +86,7 @@
   }
 
   /**
-   * Goes on; to be called every {@link #TICK_NANOS}.
+   * Goes on; to be called every {@link #TICK_INTERVAL_NANOS}.
    *
    * @param discoveryCurrent whether discovery answers
    */
--- a/edge/src/test/java/edgegateway/node/zones/FakeZoneFleet.java
+++ b/edge/src/test/java/edgegateway/node/zones/FakeZoneFleet.java
@@ -202,7 +202,7 @@
 
   /** Runs for a time; {@code check} is run after each step. */
   void run(long span, Runnable check) {
-    long step = ZoneEjectionController.TICK_NANOS;
+    long step = ZoneEjectionController.TICK_INTERVAL_NANOS;
     long until = now + span;
     while (now < until) {
       now += step;
--- a/edge/src/test/java/edgegateway/node/zones/ZoneConsensusTest.java
+++ b/edge/src/test/java/edgegateway/node/zones/ZoneConsensusTest.java
@@ -96,7 +96,8 @@
                 }
                 // The ramp from the moment at which the first node began it bounds what all send
                 // together.
-                double grown = (fleet.now - first[0] + ZoneEjectionController.TICK_NANOS) / RAMP;
+                double grown =
+                    (fleet.now - first[0] + ZoneEjectionController.TICK_INTERVAL_NANOS) / RAMP;
                 assertTrue(
                     part <= (Double.isNaN(first[0]) ? 0 : BEGIN + (1 - BEGIN) * grown) + 0.01,
                     "part " + part + " too early");
--- a/testbed/src/main/java/edgegateway/testbed/simulation/SimulatedNode.java
+++ b/testbed/src/main/java/edgegateway/testbed/simulation/SimulatedNode.java
@@ -205,7 +205,7 @@
 
   private void tickZoneEjection() {
     zoneEjection.tick(clock.now(), !discoverySilenced);
-    schedule(ZoneEjectionController.TICK_NANOS, this::tickZoneEjection);
+    schedule(ZoneEjectionController.TICK_INTERVAL_NANOS, this::tickZoneEjection);
   }
 
   /** Happens unless this life has ended by then. */
