--- a/edge/src/main/java/edgegateway/node/zones/CounterVoteTransport.java
+++ b/edge/src/main/java/edgegateway/node/zones/CounterVoteTransport.java
@@ -8,76 +8,82 @@
 import java.util.SplittableRandom;
 
 /**
- * Votes as amounts on the shared quota counter: the subject of a vote is a key, a vote adds 1 and
- * the total is the number of votes. No call is repeated, so a vote counts once or not at all; a key
- * that the counter lost begins at 0 again, so a total can only be too low.
+ * Counts votes with the shared quota counter. Each subject of a vote has a key of its own; a vote
+ * adds 1 to the key, and the total of the key is the number of votes. Calls are not retried, so a
+ * vote counts at most once. If the counter loses a key, its total starts at 0 again. Hence a total
+ * may be too low but never too high.
  */
 final class CounterVoteTransport implements ZoneVoteTransport {
-  /** The counter, as far as it is used here. */
+  /** The operation of the shared counter that votes need. */
   interface Counter {
-    /** Adds an amount to the number of that key; the total comes later. */
+    /** Adds an amount to the total of a key. The new total arrives asynchronously. */
     void add(long key, double amount, long lifetimeNanos);
   }
 
-  /** Keys of votes are negative; those of customers' quotas are not. */
+  /** Sign bit: keys of votes are negative, keys of customers' quotas are not. */
   private static final long VOTE_KEY_BIT = Long.MIN_VALUE;
 
   private static final int HASH_MULTIPLIER = 31;
 
-  /** A key lives for the present window and the difference of the nodes' clocks. */
-  private static final int LIFETIME_WINDOWS = 2;
+  /** One window for the vote itself and one for differences between the nodes' clocks. */
+  private static final int KEY_LIFETIME_WINDOWS = 2;
 
   private final Counter counter;
   private final long[] zoneHashes;
-  private final long lifetimeNanos;
+  private final long keyLifetimeNanos;
 
-  /** Subjects of the calls in flight by key, oldest first. */
+  /** Votes of the calls in flight by counter key, oldest first. */
   private final Map<Long, ArrayDeque<ZoneVote>> pending = new HashMap<>();
 
   /**
-   * A transport for the given zones.
+   * Creates a transport for the given zones.
    *
-   * @param zoneNames names by index; nodes may give a zone different indices
-   * @param windowNanos length of a voting window
+   * @param zoneNames zone names by index. Keys are derived from the names, since a zone may have
+   *     different indices at different nodes
+   * @param windowNanos length of a voting window in nanoseconds
    */
   CounterVoteTransport(Counter counter, List<String> zoneNames, long windowNanos) {
     this.counter = counter;
     zoneHashes = zoneNames.stream().mapToLong(CounterVoteTransport::hash).toArray();
-    lifetimeNanos = LIFETIME_WINDOWS * windowNanos;
+    keyLifetimeNanos = KEY_LIFETIME_WINDOWS * windowNanos;
   }
 
-  /** Whether a key of the counter is that of a vote. */
+  /** Whether a counter key belongs to a vote. */
   static boolean ownsKey(long key) {
     return key < 0;
   }
 
   private static long hash(String text) {
     long hash = 1;
-    for (byte one : text.getBytes(StandardCharsets.UTF_8)) {
-      hash = HASH_MULTIPLIER * hash + one;
+    for (byte value : text.getBytes(StandardCharsets.UTF_8)) {
+      hash = HASH_MULTIPLIER * hash + value;
     }
     return mix(hash);
   }
 
-  /** Spreads values that lie close together over all long values. */
+  /** Maps values that are close together to values spread over the range of long. */
   private static long mix(long value) {
     return new SplittableRandom(value).nextLong();
   }
 
-  /** Key of a vote's subject: the same at all nodes and in all versions. */
+  /** Returns the counter key of a vote. It must be the same at all nodes and in all versions. */
   long key(ZoneVote vote) {
     long question = mix(zoneHashes[vote.zone()] + vote.question().ordinal());
     return VOTE_KEY_BIT | mix(question + vote.window());
   }
 
   @Override
-  public void cast(long nowNanos, ZoneVote vote, boolean castsVote) {
+  public void requestVoteCount(long nowNanos, ZoneVote vote, boolean castsVote) {
     long key = key(vote);
     pending.computeIfAbsent(key, any -> new ArrayDeque<>()).add(vote);
-    counter.add(key, castsVote ? 1 : 0, lifetimeNanos);
+    counter.add(key, castsVote ? 1 : 0, keyLifetimeNanos);
   }
 
-  /** Removes the oldest call of a key, which has ended; null if there is none. */
+  /**
+   * Removes the oldest call in flight for a key; to be called when a call has ended.
+   *
+   * @return the vote of that call; null if none was in flight
+   */
   ZoneVote callEnded(long key) {
     ArrayDeque<ZoneVote> calls = pending.get(key);
     ZoneVote vote = calls == null ? null : calls.poll();
--- a/edge/src/main/java/edgegateway/node/zones/ZoneConsensus.java
+++ b/edge/src/main/java/edgegateway/node/zones/ZoneConsensus.java
@@ -10,18 +10,20 @@
 import java.util.SplittableRandom;
 
 /**
- * Which zones the fleet ejects and how they return ({@code docs/design/zones.md}): gets the health
- * of the zones and the votes of the nodes, and sets ramps and asks for half-open attempts. No I/O;
- * the clock is given. Times are nanoseconds of the wall clock, which all nodes share and which must
- * not run backwards in one process. Not thread-safe.
+ * Decides which zones to eject and when to readmit them ({@code docs/design/zones.md}). The input
+ * is the health of the zones at this node and the number of nodes that voted; the output is traffic
+ * ramps and half-open attempts.
+ *
+ * <p>Does no I/O and reads no clock: callers pass the time, in nanoseconds of the wall clock that
+ * all nodes share. It must not run backwards within a process. Not thread-safe.
  */
 public final class ZoneConsensus {
-  /** What it asks for. */
+  /** The effects of the decisions. */
   public interface Actions {
-    /** Sets the fraction of its usual traffic that a zone gets over time; null for all of it. */
+    /** Sets the fraction of its usual traffic that a zone receives over time; null for all. */
     void setRamp(int zone, TrafficRamp ramp);
 
-    /** Sends the next idempotent request to an ejected zone. */
+    /** Sends the next idempotent request to an ejected zone as a half-open attempt. */
     void probe(int zone);
 
     /** Writes a log line. */
@@ -29,16 +31,16 @@
   }
 
   /**
-   * What a node knows of its fleet.
+   * What a node knows about its fleet.
    *
-   * @param settings how zones are ejected
+   * @param settings settings of zone ejection
    * @param nodeIndex index of this node, from 0
    * @param nodeCount number of nodes, at least 1
    * @param zoneNames names of the zones by index
-   * @param initialFraction fraction of its traffic with which a zone begins to return, 0 to 1
-   * @param rampNanos how long the traffic of a returning zone grows if none of its endpoints is
-   *     known to be in slow start
-   * @param slowStartRampNanos the same if some may be
+   * @param initialFraction fraction of its usual traffic, 0 to 1, at the start of a zone's return
+   * @param rampNanos duration of the ramp of a returning zone if none of its endpoints is in slow
+   *     start
+   * @param slowStartRampNanos duration of the ramp if some of its endpoints may be in slow start
    */
   public record FleetSettings(
       ZoneEjectionSettings settings,
@@ -48,48 +50,55 @@
       double initialFraction,
       long rampNanos,
       long slowStartRampNanos) {
-    /** More than half of all nodes, running or not: no two parts of a fleet can both have it. */
+    /**
+     * Smallest majority of all nodes, running or not. Two partitions of a fleet cannot both have a
+     * majority.
+     */
     int majority() {
       return nodeCount / 2 + 1;
     }
   }
 
-  /** Votes count for a window: long enough for slow evidence, short against an ejection. */
+  /**
+   * Duration of a voting window, in which votes are counted together. It is long enough that nodes
+   * with little traffic find a failing zone too, and short compared with a typical ejection.
+   */
   static final long VOTE_WINDOW_NANOS = 4_000_000_000L;
 
-  /** A node asks for votes at most so often. */
-  private static final long MIN_ASK_INTERVAL_NANOS = 250_000_000L;
+  /** Shortest mean time between two vote requests of a node about a zone. */
+  private static final long MIN_VOTE_REQUEST_INTERVAL_NANOS = 250_000_000L;
 
-  /** All nodes together ask at most 250 times a second. */
-  private static final long ASK_INTERVAL_PER_NODE_NANOS = 4_000_000L;
+  /** Limits the vote requests of all nodes about a zone to 250 per second. */
+  private static final long VOTE_REQUEST_INTERVAL_PER_NODE_NANOS = 4_000_000L;
 
-  /** From so many nodes on, a majority makes up for less evidence at each. */
+  /** Number of nodes from which each needs less evidence, since a majority makes up for it. */
   private static final int LARGE_FLEET_NODES = 24;
 
-  /** Failure excess from which a zone is failing: three failures, or two in a large fleet. */
+  /** Failure excess of a failing zone: three unanswered attempts in a row, less some decay. */
   private static final double FAILING_EXCESS = 2.8;
 
+  /** Failure excess of a failing zone in a large fleet: two unanswered attempts in a row. */
   private static final double FAILING_EXCESS_IN_LARGE_FLEET = 1.8;
 
-  /** The same if none of its endpoints responds. */
+  /** Failure excess of a failing zone if none of its endpoints responds. */
   private static final double UNRESPONSIVE_EXCESS = 1.5;
 
-  /** Failing endpoints that a failing zone has at least, or all if it has fewer. */
+  /** A failing zone has at least this many failing endpoints, or all if it has fewer. */
   private static final int MIN_FAILING_ENDPOINTS = 2;
 
-  /** What a healthy zone has: answers of late, at least. */
+  /** A healthy zone has at least this many recent answers. */
   private static final double HEALTHY_MIN_ANSWERS = 2;
 
-  /** Failed fraction of its attempts of late, at most. */
+  /** A healthy zone has at most this fraction of failures among its recent attempts. */
   private static final double HEALTHY_MAX_FAILURE_FRACTION = 0.2;
 
-  /** Failure excess, at most. */
+  /** A healthy zone has at most this failure excess. */
   private static final double HEALTHY_MAX_EXCESS = 1;
 
-  /** Calls without an answer in a row after which the counter counts as unreachable. */
+  /** Consecutive calls without an answer after which the counter is considered unreachable. */
   private static final int MAX_UNANSWERED_CALLS = 3;
 
-  /** Tolerance of a sum of fractions. */
+  /** Tolerance for rounding errors in a sum of fractions. */
   private static final double FRACTION_TOLERANCE = 1e-9;
 
   private static final int NO_ZONE = -1;
@@ -99,7 +108,7 @@
   private final Actions actions;
   private final SplittableRandom random;
   private final long startedNanos;
-  private final Map<Integer, ZoneStateMachine> machines = new HashMap<>();
+  private final Map<Integer, ZoneStateMachine> machinesByZone = new HashMap<>();
   private Map<Integer, ZoneHealth> healthByZone = Map.of();
   private int unansweredCalls;
   private long voteCalls;
@@ -109,9 +118,9 @@
   private boolean voting = true;
 
   /**
-   * Begins with all zones in use.
+   * Creates an instance with all zones in use.
    *
-   * @param seed of the only source of randomness
+   * @param seed seed of the only source of randomness
    */
   public ZoneConsensus(
       FleetSettings fleet, ZoneVoteTransport transport, long seed, long nowNanos, Actions actions) {
@@ -123,10 +132,10 @@
   }
 
   /**
-   * Goes on; to be called some ten times a second.
+   * Updates the state of all zones; must be called about ten times a second.
    *
    * @param zones health of all zones that have endpoints in the list
-   * @param discoveryCurrent whether discovery answers, so that a restarted endpoint would be known
+   * @param discoveryCurrent whether discovery responds, so that restarted endpoints are known
    */
   public void tick(long nowNanos, List<ZoneHealth> zones, boolean discoveryCurrent) {
     this.discoveryCurrent = discoveryCurrent;
@@ -142,17 +151,17 @@
   }
 
   /**
-   * If ejecting all failing zones would leave too few endpoints, none is ejected: that much failing
-   * at once is less likely than wrong evidence.
+   * Removes the zones that are not yet ejected from {@code failing} if ejecting all of them would
+   * exceed the limit. Wrong evidence is more likely than so many failures at once.
    */
   private void blockExcessiveEjections(Set<Integer> failing) {
     double ejected = ejectedFraction(NO_ZONE);
-    double further =
+    double additional =
         failing.stream()
             .filter(zone -> !machine(zone).isEjected())
             .mapToDouble(zone -> healthByZone.get(zone).endpointFraction())
             .sum();
-    boolean blocked = further > 0 && !withinLimit(ejected + further);
+    boolean blocked = additional > 0 && !withinLimit(ejected + additional);
     if (blocked) {
       failing.removeIf(zone -> !machine(zone).isEjected());
     }
@@ -168,20 +177,24 @@
   private boolean isFailing(ZoneHealth health) {
     double requiredExcess =
         fleet.nodeCount() < LARGE_FLEET_NODES ? FAILING_EXCESS : FAILING_EXCESS_IN_LARGE_FLEET;
-    boolean mostFail =
+    boolean majorityFails =
         health.failureExcess() >= requiredExcess
             && health.failingEndpoints()
                 >= Math.min(MIN_FAILING_ENDPOINTS, health.listedEndpoints())
             && 2 * health.failingEndpoints() >= health.observedEndpoints();
-    // A node avoids each unresponsive endpoint at once: it will see no more than that all are.
-    boolean noneResponds =
+    // A node stops using an unresponsive endpoint at once. When all of them are unresponsive, it
+    // gets no additional evidence, so less is required.
+    boolean noneRespond =
         health.listedEndpoints() > 1
             && health.unresponsiveEndpoints() == health.listedEndpoints()
             && health.failureExcess() >= UNRESPONSIVE_EXCESS;
-    return (mostFail || noneResponds) && hasHealthyPeer(health);
+    return (majorityFails || noneRespond) && hasHealthyPeer(health);
   }
 
-  /** Without one, this node may be cut off itself, or all zones overloaded. */
+  /**
+   * Whether another zone is healthy. If none is, the cause may be this node's own network or an
+   * overload of all zones.
+   */
   private boolean hasHealthyPeer(ZoneHealth health) {
     return healthByZone.values().stream()
         .anyMatch(other -> other.zone() != health.zone() && isHealthy(other));
@@ -194,10 +207,10 @@
         && health.failureExcess() <= HEALTHY_MAX_EXCESS;
   }
 
-  /** Fraction of the listed endpoints in ejected zones, without one zone. */
-  private double ejectedFraction(int withoutZone) {
+  /** Fraction of the listed endpoints that are in ejected zones, not counting one zone. */
+  private double ejectedFraction(int excludedZone) {
     return healthByZone.values().stream()
-        .filter(health -> health.zone() != withoutZone && machine(health.zone()).isEjected())
+        .filter(health -> health.zone() != excludedZone && machine(health.zone()).isEjected())
         .mapToDouble(ZoneHealth::endpointFraction)
         .sum();
   }
@@ -206,21 +219,21 @@
     return ejectedFraction <= fleet.settings().maxEjectedFraction() + FRACTION_TOLERANCE;
   }
 
-  /** Whether a zone may be ejected beside those that are. */
+  /** Whether a zone may be ejected in addition to those that already are. */
   boolean mayEject(int zone) {
     ZoneHealth health = healthByZone.get(zone);
     return health != null && withinLimit(ejectedFraction(zone) + health.endpointFraction());
   }
 
   private ZoneStateMachine machine(int zone) {
-    return machines.computeIfAbsent(
+    return machinesByZone.computeIfAbsent(
         zone, any -> new ZoneStateMachine(zone, this, fleet, actions, random.split()));
   }
 
   /**
-   * The transport reported how many nodes cast a vote.
+   * Handles the number of votes that the transport reported.
    *
-   * @param count a whole number; one above the number of nodes is ignored
+   * @param count an integral number; ignored if it exceeds the number of nodes
    */
   public void votesCounted(long nowNanos, ZoneVote vote, double count) {
     unansweredCalls = 0;
@@ -238,42 +251,46 @@
     }
   }
 
-  /** A call of the transport ended without an answer. */
+  /** Handles a call of the transport that ended without an answer. */
   public void voteUnanswered() {
     unansweredCalls++;
   }
 
-  /** Whether this node decides without the others, by its settings or as it cannot reach them. */
+  /**
+   * Whether this node decides without the others, because of its settings or because the counter is
+   * unreachable.
+   */
   boolean decidesLocally() {
-    return isAlone() || unansweredCalls >= MAX_UNANSWERED_CALLS;
+    return isLocalMode() || unansweredCalls >= MAX_UNANSWERED_CALLS;
   }
 
-  private boolean isAlone() {
+  private boolean isLocalMode() {
     return fleet.settings().decisionMode() == ZoneEjectionSettings.DecisionMode.ALONE;
   }
 
   /**
-   * Asks for the votes on a question, and votes if this node has not in this window. It casts no
-   * vote in a window that began before this process: another one may have voted for the node.
+   * Requests the number of votes on a question. Also casts this node's vote if it agrees and has
+   * not voted in the current window. A process does not vote in a window that began before its
+   * start, since its predecessor may have voted for the node.
    *
-   * @param castsVote whether the question is true for this node
-   * @param votedWindow window of its last vote on this question
-   * @return the window of its last vote now
+   * @param agrees whether this node's evidence supports the question
+   * @param votedWindow window of this node's last vote on the question
+   * @return window of this node's last vote after this call
    */
-  long ask(
-      long nowNanos, int zone, ZoneVote.Question question, boolean castsVote, long votedWindow) {
-    if (isAlone()) {
+  long requestVotes(
+      long nowNanos, int zone, ZoneVote.Question question, boolean agrees, long votedWindow) {
+    if (isLocalMode()) {
       return votedWindow;
     }
     long window = window(nowNanos);
-    boolean votes =
-        castsVote && voting && votedWindow != window && window * VOTE_WINDOW_NANOS >= startedNanos;
+    boolean castsVote =
+        agrees && voting && votedWindow != window && window * VOTE_WINDOW_NANOS >= startedNanos;
     voteCalls++;
-    transport.cast(nowNanos, new ZoneVote(zone, question, window), votes);
-    return votes ? window : votedWindow;
+    transport.requestVoteCount(nowNanos, new ZoneVote(zone, question, window), castsVote);
+    return castsVote ? window : votedWindow;
   }
 
-  /** How long the traffic of a zone grows on its return. */
+  /** Duration of the ramp of a zone that returns now, in nanoseconds. */
   long returnRampNanos(int zone) {
     ZoneHealth health = healthByZone.get(zone);
     boolean noneInSlowStart =
@@ -286,9 +303,10 @@
     return Math.floorDiv(nowNanos, VOTE_WINDOW_NANOS);
   }
 
-  /** Mean time between two calls of this node about a zone. */
-  long askIntervalNanos() {
-    return Math.max(MIN_ASK_INTERVAL_NANOS, fleet.nodeCount() * ASK_INTERVAL_PER_NODE_NANOS);
+  /** Mean time between two vote requests of this node about a zone, in nanoseconds. */
+  long voteRequestIntervalNanos() {
+    return Math.max(
+        MIN_VOTE_REQUEST_INTERVAL_NANOS, fleet.nodeCount() * VOTE_REQUEST_INTERVAL_PER_NODE_NANOS);
   }
 
   /** Sends a half-open attempt to an ejected zone. */
@@ -297,28 +315,28 @@
     actions.probe(zone);
   }
 
-  /** This node ends, or another process takes over: it casts no votes any more. */
+  /** Stops casting votes, since this process ends or another one takes over the node. */
   public void stopVoting() {
     voting = false;
   }
 
-  /** State of a zone. */
+  /** Ejection state of a zone as this node sees it. */
   public ZoneEjectionState state(int zone) {
     return machine(zone).state();
   }
 
-  /** Calls of the transport since the start. */
+  /** Number of calls of the transport since the start. */
   public long voteCalls() {
     return voteCalls;
   }
 
-  /** Half-open attempts since the start. */
+  /** Number of half-open attempts requested since the start. */
   public long probes() {
     return probes;
   }
 
-  /** Number of zones that are ejected, leaving or returning. */
+  /** Number of zones whose traffic is reduced: being ejected, ejected or returning. */
   public long ejectedZones() {
-    return machines.values().stream().filter(ZoneStateMachine::isEjected).count();
+    return machinesByZone.values().stream().filter(ZoneStateMachine::isEjected).count();
   }
 }
--- a/edge/src/main/java/edgegateway/node/zones/ZoneEjectionController.java
+++ b/edge/src/main/java/edgegateway/node/zones/ZoneEjectionController.java
@@ -9,19 +9,23 @@
 import java.util.List;
 
 /**
- * Connects the fleet's decisions on zones with a node's policy and with the shared quota counter.
- * Its host calls it as it calls the policy: on one thread, with the same clock.
+ * Connects {@link ZoneConsensus} to a node's policy and to the shared quota counter. Must be called
+ * on the policy's thread and with the policy's clock.
  */
 public final class ZoneEjectionController implements ZoneConsensus.Actions {
-  /** How often {@link #tick} is to be called, nanoseconds. */
+  /** Interval at which {@link #tick} must be called, in nanoseconds. */
   public static final long TICK_INTERVAL_NANOS = 100_000_000L;
 
-  /** A returning zone gets at most this fraction of what overloads an endpoint in slow start. */
+  /** Traffic of a returning zone, at most, as a fraction of what overloads its endpoints. */
   private static final double OVERLOAD_MARGIN = 0.8;
 
-  /** Twice the time within which discovery reports a restart: the ramp where it reported none. */
-  private static final long RAMP_NANOS = 2_000_000_000L;
+  /**
+   * Duration of the ramp if discovery reported no restarted endpoint: twice the time within which
+   * it reports one.
+   */
+  private static final long RETURN_RAMP_NANOS = 2_000_000_000L;
 
+  /** Avoids a division by zero. */
   private static final double MIN_DIVISOR = 1e-9;
 
   private final GatewayPolicy policy;
@@ -29,12 +33,12 @@
   private final CounterVoteTransport transport;
   private final ZoneConsensus consensus;
 
-  /** Time of the present event. */
+  /** Time of the current event. */
   private long nowNanos;
 
   /**
-   * A controller that begins with all zones in use. Without a shared counter each node decides by
-   * itself, whatever {@code ejection} says.
+   * Creates a controller with all zones in use. Without a shared counter each node decides for
+   * itself, regardless of the decision mode in {@code ejection}.
    *
    * @param zoneNames names of the zones by index
    */
@@ -51,12 +55,13 @@
     transport =
         new CounterVoteTransport(host::addToCounter, zoneNames, ZoneConsensus.VOTE_WINDOW_NANOS);
     consensus =
-        new ZoneConsensus(fleet(ejection, settings, zoneNames), transport, seed, nowNanos, this);
+        new ZoneConsensus(
+            fleetSettings(ejection, settings, zoneNames), transport, seed, nowNanos, this);
   }
 
-  private static ZoneConsensus.FleetSettings fleet(
+  private static ZoneConsensus.FleetSettings fleetSettings(
       ZoneEjectionSettings ejection, PolicySettings settings, List<String> zoneNames) {
-    ZoneEjectionSettings possible =
+    ZoneEjectionSettings effective =
         settings.counter().configured()
             ? ejection
             : new ZoneEjectionSettings(
@@ -64,43 +69,49 @@
                 ejection.maxEjectedFraction(),
                 ejection.localDecisionAfterNanos());
     return new ZoneConsensus.FleetSettings(
-        possible,
+        effective,
         settings.nodeIndex(),
         Math.max(1, settings.nodeCount()),
         zoneNames,
         Math.min(1, settings.rules().slowStartInitialFraction()),
-        RAMP_NANOS,
-        Math.max(RAMP_NANOS, slowStartRampNanos(settings.rules())));
+        RETURN_RAMP_NANOS,
+        Math.max(RETURN_RAMP_NANOS, slowStartRampNanos(settings.rules())));
   }
 
   /**
-   * Shortest ramp on which a zone's traffic stays below {@link #OVERLOAD_MARGIN} of what overloads
-   * its endpoints, though all of them restarted when it began and nobody knows.
+   * Returns the shortest ramp, in nanoseconds, on which a zone's traffic stays below {@link
+   * #OVERLOAD_MARGIN} of what overloads its endpoints, even if all of them restarted at the start
+   * of the ramp and no node knows that.
    */
   static long slowStartRampNanos(PlatformRules rules) {
-    double initial = rules.slowStartInitialFraction();
-    double overload = 1 / (OVERLOAD_MARGIN * Math.max(1, rules.overloadFactor()));
-    double rampFraction = (overload - initial) / Math.max(MIN_DIVISOR, 1 - initial);
-    double bounded = Math.max(0, Math.min(1, rampFraction));
-    return Math.max(1, (long) (rules.slowStartNanos() * bounded));
+    double initialCapacity = rules.slowStartInitialFraction();
+    double requiredCapacity = 1 / (OVERLOAD_MARGIN * Math.max(1, rules.overloadFactor()));
+    double slowStartFraction =
+        (requiredCapacity - initialCapacity) / Math.max(MIN_DIVISOR, 1 - initialCapacity);
+    double boundedFraction = Math.max(0, Math.min(1, slowStartFraction));
+    return Math.max(1, (long) (rules.slowStartNanos() * boundedFraction));
   }
 
   /**
-   * Goes on; to be called every {@link #TICK_INTERVAL_NANOS}.
+   * Updates the state of all zones; must be called every {@link #TICK_INTERVAL_NANOS}.
    *
-   * @param discoveryCurrent whether discovery answers
+   * @param discoveryCurrent whether the endpoint list is up to date
    */
   public void tick(long nowNanos, boolean discoveryCurrent) {
     this.nowNanos = nowNanos;
     consensus.tick(nowNanos, policy.zoneHealth(nowNanos), discoveryCurrent);
   }
 
-  /** Whether a call to the counter with this key was made here, and not by the policy. */
+  /** Whether a counter key belongs to a vote on a zone and not to the policy's quotas. */
   public static boolean ownsCounterKey(long key) {
     return CounterVoteTransport.ownsKey(key);
   }
 
-  /** A call to the counter with a key that {@link #ownsCounterKey} ended. */
+  /**
+   * Handles the end of a counter call whose key {@link #ownsCounterKey} accepts.
+   *
+   * @param total new total of the key; used only if the outcome is {@link Outcome#OK}
+   */
   public void counterReplied(long nowNanos, long key, Outcome outcome, double total) {
     this.nowNanos = nowNanos;
     ZoneVote vote = transport.callEnded(key);
@@ -111,7 +122,7 @@
     }
   }
 
-  /** The decisions, for operators, and for the end of this process. */
+  /** The state of the zones, for reports to operators and to stop voting at shutdown. */
   public ZoneConsensus consensus() {
     return consensus;
   }
--- a/edge/src/main/java/edgegateway/node/zones/ZoneEjectionState.java
+++ b/edge/src/main/java/edgegateway/node/zones/ZoneEjectionState.java
@@ -1,36 +1,39 @@
 package edgegateway.node.zones;
 
 /**
- * State of a zone in the fleet's ejection, as one node sees it.
+ * Ejection state of a zone as one node sees it.
  *
- * @param decidedBy who decided on it
- * @param votes how many nodes voted for it when it was decided, as far as this node knows
- * @param sinceNanos when it began, on the policy's clock; 0 if it never changed
- * @param relapses how often the zone was ejected again soon after its return
+ * @param decidedBy who made the decision that led to this state
+ * @param votes number of votes known to this node when the decision was made; 1 for its own
+ *     decision
+ * @param sinceNanos when the state began, in nanoseconds of the policy's clock; 0 if it never
+ *     changed. For {@link State#OUT} after {@link State#LEAVING}, when LEAVING began
+ * @param relapses number of consecutive times that the zone was ejected again during or soon after
+ *     its return
  */
 public record ZoneEjectionState(
     State state, DecidedBy decidedBy, int votes, long sinceNanos, int relapses) {
-  /** The states. Operators read the names. */
+  /** The states. Their names are part of the operators' interface. */
   public enum State {
-    /** In full use. */
+    /** In full use and not suspected. */
     IN,
-    /** In use; this node suspects it and asks for the others' votes. */
+    /** In full use, but this node finds it failing and requests the votes of the others. */
     SUSPECT,
-    /** Its traffic falls to nothing. */
+    /** Being ejected: its traffic ramps down to zero. */
     LEAVING,
-    /** Ejected: it gets half-open attempts only. */
+    /** Ejected: receives only half-open attempts. */
     OUT,
-    /** Its traffic grows. */
+    /** Being readmitted: its traffic ramps up. */
     RETURNING
   }
 
-  /** Who decided. Operators read the names. */
+  /** Who decided. The names are part of the operators' interface. */
   public enum DecidedBy {
-    /** Nobody. */
+    /** No decision was needed. */
     NONE,
-    /** A quorum of the fleet. */
+    /** A quorum of the nodes. */
     FLEET,
-    /** This node by itself. */
+    /** This node without the others. */
     ALONE
   }
 }
--- a/edge/src/main/java/edgegateway/node/zones/ZoneStateMachine.java
+++ b/edge/src/main/java/edgegateway/node/zones/ZoneStateMachine.java
@@ -9,53 +9,54 @@
 import java.util.SplittableRandom;
 
 /**
- * Ejection and return of one zone, as one node sees it: in use, suspected, traffic ramping down,
- * ejected, traffic ramping up, in use.
+ * Ejection and return of one zone as one node sees it. The states follow one another in the order
+ * of {@link State}; a returning zone is in use again or, if it fails, ejected again.
  */
 final class ZoneStateMachine {
   private static final long NEVER = Long.MIN_VALUE;
 
-  /** How long a suspicion outlives its evidence: a node that avoids the zone sees no more of it. */
+  /** How long a suspicion lasts without new evidence. Nodes send less to failing endpoints. */
   private static final long SUSPICION_HOLD_NANOS = 4_000_000_000L;
 
-  /** A longer gap in the evidence restarts a suspicion. */
+  /** After a longer gap in the evidence, the suspicion starts again. */
   private static final long MAX_SUSPICION_GAP_NANOS = 1_000_000_000L;
 
-  /** Failure excess from which a node asks for votes without casting one. */
-  private static final double ASK_FAILURE_EXCESS = 1.5;
+  /** Failure excess from which a node requests the vote count without casting a vote. */
+  private static final double VOTE_REQUEST_FAILURE_EXCESS = 1.5;
 
-  /** New traffic falls to nothing over this time. */
-  private static final long LEAVE_RAMP_NANOS = 500_000_000L;
+  /** Time over which the traffic of an ejected zone ramps down to zero. */
+  private static final long EJECTION_RAMP_NANOS = 500_000_000L;
 
-  /** Shortest ejection; twice as long after each relapse. */
-  private static final long MIN_EJECTION_NANOS = 1_000_000_000L;
+  /** Mean time from an ejection to the first half-open attempt; doubles with each relapse. */
+  private static final long BASE_EJECTION_NANOS = 1_000_000_000L;
 
   private static final int MAX_EJECTION_DOUBLINGS = 5;
 
-  /** The shortest ejection is spread from this part of it to this part plus a half. */
-  private static final double MIN_EJECTION_SPREAD = 0.75;
+  /** The time of an ejection is multiplied by a random factor from this to this plus 0.5. */
+  private static final double MIN_EJECTION_JITTER = 0.75;
 
-  private static final long SPREAD_SEED_MULTIPLIER = 31;
+  private static final long SEED_MULTIPLIER = 31;
 
-  /** An ejection so soon after a return is a relapse. */
+  /** An ejection within this time after the end of a return is a relapse. */
   private static final long RELAPSE_WINDOW_NANOS = 60_000_000_000L;
 
-  /** Failures since the return from which a relapse is considered. */
-  private static final int RELAPSE_FAILURES = 3;
+  /** Failures since the start of a return from which a relapse is possible. */
+  private static final int MIN_RELAPSE_FAILURES = 3;
 
-  /** Nodes that probe an ejected zone in a window. */
-  private static final int PROBING_NODES = 6;
+  /** Number of nodes that probe an ejected zone in a voting window. */
+  private static final int PROBING_NODES_PER_WINDOW = 6;
 
-  /** Votes that bring a zone back, or a majority where that is less. */
+  /** Votes required to readmit a zone; a majority if that is less. */
   private static final int RETURN_VOTES = 3;
 
-  /** Answers that a node needs to its half-open attempts, and if it decides by itself. */
+  /** Successful half-open attempts that a node needs to vote for a zone's return. */
   private static final int REQUIRED_ANSWERS = 1;
 
+  /** Successful half-open attempts that a node needs to readmit a zone on its own. */
   private static final int REQUIRED_ANSWERS_LOCAL = 3;
 
-  /** Calls about votes are spread from a half to one and a half of their interval. */
-  private static final double ASK_SPREAD_START = 0.5;
+  /** The vote request interval is multiplied by a random factor from this to this plus 1. */
+  private static final double MIN_VOTE_REQUEST_JITTER = 0.5;
 
   private final int zone;
   private final ZoneConsensus consensus;
@@ -72,20 +73,27 @@
 
   private long lastSuspectedNanos = NEVER;
   private long suspectedSinceNanos;
-  private long nextAskNanos;
+  private long nextVoteRequestNanos;
 
-  /** Window of this node's last vote on each question. */
+  /** Window of this node's last vote on each question, by ordinal. */
   private final long[] votedWindows = {NEVER, NEVER};
 
+  /** No half-open attempts are sent before this time. */
   private long ejectedUntilNanos;
+
+  /** Start of the current return or end of the last one. */
   private long returnedNanos = NEVER;
+
+  /** Last voting window in which this node's half-open attempts succeeded. */
   private long healthyWindow = NEVER;
+
   private long returnRampNanos;
 
-  /** Totals of the zone when it began to return; attempts are NEVER until the next tick. */
-  private long attemptsBefore;
+  /** Total attempts of the zone at the start of its return; NEVER until the first tick of it. */
+  private long attemptsAtReturn;
 
-  private long failuresBefore;
+  /** Total failures of the zone at the start of its return. */
+  private long failuresAtReturn;
 
   ZoneStateMachine(
       int zone,
@@ -106,60 +114,62 @@
     return state == State.LEAVING || state == State.OUT || state == State.RETURNING;
   }
 
-  /** The state for operators. */
+  /** Returns the current state for reports to operators. */
   ZoneEjectionState state() {
     return new ZoneEjectionState(state, decidedBy, votes, sinceNanos, relapses);
   }
 
   /**
-   * Goes on to the next state if it is time.
+   * Updates the state.
    *
    * @param failing whether this node finds the zone failing
-   * @param comparable whether some other zone is healthy
+   * @param hasHealthyPeer whether another zone is healthy
    */
-  void tick(long nowNanos, ZoneHealth health, boolean failing, boolean comparable) {
+  void tick(long nowNanos, ZoneHealth health, boolean failing, boolean hasHealthyPeer) {
     switch (state) {
-      case IN, SUSPECT -> watch(nowNanos, health, failing, comparable);
-      case LEAVING -> leave(nowNanos);
-      case OUT -> probe(nowNanos, health);
+      case IN, SUSPECT -> watchUsedZone(nowNanos, health, failing, hasHealthyPeer);
+      case LEAVING -> rampDown(nowNanos);
+      case OUT -> probeEjectedZone(nowNanos, health);
       case RETURNING -> advanceReturn(nowNanos, health, failing);
     }
   }
 
-  private void watch(long nowNanos, ZoneHealth health, boolean failing, boolean comparable) {
+  private void watchUsedZone(
+      long nowNanos, ZoneHealth health, boolean failing, boolean hasHealthyPeer) {
     if (failing) {
       suspect(nowNanos);
     } else if (state == State.SUSPECT
-        && (nowNanos - lastSuspectedNanos > SUSPICION_HOLD_NANOS || !comparable)) {
-      enter(nowNanos, State.IN, DecidedBy.NONE, 0);
-      actions.log("zone_suspicion_cleared zone=" + name());
+        && (nowNanos - lastSuspectedNanos > SUSPICION_HOLD_NANOS || !hasHealthyPeer)) {
+      enterState(nowNanos, State.IN, DecidedBy.NONE, 0);
+      actions.log("zone_suspicion_cleared zone=" + zoneName());
     }
-    if (state == State.SUSPECT || health.failureExcess() >= ASK_FAILURE_EXCESS && comparable) {
-      ask(nowNanos, Question.FAILING, state == State.SUSPECT);
+    if (state == State.SUSPECT
+        || health.failureExcess() >= VOTE_REQUEST_FAILURE_EXCESS && hasHealthyPeer) {
+      requestVotes(nowNanos, Question.FAILING, state == State.SUSPECT);
     }
-    long silentNanos = nowNanos - Math.max(suspectedSinceNanos, health.lastAnswerNanos());
+    long unresponsiveNanos = nowNanos - Math.max(suspectedSinceNanos, health.lastAnswerNanos());
     if (failing
-        && silentNanos >= fleet.settings().localDecisionAfterNanos()
+        && unresponsiveNanos >= fleet.settings().localDecisionAfterNanos()
         && consensus.mayEject(zone)) {
       eject(nowNanos, DecidedBy.ALONE, 1);
     }
   }
 
   private void suspect(long nowNanos) {
-    boolean anew =
+    boolean isNewSuspicion =
         lastSuspectedNanos == NEVER || nowNanos - lastSuspectedNanos > MAX_SUSPICION_GAP_NANOS;
-    suspectedSinceNanos = anew ? nowNanos : suspectedSinceNanos;
+    suspectedSinceNanos = isNewSuspicion ? nowNanos : suspectedSinceNanos;
     lastSuspectedNanos = nowNanos;
     if (state == State.IN) {
-      enter(nowNanos, State.SUSPECT, DecidedBy.NONE, 0);
-      // Spread over time: all nodes at once would find the counter's queue full.
-      nextAskNanos = nowNanos + random.nextLong(consensus.askIntervalNanos());
+      enterState(nowNanos, State.SUSPECT, DecidedBy.NONE, 0);
+      // A random delay: calls of all nodes at once would overflow the counter's queue.
+      nextVoteRequestNanos = nowNanos + random.nextLong(consensus.voteRequestIntervalNanos());
     }
   }
 
-  private void leave(long nowNanos) {
-    confirm(nowNanos, Question.FAILING);
-    if (nowNanos - sinceNanos >= LEAVE_RAMP_NANOS) {
+  private void rampDown(long nowNanos) {
+    renewVote(nowNanos, Question.FAILING);
+    if (nowNanos - sinceNanos >= EJECTION_RAMP_NANOS) {
       state = State.OUT;
       actions.setRamp(zone, noTraffic(nowNanos));
     }
@@ -169,26 +179,31 @@
     return new TrafficRamp(0, 0, nowNanos, 1);
   }
 
-  /** Votes once in each window, for nodes that come to the same view later than this one. */
-  private void confirm(long nowNanos, Question question) {
+  /**
+   * Votes once in each window for a decision of the fleet that this node follows, so that nodes
+   * that find the same later get a majority too.
+   */
+  private void renewVote(long nowNanos, Question question) {
     boolean voted = votedWindows[question.ordinal()] == ZoneConsensus.window(nowNanos);
     if (!voted && decidedBy == DecidedBy.FLEET) {
-      ask(nowNanos, question, true);
+      requestVotes(nowNanos, question, true);
     }
   }
 
-  private void ask(long nowNanos, Question question, boolean castsVote) {
-    if (nowNanos >= nextAskNanos) {
-      double spread = ASK_SPREAD_START + random.nextDouble();
-      nextAskNanos = nowNanos + (long) (consensus.askIntervalNanos() * spread);
+  private void requestVotes(long nowNanos, Question question, boolean agrees) {
+    if (nowNanos >= nextVoteRequestNanos) {
+      double jitter = MIN_VOTE_REQUEST_JITTER + random.nextDouble();
+      nextVoteRequestNanos = nowNanos + (long) (consensus.voteRequestIntervalNanos() * jitter);
       votedWindows[question.ordinal()] =
-          consensus.ask(nowNanos, zone, question, castsVote, votedWindows[question.ordinal()]);
+          consensus.requestVotes(
+              nowNanos, zone, question, agrees, votedWindows[question.ordinal()]);
     }
   }
 
-  /** The counter reported how many nodes cast this vote. */
+  /** Handles the number of nodes that cast a vote, as the counter reported it. */
   void votesCounted(long nowNanos, ZoneVote vote, int count) {
-    // Votes from before the zone's return, or its last ejection, are not about its present state.
+    // Votes cast before a return, or before an ejection after a relapse, say nothing about the
+    // zone's current state.
     boolean outdated =
         (state == State.RETURNING || relapses > 0)
             && vote.window() <= ZoneConsensus.window(sinceNanos);
@@ -196,7 +211,7 @@
       return;
     }
     if (vote.question() == Question.FAILING && count >= fleet.majority()) {
-      failingByMajority(nowNanos, count);
+      failingVotedByMajority(nowNanos, count);
     } else if (vote.question() == Question.HEALTHY
         && state == State.OUT
         && decidedBy == DecidedBy.FLEET
@@ -205,7 +220,7 @@
     }
   }
 
-  private void failingByMajority(long nowNanos, int count) {
+  private void failingVotedByMajority(long nowNanos, int count) {
     if (state == State.OUT && decidedBy == DecidedBy.ALONE) {
       decidedBy = DecidedBy.FLEET;
       votes = count;
@@ -214,21 +229,22 @@
     }
   }
 
-  private void eject(long nowNanos, DecidedBy by, int count) {
-    boolean returning = state == State.RETURNING;
+  private void eject(long nowNanos, DecidedBy decider, int voteCount) {
+    boolean wasReturning = state == State.RETURNING;
     boolean relapse =
-        returning || returnedNanos != NEVER && nowNanos - returnedNanos < RELAPSE_WINDOW_NANOS;
+        wasReturning || returnedNanos != NEVER && nowNanos - returnedNanos < RELAPSE_WINDOW_NANOS;
     relapses = relapse ? relapses + 1 : 0;
     ejectedUntilNanos = nowNanos + ejectionNanos();
     probes.reset(nowNanos);
     healthyWindow = NEVER;
     lastSuspectedNanos = NEVER;
-    enter(nowNanos, returning ? State.OUT : State.LEAVING, by, count);
+    enterState(nowNanos, wasReturning ? State.OUT : State.LEAVING, decider, voteCount);
     actions.setRamp(
-        zone, returning ? noTraffic(nowNanos) : new TrafficRamp(1, 0, nowNanos, LEAVE_RAMP_NANOS));
+        zone,
+        wasReturning ? noTraffic(nowNanos) : new TrafficRamp(1, 0, nowNanos, EJECTION_RAMP_NANOS));
     actions.log(
-        (returning ? "zone_return_aborted" : "zone_ejected")
-            + decision(by, count)
+        (wasReturning ? "zone_return_aborted" : "zone_ejected")
+            + decisionFields(decider, voteCount)
             + " nodes="
             + fleet.nodeCount()
             + " relapses="
@@ -236,90 +252,100 @@
   }
 
   /**
-   * Spread by zone and relapse, but the same at all nodes, so that they can find the zone healthy
-   * in the same window.
+   * Returns the time until the first half-open attempt, in nanoseconds. Its jitter depends only on
+   * the zone and the relapses and is the same at all nodes, so that they can find the zone healthy
+   * in the same voting window.
    */
   private long ejectionNanos() {
-    long shortestNanos = MIN_EJECTION_NANOS << Math.min(relapses, MAX_EJECTION_DOUBLINGS);
-    SplittableRandom spread = new SplittableRandom(zone * SPREAD_SEED_MULTIPLIER + relapses);
-    return (long) (shortestNanos * (MIN_EJECTION_SPREAD + spread.nextDouble() / 2));
+    long meanNanos = BASE_EJECTION_NANOS << Math.min(relapses, MAX_EJECTION_DOUBLINGS);
+    SplittableRandom jitter = new SplittableRandom(zone * SEED_MULTIPLIER + relapses);
+    return (long) (meanNanos * (MIN_EJECTION_JITTER + jitter.nextDouble() / 2));
   }
 
-  private void probe(long nowNanos, ZoneHealth health) {
+  private void probeEjectedZone(long nowNanos, ZoneHealth health) {
     if (nowNanos < ejectedUntilNanos) {
-      confirm(nowNanos, Question.FAILING);
+      renewVote(nowNanos, Question.FAILING);
       return;
     }
     long window = ZoneConsensus.window(nowNanos);
-    boolean local = decidedBy == DecidedBy.ALONE || consensus.decidesLocally();
-    int requiredAnswers = local ? REQUIRED_ANSWERS_LOCAL : REQUIRED_ANSWERS;
-    boolean passed =
-        (local || probesIn(window)) && probes.passed(nowNanos, health, requiredAnswers);
-    // A node that found it healthy in an earlier window, and heard of no quorum, decides by itself.
-    boolean foundBefore = healthyWindow != NEVER && healthyWindow != window;
-    if (passed && (local || foundBefore)) {
+    boolean decidesLocally = decidedBy == DecidedBy.ALONE || consensus.decidesLocally();
+    int requiredAnswers = decidesLocally ? REQUIRED_ANSWERS_LOCAL : REQUIRED_ANSWERS;
+    boolean succeeded =
+        (decidesLocally || probesIn(window)) && probes.advance(nowNanos, health, requiredAnswers);
+    // If the zone was healthy in an earlier window and no quorum followed, this node readmits it.
+    boolean healthyInEarlierWindow = healthyWindow != NEVER && healthyWindow != window;
+    if (succeeded && (decidesLocally || healthyInEarlierWindow)) {
       beginReturn(nowNanos, DecidedBy.ALONE, 1);
-    } else if (!local) {
-      if (passed && healthyWindow != window) {
+    } else if (!decidesLocally) {
+      if (succeeded && healthyWindow != window) {
         healthyWindow = window;
-        nextAskNanos = nowNanos;
+        nextVoteRequestNanos = nowNanos;
       }
-      ask(nowNanos, Question.HEALTHY, passed);
+      requestVotes(nowNanos, Question.HEALTHY, succeeded);
     }
   }
 
-  /** Whether this node probes in a window: others each time, so that no path or node decides. */
+  /**
+   * Whether this node probes in a voting window. The probing nodes change with each window, so that
+   * no single node or network path decides.
+   */
   private boolean probesIn(long window) {
-    long seed = window * SPREAD_SEED_MULTIPLIER + zone;
-    long first = new SplittableRandom(seed).nextLong(fleet.nodeCount());
-    return Math.floorMod(fleet.nodeIndex() - first, fleet.nodeCount()) < PROBING_NODES;
+    long seed = window * SEED_MULTIPLIER + zone;
+    long firstNode = new SplittableRandom(seed).nextLong(fleet.nodeCount());
+    return Math.floorMod(fleet.nodeIndex() - firstNode, fleet.nodeCount())
+        < PROBING_NODES_PER_WINDOW;
   }
 
-  private void beginReturn(long nowNanos, DecidedBy by, int count) {
-    enter(nowNanos, State.RETURNING, by, count);
+  private void beginReturn(long nowNanos, DecidedBy decider, int voteCount) {
+    enterState(nowNanos, State.RETURNING, decider, voteCount);
     returnedNanos = nowNanos;
-    attemptsBefore = NEVER;
+    attemptsAtReturn = NEVER;
     returnRampNanos = consensus.returnRampNanos(zone);
     actions.setRamp(zone, new TrafficRamp(fleet.initialFraction(), 1, nowNanos, returnRampNanos));
-    actions.log("zone_returning" + decision(by, count));
+    actions.log("zone_returning" + decisionFields(decider, voteCount));
   }
 
   private void advanceReturn(long nowNanos, ZoneHealth health, boolean failing) {
-    if (attemptsBefore == NEVER) {
-      attemptsBefore = health.totalAttempts();
-      failuresBefore = health.totalFailures();
+    if (attemptsAtReturn == NEVER) {
+      attemptsAtReturn = health.totalAttempts();
+      failuresAtReturn = health.totalFailures();
     }
-    long attempts = health.totalAttempts() - attemptsBefore;
-    long failures = health.totalFailures() - failuresBefore;
-    boolean relapse = failing && failures >= RELAPSE_FAILURES && 2 * failures >= attempts;
+    long attempts = health.totalAttempts() - attemptsAtReturn;
+    long failures = health.totalFailures() - failuresAtReturn;
+    boolean relapse = failing && failures >= MIN_RELAPSE_FAILURES && 2 * failures >= attempts;
     if (relapse) {
-      nextAskNanos = nowNanos;
-      ask(nowNanos, Question.FAILING, true);
+      nextVoteRequestNanos = nowNanos;
+      requestVotes(nowNanos, Question.FAILING, true);
       eject(nowNanos, decidedBy, 1);
     } else if (nowNanos - sinceNanos >= returnRampNanos) {
       returnedNanos = nowNanos;
-      enter(nowNanos, State.IN, DecidedBy.NONE, 0);
+      enterState(nowNanos, State.IN, DecidedBy.NONE, 0);
       actions.setRamp(zone, null);
-      actions.log("zone_returned zone=" + name());
+      actions.log("zone_returned zone=" + zoneName());
     } else if (failures > 0) {
-      ask(nowNanos, Question.FAILING, false);
+      requestVotes(nowNanos, Question.FAILING, false);
     } else {
-      confirm(nowNanos, Question.HEALTHY);
+      renewVote(nowNanos, Question.HEALTHY);
     }
   }
 
-  private void enter(long nowNanos, State next, DecidedBy by, int count) {
+  private void enterState(long nowNanos, State next, DecidedBy decider, int voteCount) {
     state = next;
-    decidedBy = by;
-    votes = count;
+    decidedBy = decider;
+    votes = voteCount;
     sinceNanos = nowNanos;
   }
 
-  private String decision(DecidedBy by, int count) {
-    return " zone=" + name() + " by=" + by.name().toLowerCase(Locale.ROOT) + " votes=" + count;
+  private String decisionFields(DecidedBy decider, int voteCount) {
+    return " zone="
+        + zoneName()
+        + " by="
+        + decider.name().toLowerCase(Locale.ROOT)
+        + " votes="
+        + voteCount;
   }
 
-  private String name() {
+  private String zoneName() {
     return fleet.zoneNames().get(zone);
   }
 }
--- a/edge/src/main/java/edgegateway/node/zones/ZoneVoteTransport.java
+++ b/edge/src/main/java/edgegateway/node/zones/ZoneVoteTransport.java
@@ -1,13 +1,13 @@
 package edgegateway.node.zones;
 
-/** Carries votes between the nodes. A call may be lost, but must never count twice. */
+/** Counts the nodes' votes. A call may be lost, but a vote must never count twice. */
 public interface ZoneVoteTransport {
   /**
-   * Asks how many nodes have voted. The count, which includes a vote cast by this call, comes later
-   * by {@link ZoneConsensus#votesCounted}; {@link ZoneConsensus#voteUnanswered} says that it does
-   * not.
+   * Requests the number of votes, including one that this call casts. The result arrives
+   * asynchronously as {@link ZoneConsensus#votesCounted}, or as {@link
+   * ZoneConsensus#voteUnanswered} if the call failed.
    *
-   * @param castsVote whether this node votes first
+   * @param castsVote whether this call also casts the vote of this node
    */
-  void cast(long nowNanos, ZoneVote vote, boolean castsVote);
+  void requestVoteCount(long nowNanos, ZoneVote vote, boolean castsVote);
 }
--- a/edge/src/main/java/edgegateway/node/zones/package-info.java
+++ b/edge/src/main/java/edgegateway/node/zones/package-info.java
@@ -1,2 +1,2 @@
-/** Ejection of zones by the fleet: evidence, votes, decisions and ramps. */
+/** Ejection and readmission of zones: health evidence, votes, decisions and traffic ramps. */
 package edgegateway.node.zones;
--- a/edge/src/test/java/edgegateway/node/zones/FakeZoneFleet.java
+++ b/edge/src/test/java/edgegateway/node/zones/FakeZoneFleet.java
@@ -64,13 +64,13 @@
       consensus =
           new ZoneConsensus(
               new ZoneConsensus.FleetSettings(settings, index, size, ZONES, BEGIN, RAMP, 2 * RAMP),
-              this::cast,
+              this::requestVoteCount,
               nodeRandom.nextLong(),
               now + clockOffsetNanos,
               this);
     }
 
-    private void cast(long at, ZoneVote vote, boolean castsVote) {
+    private void requestVoteCount(long at, ZoneVote vote, boolean castsVote) {
       voteCalls++;
       long asked = now;
       ZoneConsensus of = consensus;
--- a/edge/src/test/java/edgegateway/node/zones/HalfOpenProbesTest.java
+++ b/edge/src/test/java/edgegateway/node/zones/HalfOpenProbesTest.java
@@ -18,7 +18,7 @@
 
   private boolean passed(int requiredAnswers) {
     int attempts = answered + failed;
-    return probes.passed(
+    return probes.advance(
         now, new ZoneHealth(0, 0, 0, 0, 4, 4, 0, 0, 0, 0.3, attempts, failed, 0), requiredAnswers);
   }
 
