--- a/edge/src/main/java/edgegateway/node/operators/EjectionFile.java
+++ b/edge/src/main/java/edgegateway/node/operators/EjectionFile.java
@@ -16,44 +16,46 @@
 import java.util.TreeSet;
 
 /**
- * A file that keeps, over an upgrade, which endpoints or which zones operators ejected: a JSON
- * array of their names. Processes of two versions share it, so its form stays as it is. Not
- * thread-safe.
+ * A file that preserves operators' ejections across an upgrade: a JSON array with the names of the
+ * ejected endpoints or zones. Processes of two versions share the file, so its format must not
+ * change. Not thread-safe.
  */
 public final class EjectionFile {
   private static final EventLog LOG = EventLog.console();
-  private static final String SUFFIX = ".json";
+  private static final String EXTENSION = ".json";
 
-  /** Null where nothing outlives the process. */
+  /** Null if there is no shared folder; then nothing is preserved. */
   private final Path file;
 
-  /** When the file was written that was read or written here last; null if none was. */
-  private FileTime lastSeen;
+  /** Modification time at the last read or write by this process; null before the first. */
+  private FileTime lastSeenModified;
 
   /**
-   * Reads and writes nothing yet.
+   * Creates an instance without accessing the file.
    *
-   * @param folder null where nothing outlives the process
-   * @param name the file's name without its ending
+   * @param folder the shared folder; null if there is none, so that nothing is preserved
+   * @param name file name without the extension
    */
   public EjectionFile(Path folder, String name) {
-    file = folder == null ? null : folder.resolve(name + SUFFIX);
+    file = folder == null ? null : folder.resolve(name + EXTENSION);
   }
 
   /**
-   * The names on file if another process wrote it since it was last read or written here; else
-   * null. A file that cannot be read is logged and ignored until it is written again.
+   * Reads the file if it changed since this process last read or wrote it. A file that cannot be
+   * read is logged and ignored until it changes again.
+   *
+   * @return the names in the file; null if it is unchanged, missing or invalid
    */
   public Set<String> readIfChanged() {
     try {
       if (file == null || !Files.exists(file)) {
         return null;
       }
-      FileTime written = Files.getLastModifiedTime(file);
-      if (written.equals(lastSeen)) {
+      FileTime modified = Files.getLastModifiedTime(file);
+      if (modified.equals(lastSeenModified)) {
         return null;
       }
-      lastSeen = written;
+      lastSeenModified = modified;
       return parse(Files.readString(file));
     } catch (IOException | RuntimeException e) {
       LOG.warn("ejection_file_ignored", field("file", file), field("error", e));
@@ -64,7 +66,7 @@
   private static Set<String> parse(String text) throws IOException {
     JsonNode list = Json.read(text);
     if (!list.isArray()) {
-      throw new IOException("not a list");
+      throw new IOException("ejection file is not a JSON array");
     }
     Set<String> names = new TreeSet<>();
     for (JsonNode name : list) {
@@ -73,12 +75,12 @@
     return names;
   }
 
-  /** On return the names are on file, whole; does nothing where nothing outlives the process. */
+  /** Replaces the file atomically. Does nothing if there is no shared folder. */
   public void write(Set<String> names) throws IOException {
     if (file == null) {
       return;
     }
-    // A name of its own for each process: both may write at once.
+    // The process ID is in the name of the draft because both processes may write at the same time.
     Path draft = file.resolveSibling(file.getFileName() + "." + ProcessHandle.current().pid());
     ArrayNode list = JsonNodeFactory.instance.arrayNode();
     for (String name : names) {
@@ -86,6 +88,6 @@
     }
     Files.writeString(draft, list.toString());
     Files.move(draft, file, StandardCopyOption.ATOMIC_MOVE, StandardCopyOption.REPLACE_EXISTING);
-    lastSeen = Files.getLastModifiedTime(file);
+    lastSeenModified = Files.getLastModifiedTime(file);
   }
 }
--- a/edge/src/main/java/edgegateway/node/operators/OperatorCall.java
+++ b/edge/src/main/java/edgegateway/node/operators/OperatorCall.java
@@ -1,42 +1,42 @@
 package edgegateway.node.operators;
 
-/** The calls that operators know by their words; the words and the answers stay as they are. */
+/** Calls of the operators' line protocol. Their keywords and answers must not change. */
 enum OperatorCall {
-  /** Whether the process takes clients. */
+  /** Reports whether the node accepts clients. */
   CHECK("check", false),
-  /** All metrics. */
+  /** Lists all metrics. */
   VARS("vars", false),
   /** Ejects an endpoint. */
   SET_DOWN("set-down", true),
   /** Readmits an endpoint. */
   SET_UP("set-up", true),
-  /** The state of each zone. */
+  /** Lists the state of each zone. */
   ZONES("zones", false),
   /** Ejects a zone. */
   ZONE_OUT("zone-out", true),
-  /** Readmits a zone; the one call that may bring a second argument, the ramp in seconds. */
+  /** Readmits a zone. An optional second argument is the duration of the ramp in seconds. */
   ZONE_IN("zone-in", true),
   /** Drains the node. */
   DRAIN_ON("drain-on", false),
-  /** Has the node take clients again. */
+  /** Ends draining, so that the node accepts clients again. */
   DRAIN_OFF("drain-off", false);
 
   private static final OperatorCall[] ALL = values();
 
-  private final String word;
+  private final String keyword;
 
-  /** Whether the name of an endpoint or a zone follows the word. */
+  /** Whether the name of an endpoint or a zone follows as the first argument. */
   final boolean takesName;
 
-  OperatorCall(String word, boolean takesName) {
-    this.word = word;
+  OperatorCall(String keyword, boolean takesName) {
+    this.keyword = keyword;
     this.takesName = takesName;
   }
 
-  /** The call of a word; null if there is none. */
-  static OperatorCall of(String word) {
+  /** Returns the call for a keyword; null if there is none. */
+  static OperatorCall of(String keyword) {
     for (OperatorCall call : ALL) {
-      if (call.word.equals(word)) {
+      if (call.keyword.equals(keyword)) {
         return call;
       }
     }
--- a/edge/src/main/java/edgegateway/node/operators/OperatorCommands.java
+++ b/edge/src/main/java/edgegateway/node/operators/OperatorCommands.java
@@ -3,35 +3,39 @@
 import java.util.concurrent.CompletableFuture;
 
 /**
- * What operators can ask of a node and have it do. All methods may be called on any thread; a
- * command's future completes with null, or with the reason why it was not carried out.
+ * The queries and commands that a node offers to operators. All methods are thread-safe. The future
+ * of a command completes with null on success and otherwise with the reason of the failure.
  */
 public interface OperatorCommands {
-  /** Whether the node takes clients: discovery was heard, or waited for, and it does not drain. */
+  /**
+   * Whether the node accepts clients: it has an answer from discovery or has waited long enough for
+   * one, and it is not draining.
+   */
   boolean ready();
 
-  /** The metrics, one {@code name=value} a line. */
+  /** Returns the metrics as lines of the form {@code name=value}. */
   String metricsText();
 
-  /** The state of each zone, one a line. */
+  /** Returns the state of the zones, one line for each. */
   CompletableFuture<String> zoneReport();
 
-  /** Begins to drain, or takes clients again. */
+  /** Starts or ends draining; a node that drains accepts no clients. */
   CompletableFuture<String> drain(boolean on);
 
-  /** Ejects a server whatever discovery says of it, or readmits it. */
-  CompletableFuture<String> setEndpointEjected(String server, boolean ejected);
+  /** Ejects an endpoint, regardless of its state in discovery, or readmits it. */
+  CompletableFuture<String> setEndpointEjected(String endpoint, boolean ejected);
 
   /**
    * Ejects a zone, or readmits it with a ramp.
    *
-   * @param rampSeconds duration of the ramp; 0 for as long as a server's slow start takes
+   * @param rampSeconds duration of the ramp when readmitting; 0 for the duration of an endpoint's
+   *     slow start
    */
   CompletableFuture<String> setZoneEjected(String zone, boolean ejected, long rampSeconds);
 
-  /** How many operators' connections may be open at once. */
+  /** Maximum number of open operator connections. */
   int maxOperatorConnections();
 
-  /** No file descriptor was left for an operator's connection. */
+  /** Handles the lack of a file descriptor for an operator's connection. */
   void descriptorsExhausted();
 }
--- a/edge/src/main/java/edgegateway/node/operators/OperatorServer.java
+++ b/edge/src/main/java/edgegateway/node/operators/OperatorServer.java
@@ -20,35 +20,36 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * Where operators call: a line in, an answer out, and the connection ends. It has a thread of its
- * own, so that a busy client loop makes no answer late: figures are read as they stand, and
- * commands go to that loop.
+ * Accepts operators' connections. Each connection carries one line with a call and its answer, and
+ * is then closed. A separate event loop keeps answers from being delayed by a busy client loop:
+ * metrics are read on the thread of this server, and only commands and the zone report are passed
+ * to the client loop.
  */
 public final class OperatorServer implements AutoCloseable {
   private static final int MAX_LINE_BYTES = 512;
 
-  /** A caller that has not finished its call by then is cut off. */
+  /** Time after which a connection is closed even if its call has not finished. */
   private static final int CALL_TIMEOUT_MILLIS = 5_000;
 
-  private final OperatorCallHandler calls;
-  private final EventLoopGroup group =
+  private final OperatorCallHandler callHandler;
+  private final EventLoopGroup loopGroup =
       new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
 
-  /** Open connections, the oldest first; for the one loop's thread. */
-  private final Set<Channel> callers = new LinkedHashSet<>();
+  /** Open connections, oldest first; used only on the event loop. */
+  private final Set<Channel> connections = new LinkedHashSet<>();
 
   private final ConnectionAcceptor listener;
-  private final int maxCallers;
+  private final int maxConnections;
 
-  /** Listens when it returns; not for an event loop's thread. */
-  public OperatorServer(OperatorCommands node, InetSocketAddress at)
+  /** Starts listening and waits until the socket is bound; must not run on an event loop. */
+  public OperatorServer(OperatorCommands node, InetSocketAddress listenAddress)
       throws InterruptedException, ExecutionException {
-    calls = new OperatorCallHandler(node);
-    maxCallers = node.maxOperatorConnections();
-    listener = new ConnectionAcceptor(group.next(), node::descriptorsExhausted);
+    callHandler = new OperatorCallHandler(node);
+    maxConnections = node.maxOperatorConnections();
+    listener = new ConnectionAcceptor(loopGroup.next(), node::descriptorsExhausted);
     listener
         .bind(
-            at,
+            listenAddress,
             false,
             channel ->
                 channel
@@ -57,29 +58,29 @@
                         new LineBasedFrameDecoder(MAX_LINE_BYTES),
                         new StringDecoder(StandardCharsets.UTF_8),
                         new StringEncoder(StandardCharsets.UTF_8),
-                        new Call()))
+                        new ConnectionHandler()))
         .get();
   }
 
-  /** Where operators call. */
+  /** Address of the listening socket. */
   public InetSocketAddress address() {
     return listener.address();
   }
 
   @Override
   public void close() {
-    group.shutdownGracefully(0, 1, TimeUnit.SECONDS).syncUninterruptibly();
+    loopGroup.shutdownGracefully(0, 1, TimeUnit.SECONDS).syncUninterruptibly();
   }
 
-  /** One connection: its first line is its only one. */
-  private final class Call extends SimpleChannelInboundHandler<String> {
-    private boolean called;
+  /** Handles one connection: answers the first line and ignores all others. */
+  private final class ConnectionHandler extends SimpleChannelInboundHandler<String> {
+    private boolean answering;
 
     @Override
     public void channelActive(ChannelHandlerContext context) {
-      callers.add(context.channel());
-      if (callers.size() > maxCallers) {
-        callers.iterator().next().close();
+      connections.add(context.channel());
+      if (connections.size() > maxConnections) {
+        connections.iterator().next().close();
       }
       context
           .executor()
@@ -88,40 +89,40 @@
 
     @Override
     protected void channelRead0(ChannelHandlerContext context, String line) {
-      if (!called) {
-        called = true;
-        calls
+      if (!answering) {
+        answering = true;
+        callHandler
             .answer(line)
-            .exceptionally(e -> OperatorCallHandler.refusal("failed: " + e.getMessage()))
-            .thenAccept(text -> end(context, text));
+            .exceptionally(e -> OperatorCallHandler.negativeAnswer("failed: " + e.getMessage()))
+            .thenAccept(text -> answerAndClose(context, text));
       }
     }
 
-    private void end(ChannelHandlerContext context, String text) {
+    private void answerAndClose(ChannelHandlerContext context, String text) {
       context.writeAndFlush(text).addListener(ChannelFutureListener.CLOSE);
     }
 
     @Override
     public void userEventTriggered(ChannelHandlerContext context, Object event) {
-      if (event instanceof ChannelInputShutdownEvent && !called) {
-        called = true;
-        end(context, OperatorCallHandler.refusal("no line"));
+      if (event instanceof ChannelInputShutdownEvent && !answering) {
+        answering = true;
+        answerAndClose(context, OperatorCallHandler.negativeAnswer("no line"));
       }
     }
 
     @Override
     public void channelInactive(ChannelHandlerContext context) {
-      callers.remove(context.channel());
+      connections.remove(context.channel());
     }
 
     @Override
     public void exceptionCaught(ChannelHandlerContext context, Throwable cause) {
-      // A line that is too long, or a caller that left.
-      if (called) {
+      // The line was too long or the client closed the connection.
+      if (answering) {
         context.close();
       } else {
-        called = true;
-        end(context, OperatorCallHandler.refusal("not a line that can be read"));
+        answering = true;
+        answerAndClose(context, OperatorCallHandler.negativeAnswer("not a line that can be read"));
       }
     }
   }
--- a/edge/src/main/java/edgegateway/node/operators/package-info.java
+++ b/edge/src/main/java/edgegateway/node/operators/package-info.java
@@ -1,2 +1,2 @@
-/** Operators' calls and what they ejected. */
+/** The line protocol of operators and the files that preserve their ejections. */
 package edgegateway.node.operators;
--- a/edge/src/test/java/edgegateway/node/operators/OperatorCallHandlerTest.java
+++ b/edge/src/test/java/edgegateway/node/operators/OperatorCallHandlerTest.java
@@ -7,19 +7,21 @@
 import java.util.concurrent.CompletableFuture;
 import org.junit.jupiter.api.Test;
 
-/** What each line of an operator has the node do, and its answer. */
+/** The commands that operators' lines execute at the node, and the answers to them. */
 class OperatorCallHandlerTest {
   private final FakeNode node = new FakeNode();
-  private final OperatorCallHandler calls = new OperatorCallHandler(node);
+  private final OperatorCallHandler handler = new OperatorCallHandler(node);
 
   private static final class FakeNode implements OperatorCommands {
     private final List<String> commands = new ArrayList<>();
     private boolean ready = true;
-    private String reason;
 
-    private CompletableFuture<String> did(String command) {
+    /** Result of all commands; null for success. */
+    private String failureReason;
+
+    private CompletableFuture<String> record(String command) {
       commands.add(command);
-      return CompletableFuture.completedFuture(reason);
+      return CompletableFuture.completedFuture(failureReason);
     }
 
     @Override
@@ -39,18 +41,18 @@
 
     @Override
     public CompletableFuture<String> drain(boolean on) {
-      return did("drain " + on);
+      return record("drain " + on);
     }
 
     @Override
-    public CompletableFuture<String> setEndpointEjected(String server, boolean ejected) {
-      return did("endpoint " + server + " " + ejected);
+    public CompletableFuture<String> setEndpointEjected(String endpoint, boolean ejected) {
+      return record("endpoint " + endpoint + " " + ejected);
     }
 
     @Override
     public CompletableFuture<String> setZoneEjected(
         String zone, boolean ejected, long rampSeconds) {
-      return did("zone " + zone + " " + ejected + " " + rampSeconds);
+      return record("zone " + zone + " " + ejected + " " + rampSeconds);
     }
 
     @Override
@@ -62,42 +64,42 @@
     public void descriptorsExhausted() {}
   }
 
-  private void assertDoes(String line, String command) {
-    assertEquals("ACK\n", calls.answer(line).join(), line);
+  private void assertCommand(String line, String command) {
+    assertEquals("ACK\n", handler.answer(line).join(), line);
     assertEquals(List.of(command), node.commands, line);
     node.commands.clear();
   }
 
   @Test
-  void commandsReachTheNode() {
-    assertDoes("set-down s-1", "endpoint s-1 true");
-    assertDoes("  set-up \t s-1 ", "endpoint s-1 false");
-    assertDoes("zone-out a", "zone a true 0");
-    assertDoes("zone-in a", "zone a false 0");
-    assertDoes("zone-in a 9999", "zone a false 9999");
-    assertDoes("drain-on", "drain true");
-    assertDoes("drain-off", "drain false");
+  void passesCommandsToTheNode() {
+    assertCommand("set-down s-1", "endpoint s-1 true");
+    assertCommand("  set-up \t s-1 ", "endpoint s-1 false");
+    assertCommand("zone-out a", "zone a true 0");
+    assertCommand("zone-in a", "zone a false 0");
+    assertCommand("zone-in a 9999", "zone a false 9999");
+    assertCommand("drain-on", "drain true");
+    assertCommand("drain-off", "drain false");
   }
 
   @Test
-  void aCommandThatWasNotCarriedOutTellsWhy() {
-    node.reason = "never listed";
-    assertEquals("NAK never listed\n", calls.answer("set-down s-1").join());
+  void answersAFailedCommandWithItsReason() {
+    node.failureReason = "never listed";
+    assertEquals("NAK never listed\n", handler.answer("set-down s-1").join());
   }
 
   @Test
-  void whatIsAskedIsAnswered() {
-    assertEquals("ACK\n", calls.answer("check").join());
+  void answersQueries() {
+    assertEquals("ACK\n", handler.answer("check").join());
     node.ready = false;
-    assertEquals("NAK takes no clients now\n", calls.answer("check").join());
-    assertEquals("app.in_progress=1\n--\n", calls.answer("vars").join());
-    assertEquals("a state=in\n--\n", calls.answer("zones").join());
+    assertEquals("NAK takes no clients now\n", handler.answer("check").join());
+    assertEquals("app.in_progress=1\n--\n", handler.answer("vars").join());
+    assertEquals("a state=in\n--\n", handler.answer("zones").join());
   }
 
   @Test
-  void whatIsNoCallIsRefused() {
+  void rejectsInvalidCallsWithoutACommand() {
     for (String line : List.of("", "nonsense", "CHECK", "check s-1", "vars x", "nonsense a b")) {
-      assertEquals("NAK no such call\n", calls.answer(line).join(), line);
+      assertEquals("NAK no such call\n", handler.answer(line).join(), line);
     }
     for (String line :
         List.of(
@@ -112,7 +114,7 @@
             "zone-in a 5 6")) {
       assertEquals(
           "NAK one name is wanted, and after zone-in's 1 to 9999 seconds or none\n",
-          calls.answer(line).join(),
+          handler.answer(line).join(),
           line);
     }
     assertEquals(List.of(), node.commands);
