--- a/edge/src/main/java/edgegateway/node/upgrade/HandoverFile.java
+++ b/edge/src/main/java/edgegateway/node/upgrade/HandoverFile.java
@@ -17,35 +17,35 @@
 import java.util.List;
 
 /**
- * The file by which the process that an upgrade ends transfers its state to the other one.
+ * The file through which the old process of an upgrade transfers its state to the new one.
  *
- * <p>Processes of two versions share it, so its name and form stay as they are. It holds plain
- * big-endian numbers: at that moment both processes are short of CPU time, and a library's code
- * would not be compiled yet. Safe for any thread, as long as each process reads or writes on one at
- * a time.
+ * <p>Processes of two versions share the file, so its name and format must not change. It holds
+ * plain big-endian numbers, since during an upgrade both processes are short of CPU time and the
+ * code of a serialization library would not be compiled by the JIT compiler yet. May be used from
+ * any thread, but only from one at a time.
  */
 public final class HandoverFile {
   private static final EventLog LOG = EventLog.console();
 
-  /** Changes with the form; a file of another one is ignored. */
+  /** Must change with the format; a file with another version is ignored. */
   private static final int FORMAT_VERSION = 0x5eed0001;
 
-  private static final String NAME = "handover";
-  private static final String DRAFT_NAME = "handover.draft";
+  private static final String FILE_NAME = "handover";
+  private static final String DRAFT_FILE_NAME = "handover.draft";
 
-  /** Null where there is nothing to share. */
+  /** Null if there is no shared folder. */
   private final Path file;
 
   /**
-   * Reads and writes nothing yet.
+   * Creates an instance without accessing the file.
    *
-   * @param folder the one that both processes share; null where there is none
+   * @param folder the folder that both processes share; null if there is none
    */
   public HandoverFile(Path folder) {
-    file = folder == null ? null : folder.resolve(NAME);
+    file = folder == null ? null : folder.resolve(FILE_NAME);
   }
 
-  /** Removes what an earlier upgrade left. */
+  /** Deletes the file of an earlier upgrade, if there is one. */
   public void discard() throws IOException {
     if (file != null) {
       Files.deleteIfExists(file);
@@ -53,12 +53,12 @@
   }
 
   /**
-   * Writes the file whole or not at all. A failure is logged and not thrown: it must not keep this
-   * process from its end, and without the file the other process begins with nothing.
+   * Writes the file atomically. A failure is logged and not thrown, since it must not prevent this
+   * process from exiting; without the file the other process starts without the state.
    */
   public void write(StateTransfer state) {
     try {
-      Path draft = file.resolveSibling(DRAFT_NAME);
+      Path draft = file.resolveSibling(DRAFT_FILE_NAME);
       Files.write(draft, encode(state));
       Files.move(draft, file, StandardCopyOption.ATOMIC_MOVE, StandardCopyOption.REPLACE_EXISTING);
     } catch (IOException e) {
@@ -66,7 +66,7 @@
     }
   }
 
-  /** Reads and removes the file; null if there is none, or none that can be read. */
+  /** Reads and deletes the file; returns null if it is missing or invalid. */
   public StateTransfer read() {
     try {
       if (file == null || !Files.exists(file)) {
@@ -116,15 +116,16 @@
     DataInputStream in = new DataInputStream(new ByteArrayInputStream(bytes));
     int version = in.readInt();
     if (version != FORMAT_VERSION) {
-      throw new IOException("format version " + Integer.toHexString(version) + " is not known");
+      throw new IOException(
+          "unknown format version 0x" + Integer.toHexString(version) + " of the handover file");
     }
     double counterCallsPerSecond = in.readDouble();
     List<Double> serviceTimesSeconds = new ArrayList<>();
-    for (int left = in.readInt(); left > 0; left--) {
+    for (int remaining = in.readInt(); remaining > 0; remaining--) {
       serviceTimesSeconds.add(in.readDouble());
     }
     List<QuotaUsage> quotaUsages = new ArrayList<>();
-    for (int left = in.readInt(); left > 0; left--) {
+    for (int remaining = in.readInt(); remaining > 0; remaining--) {
       quotaUsages.add(decodeUsage(in));
     }
     return new StateTransfer(counterCallsPerSecond, serviceTimesSeconds, quotaUsages);
--- a/edge/src/main/java/edgegateway/node/upgrade/ProcessSlots.java
+++ b/edge/src/main/java/edgegateway/node/upgrade/ProcessSlots.java
@@ -11,91 +11,92 @@
 import java.nio.file.StandardOpenOption;
 
 /**
- * How the two processes of an upgrade know of each other. Each has one of two slots: it locks one
- * byte of a shared file while it lives and another while it takes clients.
+ * Lets the two processes of an upgrade detect each other. Each process occupies one of two slots:
+ * it locks one byte of a shared file while it runs and another while it accepts clients.
  *
- * <p>A lock ends with its process, however that ends, and the file's content means nothing.
- * Processes of two versions share the file, so its name and the bytes' places stay as they are:
+ * <p>The operating system releases the locks when a process ends, whatever the cause. The content
+ * of the file has no meaning. Processes of two versions share the file, so its name and the
+ * positions of the bytes must not change:
  *
  * <pre>
- * byte 0, 1: the process in slot 0, 1 lives
- * byte 2, 3: the process in slot 0, 1 takes clients
+ * byte 0, 1: the process in slot 0, 1 is running
+ * byte 2, 3: the process in slot 0, 1 accepts clients
  * </pre>
  *
- * <p>Not thread-safe. Where the file cannot be used, no other process is seen, and a warning says
- * so.
+ * <p>Not thread-safe. If the file cannot be used, a warning is logged and no other process is
+ * detected.
  */
 public final class ProcessSlots {
   private static final EventLog LOG = EventLog.console();
 
-  private static final String NAME = "slots";
-  private static final int SLOTS = 2;
-  private static final int TAKING_OFFSET = 2;
+  private static final String FILE_NAME = "slots";
+  private static final int SLOT_COUNT = 2;
+  private static final int ACCEPTING_OFFSET = 2;
 
-  /** A look from the other process holds a byte for a moment, so a lock is tried again. */
-  private static final int LOCK_TRIES = 1_000;
+  /** A lock is retried because the other process holds a byte for a moment when it tests it. */
+  private static final int MAX_LOCK_ATTEMPTS = 1_000;
 
   private final Path path;
 
-  /** Null where there is nothing to share. */
+  /** Null if there is no shared folder or the file cannot be opened. */
   private final FileChannel file;
 
   private final int slot;
 
-  /** Held from the start to the end of the process; null if no slot was free. */
-  private FileLock living;
+  /** Held from start to end of the process; null if no slot was free. */
+  private FileLock lifetimeLock;
 
-  /** Null while this process takes no clients. */
-  private FileLock taking;
+  /** Null while this process does not accept clients. */
+  private FileLock acceptingLock;
 
   /**
-   * Takes a slot.
+   * Occupies a free slot.
    *
-   * @param folder the one that both processes share; null where there is none
+   * @param folder the folder that both processes share; null if there is none
    */
   public ProcessSlots(Path folder) {
-    path = folder == null ? null : folder.resolve(NAME);
+    path = folder == null ? null : folder.resolve(FILE_NAME);
     FileChannel opened = null;
-    int tried = 0;
+    int triedSlot = 0;
     try {
       if (path != null) {
         opened = FileChannel.open(path, StandardOpenOption.CREATE, StandardOpenOption.WRITE);
-        for (int tries = 0; living == null && tries < LOCK_TRIES; tries++) {
-          tried = tries % SLOTS;
-          living = tryLock(opened, tried);
+        for (int attempt = 0; lifetimeLock == null && attempt < MAX_LOCK_ATTEMPTS; attempt++) {
+          triedSlot = attempt % SLOT_COUNT;
+          lifetimeLock = tryLock(opened, triedSlot);
         }
       }
     } catch (IOException e) {
       LOG.warn("upgrade_slot_unavailable", field("file", path), field("error", e));
     }
     file = opened;
-    slot = tried;
+    slot = triedSlot;
   }
 
-  /** Whether another process of this node lives. */
+  /** Whether another process of this node is running. */
   public boolean isOtherProcessAlive() {
     return isLocked(otherSlot());
   }
 
-  /** Whether another process of this node takes clients. */
+  /** Whether another process of this node accepts clients. */
   public boolean isOtherProcessAccepting() {
-    return isLocked(TAKING_OFFSET + otherSlot());
+    return isLocked(ACCEPTING_OFFSET + otherSlot());
   }
 
   private int otherSlot() {
-    return SLOTS - 1 - slot;
+    return SLOT_COUNT - 1 - slot;
   }
 
-  /** From now on this process takes clients, or no more. */
-  public void setAccepting(boolean on) {
+  /** Records whether this process accepts clients. */
+  public void setAccepting(boolean accepting) {
     try {
-      if (on && taking == null && living != null) {
-        for (int tries = 0; taking == null && tries < LOCK_TRIES; tries++) {
-          taking = tryLock(file, TAKING_OFFSET + slot);
+      if (accepting && acceptingLock == null && lifetimeLock != null) {
+        for (int attempt = 0; acceptingLock == null && attempt < MAX_LOCK_ATTEMPTS; attempt++) {
+          acceptingLock = tryLock(file, ACCEPTING_OFFSET + slot);
         }
-      } else if (!on && taking != null) {
-        taking.release();
-        taking = null;
+      } else if (!accepting && acceptingLock != null) {
+        acceptingLock.release();
+        acceptingLock = null;
       }
     } catch (IOException e) {
       LOG.warn("upgrade_slot_failed", field("file", path), field("error", e));
@@ -103,7 +104,7 @@
   }
 
   private boolean isLocked(int position) {
-    if (living == null) {
+    if (lifetimeLock == null) {
       return false;
     }
     try (FileLock lock = tryLock(file, position)) {
@@ -114,12 +115,12 @@
     }
   }
 
-  /** Null if another process holds the byte. */
+  /** Returns null if another process holds the byte. */
   private static FileLock tryLock(FileChannel file, int position) throws IOException {
     try {
       return file.tryLock(position, 1, false);
     } catch (OverlappingFileLockException e) {
-      // Two nodes in one process, as in tests.
+      // The byte is locked by this process itself: tests run two nodes in one process.
       return null;
     }
   }
--- a/edge/src/main/java/edgegateway/node/upgrade/package-info.java
+++ b/edge/src/main/java/edgegateway/node/upgrade/package-info.java
@@ -1,2 +1,2 @@
-/** How the two processes of an upgrade know of each other and transfer state. */
+/** Detection of the other process during an upgrade, and transfer of state to it. */
 package edgegateway.node.upgrade;
--- a/edge/src/test/java/edgegateway/node/upgrade/HandoverFileTest.java
+++ b/edge/src/test/java/edgegateway/node/upgrade/HandoverFileTest.java
@@ -13,9 +13,9 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
-/** Two versions run at once in an upgrade: what one writes the other has to read. */
+/** The format is fixed, since two versions run at the same time during an upgrade. */
 class HandoverFileTest {
-  /** What version f416bee wrote for {@link #STATE}. */
+  /** File that version f416bee wrote for {@link #STATE}. */
   private static final byte[] WRITTEN_BY_F416BEE =
       HexFormat.of()
           .parseHex(
@@ -51,19 +51,19 @@
   @TempDir Path folder;
 
   @Test
-  void readsWhatTheVersionBeforeWrote() throws Exception {
+  void readsAFileOfThePreviousVersion() throws Exception {
     Files.write(folder.resolve("handover"), WRITTEN_BY_F416BEE);
     assertEquals(STATE, new HandoverFile(folder).read());
   }
 
   @Test
-  void writesWhatTheVersionBeforeReads() throws Exception {
+  void writesTheFileLikeThePreviousVersion() throws Exception {
     new HandoverFile(folder).write(STATE);
     assertArrayEquals(WRITTEN_BY_F416BEE, Files.readAllBytes(folder.resolve("handover")));
   }
 
   @Test
-  void nothingIsSharedWithoutAFolder() throws Exception {
+  void sharesNothingWithoutAFolder() throws Exception {
     HandoverFile file = new HandoverFile(null);
     file.discard();
     assertNull(file.read());
--- a/edge/src/test/java/edgegateway/node/upgrade/ProcessSlotsTest.java
+++ b/edge/src/test/java/edgegateway/node/upgrade/ProcessSlotsTest.java
@@ -15,43 +15,46 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
-/** Two versions run at once in an upgrade: both have to lock the same bytes of the same file. */
+/**
+ * The locked bytes are fixed, since two versions run at the same time during an upgrade. The two
+ * processes are represented by two objects in one process.
+ */
 class ProcessSlotsTest {
-  private static final int BYTES = 6;
+  private static final int TESTED_BYTES = 6;
 
   @TempDir Path folder;
 
-  /** The bytes of the file that are locked by this process. */
-  private List<Integer> locked() throws IOException {
-    List<Integer> locked = new ArrayList<>();
+  /** Returns the positions of the bytes in the file that this process has locked. */
+  private List<Integer> lockedPositions() throws IOException {
+    List<Integer> lockedPositions = new ArrayList<>();
     try (FileChannel file = FileChannel.open(folder.resolve("slots"), StandardOpenOption.WRITE)) {
-      for (int position = 0; position < BYTES; position++) {
+      for (int position = 0; position < TESTED_BYTES; position++) {
         try (FileLock free = file.tryLock(position, 1, false)) {
           assertTrue(free.isValid());
         } catch (OverlappingFileLockException e) {
-          locked.add(position);
+          lockedPositions.add(position);
         }
       }
     }
-    return locked;
+    return lockedPositions;
   }
 
   @Test
-  void eachProcessLocksAByteForItsLifeAndAnotherForItsClients() throws Exception {
+  void locksOneByteWhileRunningAndAnotherWhileAccepting() throws Exception {
     ProcessSlots first = new ProcessSlots(folder);
-    assertEquals(List.of(0), locked());
+    assertEquals(List.of(0), lockedPositions());
     first.setAccepting(true);
-    assertEquals(List.of(0, 2), locked());
+    assertEquals(List.of(0, 2), lockedPositions());
     ProcessSlots second = new ProcessSlots(folder);
-    assertEquals(List.of(0, 1, 2), locked());
+    assertEquals(List.of(0, 1, 2), lockedPositions());
     second.setAccepting(true);
-    assertEquals(List.of(0, 1, 2, 3), locked());
+    assertEquals(List.of(0, 1, 2, 3), lockedPositions());
     first.setAccepting(false);
-    assertEquals(List.of(0, 1, 3), locked());
+    assertEquals(List.of(0, 1, 3), lockedPositions());
   }
 
   @Test
-  void theTwoProcessesSeeEachOther() {
+  void detectsTheOtherProcess() {
     ProcessSlots first = new ProcessSlots(folder);
     assertFalse(first.isOtherProcessAlive());
     first.setAccepting(true);
@@ -65,10 +68,10 @@
   }
 
   @Test
-  void nobodyIsSeenWithoutAFolder() {
-    ProcessSlots alone = new ProcessSlots(null);
-    alone.setAccepting(true);
-    assertFalse(alone.isOtherProcessAlive());
-    assertFalse(alone.isOtherProcessAccepting());
+  void detectsNoProcessWithoutAFolder() {
+    ProcessSlots slots = new ProcessSlots(null);
+    slots.setAccepting(true);
+    assertFalse(slots.isOtherProcessAlive());
+    assertFalse(slots.isOtherProcessAccepting());
   }
 }
