--- a/edge/src/test/java/edgegateway/node/zones/HalfOpenProbesTest.java
+++ b/edge/src/test/java/edgegateway/node/zones/HalfOpenProbesTest.java
@@ -8,59 +8,61 @@
 import org.junit.jupiter.api.Test;
 
 class HalfOpenProbesTest {
-  private static final long MS = 1_000_000L;
+  private static final long MILLISECOND_NANOS = 1_000_000L;
 
   private int sent;
-  private int answered;
+  private int succeeded;
   private int failed;
-  private long now = ZoneConsensus.VOTE_WINDOW_NANOS;
+  private long nowNanos = ZoneConsensus.VOTE_WINDOW_NANOS;
   private final HalfOpenProbes probes = new HalfOpenProbes(() -> sent++);
 
-  private boolean passed(int requiredAnswers) {
-    int attempts = answered + failed;
+  private boolean advance(int requiredAnswers) {
+    int attempts = succeeded + failed;
     return probes.advance(
-        now, new ZoneHealth(0, 0, 0, 0, 4, 4, 0, 0, 0, 0.3, attempts, failed, 0), requiredAnswers);
+        nowNanos,
+        new ZoneHealth(0, 0, 0, 0, 4, 4, 0, 0, 0, 0.3, attempts, failed, 0),
+        requiredAnswers);
   }
 
   @Test
-  void probesOneAfterTheOtherUntilEnoughAreAnswered() {
-    assertFalse(passed(2));
-    assertFalse(passed(2));
-    assertEquals(1, sent, "the second waits");
-    now += 200 * MS;
-    answered++;
-    assertFalse(passed(2));
+  void sendsAttemptsAtAnIntervalUntilEnoughSucceed() {
+    assertFalse(advance(2));
+    assertFalse(advance(2));
+    assertEquals(1, sent, "the second attempt must wait for the interval");
+    nowNanos += 200 * MILLISECOND_NANOS;
+    succeeded++;
+    assertFalse(advance(2));
     assertEquals(2, sent);
-    answered++;
-    assertTrue(passed(2));
-    now += 200 * MS;
-    assertTrue(passed(2));
-    assertEquals(2, sent, "enough are answered");
+    succeeded++;
+    assertTrue(advance(2));
+    nowNanos += 200 * MILLISECOND_NANOS;
+    assertTrue(advance(2));
+    assertEquals(2, sent, "no attempt may follow after enough succeeded");
   }
 
   @Test
-  void aFailureBeginsAnewAfterABackoffThatDoubles() {
-    for (long backoff : new long[] {500 * MS, 1_000 * MS}) {
-      passed(1);
-      int before = sent;
+  void startsANewRoundWithDoublingBackoffAfterAFailure() {
+    for (long backoffNanos : new long[] {500 * MILLISECOND_NANOS, 1_000 * MILLISECOND_NANOS}) {
+      advance(1);
+      int sentBefore = sent;
       failed++;
-      assertFalse(passed(1));
-      now += backoff - 1;
-      assertFalse(passed(1));
-      assertEquals(before, sent, "before the end of " + backoff);
-      now++;
-      assertFalse(passed(1));
-      assertEquals(before + 1, sent, "at the end of " + backoff);
+      assertFalse(advance(1));
+      nowNanos += backoffNanos - 1;
+      assertFalse(advance(1));
+      assertEquals(sentBefore, sent, "sent before the end of the backoff, in ns: " + backoffNanos);
+      nowNanos++;
+      assertFalse(advance(1));
+      assertEquals(sentBefore + 1, sent, "sent at the end of the backoff, in ns: " + backoffNanos);
     }
   }
 
   @Test
-  void eachWindowNeedsAnswersOfItsOwn() {
-    passed(1);
-    answered++;
-    assertTrue(passed(1));
-    now += ZoneConsensus.VOTE_WINDOW_NANOS;
-    assertFalse(passed(1));
+  void startsANewRoundInEachVotingWindow() {
+    advance(1);
+    succeeded++;
+    assertTrue(advance(1));
+    nowNanos += ZoneConsensus.VOTE_WINDOW_NANOS;
+    assertFalse(advance(1));
     assertEquals(2, sent);
   }
 }
