--- a/edge/src/main/java/edgegateway/node/connections/ConnectBackoff.java
+++ b/edge/src/main/java/edgegateway/node/connections/ConnectBackoff.java
@@ -3,13 +3,14 @@
 import java.util.SplittableRandom;
 
 /**
- * When an archive server may be connected to again after connect failures: the wait doubles with
- * each one, half of it random, and ends with the first success. Times are nanoseconds of one clock.
+ * Exponential backoff after failed connects to one archive server: the delay doubles with each
+ * failure, half of it is random jitter, and a successful connect resets it. All times are
+ * nanoseconds of the same clock.
  */
 final class ConnectBackoff {
   private static final long NANOS_PER_MILLI = 1_000_000L;
-  private static final long INITIAL_NANOS = 20 * NANOS_PER_MILLI;
-  private static final long MAX_NANOS = 1_000 * NANOS_PER_MILLI;
+  private static final long INITIAL_DELAY_NANOS = 20 * NANOS_PER_MILLI;
+  private static final long MAX_DELAY_NANOS = 1_000 * NANOS_PER_MILLI;
   private static final int MAX_DOUBLINGS = 10;
 
   private final SplittableRandom random;
@@ -24,7 +25,7 @@
     return nowNanos >= nextConnectAtNanos;
   }
 
-  /** Whether the last connect failed. */
+  /** Whether a connect has failed since the last successful one. */
   boolean isFailing() {
     return failures > 0;
   }
@@ -36,12 +37,15 @@
   void connectFailed(long nowNanos) {
     int doublings = Math.min(MAX_DOUBLINGS, failures);
     failures++;
-    long halfNanos = Math.min(MAX_NANOS, INITIAL_NANOS << doublings) / 2;
-    nextConnectAtNanos = nowNanos + halfNanos + random.nextLong(halfNanos);
+    long halfDelayNanos = Math.min(MAX_DELAY_NANOS, INITIAL_DELAY_NANOS << doublings) / 2;
+    nextConnectAtNanos = nowNanos + halfDelayNanos + random.nextLong(halfDelayNanos);
   }
 
-  /** This process had no file descriptor: a short wait that counts as no failure. */
+  /**
+   * Delays the next connect briefly because this process has no file descriptor left, which does
+   * not count as a failure of the server.
+   */
   void descriptorsExhausted(long nowNanos) {
-    nextConnectAtNanos = nowNanos + INITIAL_NANOS;
+    nextConnectAtNanos = nowNanos + INITIAL_DELAY_NANOS;
   }
 }
--- a/edge/src/main/java/edgegateway/node/connections/ConnectFailure.java
+++ b/edge/src/main/java/edgegateway/node/connections/ConnectFailure.java
@@ -2,10 +2,10 @@
 
 /** Why a connection to an archive server could not be opened. */
 public enum ConnectFailure {
-  /** The archive server, or its machine, refused it. */
+  /** The archive server or its host refused the connection. */
   REFUSED,
-  /** Nothing came back before the connect timeout. */
+  /** No reply arrived before the connect timeout. */
   UNRESPONSIVE,
-  /** This process had no file descriptor for it: not the archive server's fault. */
+  /** This process has no file descriptor left; not the archive server's fault. */
   NO_DESCRIPTOR
 }
--- a/edge/src/main/java/edgegateway/node/connections/ConnectionWaiter.java
+++ b/edge/src/main/java/edgegateway/node/connections/ConnectionWaiter.java
@@ -1,17 +1,18 @@
 package edgegateway.node.connections;
 
 /**
- * An attempt that needs a connection. One of its methods is called exactly once, possibly from
- * within {@link Upstream#acquire}, unless {@link Upstream#cancel} returned true before.
+ * An attempt that waits for a connection. Exactly one of the two methods is called, once, possibly
+ * from within {@link Upstream#acquire}; neither is called after {@link Upstream#cancel} returned
+ * true.
  */
 public interface ConnectionWaiter {
-  /** The connection is this attempt's until it is released, has responded or is closed. */
+  /** Assigns a connection to this attempt until it is released, has responded or is closed. */
   void connectionReady(UpstreamConnection connection);
 
   /**
-   * There is no connection for it.
+   * Reports that no connection is available.
    *
-   * @param localCause true if that is not the archive server's fault
+   * @param localCause true if the cause is on this node, not at the archive server
    */
   void noConnection(boolean localCause);
 }
--- a/edge/src/main/java/edgegateway/node/connections/LearnedConnectionLimit.java
+++ b/edge/src/main/java/edgegateway/node/connections/LearnedConnectionLimit.java
@@ -1,23 +1,28 @@
 package edgegateway.node.connections;
 
 /**
- * How many connections an archive server has room for, learned from one that it refused while it
- * served on others. The limit then grows by one a period, until the server refuses again.
+ * The number of connections that an archive server accepts, learned when the server refuses a
+ * connection while others are established. The limit then grows by one each period, until the
+ * server refuses another connection.
  */
 final class LearnedConnectionLimit {
   private static final long GROWTH_PERIOD_NANOS = 2_000_000_000L;
 
-  /** {@link Integer#MAX_VALUE} while nothing was refused. */
+  /** {@link Integer#MAX_VALUE} until the server refuses a connection. */
   private int limit = Integer.MAX_VALUE;
 
   private long changedAtNanos;
 
-  void refusedBeyond(int connections, long nowNanos) {
-    limit = connections;
+  /** Lowers the limit to the established connections, because another one was refused. */
+  void connectRefused(int established, long nowNanos) {
+    limit = established;
     changedAtNanos = nowNanos;
   }
 
-  /** The limit now; called each time a further connection is wanted. */
+  /**
+   * The current limit, raised first if its period is over. Called whenever another connection is
+   * needed.
+   */
   int current(long nowNanos) {
     if (limit != Integer.MAX_VALUE && nowNanos - changedAtNanos > GROWTH_PERIOD_NANOS) {
       limit++;
--- a/edge/src/main/java/edgegateway/node/connections/MovingAverage.java
+++ b/edge/src/main/java/edgegateway/node/connections/MovingAverage.java
@@ -2,24 +2,24 @@
 
 /** Exponentially weighted moving average of durations, in nanoseconds. */
 final class MovingAverage {
-  private static final double WEIGHT_OF_NEWEST = 0.1;
+  private static final double NEW_SAMPLE_WEIGHT = 0.1;
 
-  /** 0 until the first sample. */
+  /** 0 until there is a sample. */
   private double nanos;
 
-  /** No sample yet. */
+  /** Creates an average without samples. */
   MovingAverage() {}
 
-  /** Begins with an assumed value. */
+  /** Starts from an estimate, which counts as the first sample. */
   MovingAverage(long initialNanos) {
     nanos = initialNanos;
   }
 
   void add(long sampleNanos) {
-    nanos = nanos == 0 ? sampleNanos : nanos + WEIGHT_OF_NEWEST * (sampleNanos - nanos);
+    nanos = nanos == 0 ? sampleNanos : nanos + NEW_SAMPLE_WEIGHT * (sampleNanos - nanos);
   }
 
-  /** 0 if there was no sample. */
+  /** The average, or 0 without samples. */
   double nanos() {
     return nanos;
   }
--- a/edge/src/main/java/edgegateway/node/connections/OutboundConnector.java
+++ b/edge/src/main/java/edgegateway/node/connections/OutboundConnector.java
@@ -8,22 +8,26 @@
 import java.io.IOException;
 import java.net.InetSocketAddress;
 
-/** Connects outwards. */
+/** Opens outbound TCP connections. */
 public final class OutboundConnector {
   private OutboundConnector() {}
 
   /**
-   * Begins to connect; throws if there is no descriptor for it. Left to the bootstrap, that would
-   * be reported on a thread of Netty's own, by a channel that never closes.
+   * Starts connecting.
+   *
+   * <p>Creates the channel before the bootstrap does: if the bootstrap fails to create it, the
+   * failure is reported on one of Netty's global threads, with a channel that never closes.
+   *
+   * @throws IOException if no file descriptor is left for the connection
    */
-  public static ChannelFuture connect(Bootstrap bootstrap, InetSocketAddress to)
+  public static ChannelFuture connect(Bootstrap bootstrap, InetSocketAddress address)
       throws IOException {
     Channel channel;
     try {
       channel = new NioSocketChannel();
     } catch (ChannelException e) {
-      throw new IOException("no descriptor for a connection", e);
+      throw new IOException("no file descriptor left for an outbound connection", e);
     }
-    return bootstrap.clone().channelFactory(() -> channel).connect(to);
+    return bootstrap.clone().channelFactory(() -> channel).connect(address);
   }
 }
--- a/edge/src/main/java/edgegateway/node/connections/TransportHandle.java
+++ b/edge/src/main/java/edgegateway/node/connections/TransportHandle.java
@@ -1,7 +1,7 @@
 package edgegateway.node.connections;
 
-/** The socket of a connection, as the connection tables see it. */
+/** The socket of a connection, as used by the connection tables. */
 public interface TransportHandle {
-  /** Closes it at once. */
+  /** Closes the socket immediately. */
   void close();
 }
--- a/edge/src/main/java/edgegateway/node/connections/Upstream.java
+++ b/edge/src/main/java/edgegateway/node/connections/Upstream.java
@@ -6,39 +6,42 @@
 import java.util.Set;
 
 /**
- * Connection pool of one run of an archive server at one address: gives an attempt an idle
- * connection, the next one that is released, a new one, or none. Times are nanoseconds of one
- * clock. For one thread.
+ * Connection pool of one archive server instance: an archive server between two restarts, at one
+ * address. It gives an attempt an idle connection, the next released connection, a new connection,
+ * or none. All times are nanoseconds of the same clock. Not thread-safe.
  */
 public final class Upstream {
   private static final long NANOS_PER_MILLI = 1_000_000L;
-  private static final int MAX_CONNECTING = 4;
+  private static final int MAX_CONCURRENT_CONNECTS = 4;
 
-  /** To a server in slow start, failing or suspected. */
-  private static final int MAX_CONNECTING_CAREFULLY = 1;
+  /** Applies while the server is in slow start, suspected, or failing to accept connections. */
+  private static final int MAX_CONCURRENT_CONNECTS_CAUTIOUS = 1;
 
-  /** Attempts that wait here for each connection in use or connecting. */
-  private static final int MAX_WAITING_PER_CONNECTION = 4;
+  /** Upper bound of the waiting attempts for each connection that is in use or connecting. */
+  private static final int MAX_WAITERS_PER_CONNECTION = 4;
 
-  private static final long MIN_RECHECK_NANOS = NANOS_PER_MILLI;
+  private static final long MIN_RECHECK_DELAY_NANOS = NANOS_PER_MILLI;
 
   private final UpstreamConnectionTable table;
   private final UpstreamTransport transport;
   private final Object address;
 
-  /** It has just begun, and has not responded yet. */
+  /** The server started recently and has not responded yet. */
   private boolean slowStart;
 
-  /** The one used last comes first. */
+  /** Most recently used first. */
   private final ArrayDeque<UpstreamConnection> idle = new ArrayDeque<>();
 
   private final Set<UpstreamConnection> inUse = new LinkedHashSet<>();
-  private final ArrayDeque<ConnectionWaiter> waiting = new ArrayDeque<>();
+  private final ArrayDeque<ConnectionWaiter> waiters = new ArrayDeque<>();
   private int connecting;
 
   private long lastResponseAtNanos = Long.MIN_VALUE;
 
-  /** An attempt timed out, and no response came since it was sent: idle connections may be dead. */
+  /**
+   * An attempt or a connect timed out, and the server has not responded since that attempt or
+   * connect began: idle connections may be dead.
+   */
   private boolean suspected;
 
   private boolean retired;
@@ -46,8 +49,8 @@
   private final ConnectBackoff backoff;
   private final LearnedConnectionLimit learnedLimit = new LearnedConnectionLimit();
 
-  /** From when a connection is given to an attempt to its response. */
-  private final MovingAverage useTime = new MovingAverage();
+  /** Time from assigning a connection to an attempt until its response. */
+  private final MovingAverage averageUseTime = new MovingAverage();
 
   Upstream(
       UpstreamConnectionTable table,
@@ -62,23 +65,24 @@
     this.slowStart = slowStart;
   }
 
-  /** Where it is; of the type that was given to the table. */
+  /** The server's address, as passed to {@link UpstreamConnectionTable#createUpstream}. */
   public Object address() {
     return address;
   }
 
-  /** Whether it was removed, terminates, has moved or has restarted. */
+  /** Whether the server was removed, is terminating, has moved or has restarted. */
   public boolean isRetired() {
     return retired;
   }
 
-  /** Connections that are open or connecting. */
+  /** The number of connections that are open or connecting. */
   public int connectionCount() {
     return idle.size() + inUse.size() + connecting;
   }
 
   /**
-   * Gives the waiter a connection, now or as soon as there is one, or tells it that there is none.
+   * Gives the waiter a connection, immediately or as soon as one is available, or reports that none
+   * is available.
    */
   public void acquire(long nowNanos, ConnectionWaiter waiter) {
     UpstreamConnection ready = suspected ? null : idle.peek();
@@ -87,23 +91,27 @@
     } else if (retired) {
       waiter.noConnection(true);
     } else {
-      waiting.add(waiter);
+      waiters.add(waiter);
       connectIfNeeded(nowNanos);
     }
   }
 
-  /** The waiter needs no connection any more; false if it was not waiting. */
+  /** Removes a waiter that no longer needs a connection; returns false if it was not waiting. */
   public boolean cancel(ConnectionWaiter waiter) {
-    return waiting.remove(waiter);
+    return waiters.remove(waiter);
   }
 
-  /** Opens connections for those that wait, as far as none will be released for them sooner. */
+  /**
+   * Opens connections for the waiters, except for as many waiters as are likely to get a released
+   * connection sooner. Rejects waiters if no connection is expected at all, and those over {@link
+   * #MAX_WAITERS_PER_CONNECTION}.
+   */
   public void connectIfNeeded(long nowNanos) {
     recheckScheduled = false;
-    while (!waiting.isEmpty()) {
-      int soonReleased = suspected ? 0 : countSoonReleased(nowNanos);
-      if (waiting.size() <= connecting + soonReleased) {
-        if (soonReleased > 0) {
+    while (!waiters.isEmpty()) {
+      int expectedReleases = suspected ? 0 : countExpectedReleases(nowNanos);
+      if (waiters.size() <= connecting + expectedReleases) {
+        if (expectedReleases > 0) {
           scheduleRecheck();
         }
         return;
@@ -113,49 +121,49 @@
       }
     }
     if (connecting == 0 && (suspected || inUse.isEmpty())) {
-      giveUpWaiting(nowNanos, table.isFull());
+      failWaiters(nowNanos, table.isFull());
     }
-    while (waiting.size() > MAX_WAITING_PER_CONNECTION * (inUse.size() + connecting)) {
-      waiting.pollLast().noConnection(true);
+    while (waiters.size() > MAX_WAITERS_PER_CONNECTION * (inUse.size() + connecting)) {
+      waiters.pollLast().noConnection(true);
     }
   }
 
-  /** A connection that is expected soon may not be released then after all. */
+  /** Checks again later, since a connection may not be released as early as expected. */
   private void scheduleRecheck() {
     if (!recheckScheduled) {
       recheckScheduled = true;
-      long delayNanos = Math.max(MIN_RECHECK_NANOS, (long) table.newConnectionCostNanos());
+      long delayNanos = Math.max(MIN_RECHECK_DELAY_NANOS, (long) table.newConnectionCostNanos());
       transport.scheduleRecheck(this, delayNanos);
     }
   }
 
-  /** How many connections are likely to be released sooner than a new one could be used. */
-  private int countSoonReleased(long nowNanos) {
-    double usualNanos = useTime.nanos();
+  /** The number of connections likely to be released before a new one would be usable. */
+  private int countExpectedReleases(long nowNanos) {
+    double averageNanos = averageUseTime.nanos();
     int count = 0;
     for (UpstreamConnection connection : inUse) {
-      double leftNanos = usualNanos - (nowNanos - connection.stateSinceNanos());
-      // One that is long overdue may stay so for long.
-      boolean overdue = leftNanos <= -usualNanos;
-      if (leftNanos < table.newConnectionCostNanos() && !overdue) {
+      double remainingNanos = averageNanos - (nowNanos - connection.stateSinceNanos());
+      // In use for twice the average time: it may stay in use for much longer.
+      boolean overdue = remainingNanos <= -averageNanos;
+      if (remainingNanos < table.newConnectionCostNanos() && !overdue) {
         count++;
       }
     }
     return count;
   }
 
-  /** Begins to connect once more; false if that is not allowed now. */
+  /** Starts connecting one more connection; returns false if that is not allowed now. */
   private boolean connect(long nowNanos) {
-    boolean careful = slowStart || suspected || backoff.isFailing();
-    int maxConnecting = careful ? MAX_CONNECTING_CAREFULLY : MAX_CONNECTING;
-    if (!backoff.allowsConnect(nowNanos) || connecting >= maxConnecting) {
+    boolean cautious = slowStart || suspected || backoff.isFailing();
+    int maxConcurrent = cautious ? MAX_CONCURRENT_CONNECTS_CAUTIOUS : MAX_CONCURRENT_CONNECTS;
+    if (!backoff.allowsConnect(nowNanos) || connecting >= maxConcurrent) {
       return false;
     }
     int maxOpen = Math.min(table.maxOpenPerUpstream(), learnedLimit.current(nowNanos));
     if (connectionCount() >= maxOpen) {
       return false;
     }
-    if (!table.makeRoom(this)) {
+    if (!table.ensureCapacity(this)) {
       return false;
     }
     connecting++;
@@ -164,21 +172,21 @@
     return true;
   }
 
-  private void giveUpWaiting(long nowNanos, boolean localCause) {
-    if (!waiting.isEmpty() && !idle.isEmpty()) {
-      // A suspected connection is better than none.
-      assign(idle.peek(), waiting.poll(), nowNanos);
+  private void failWaiters(long nowNanos, boolean localCause) {
+    if (!waiters.isEmpty() && !idle.isEmpty()) {
+      // An idle connection that may be dead is better than none.
+      assign(idle.peek(), waiters.poll(), nowNanos);
     }
-    rejectAllWaiting(localCause);
+    rejectAllWaiters(localCause);
   }
 
-  private void rejectAllWaiting(boolean localCause) {
-    for (ConnectionWaiter next = waiting.poll(); next != null; next = waiting.poll()) {
+  private void rejectAllWaiters(boolean localCause) {
+    for (ConnectionWaiter next = waiters.poll(); next != null; next = waiters.poll()) {
       next.noConnection(localCause);
     }
   }
 
-  /** Takes over an open connection; it is idle. */
+  /** Adds a connection that was opened elsewhere, as idle. */
   public UpstreamConnection adopt(long nowNanos) {
     UpstreamConnection connection = new UpstreamConnection(this, nowNanos);
     table.adopted();
@@ -186,15 +194,15 @@
     return connection;
   }
 
-  /** What waits is sent to it no more, and its idle connections are closed. */
+  /** Rejects all waiters and closes the idle connections. */
   public void rejectWaitersAndCloseIdle() {
     closeIdle();
-    rejectAllWaiting(true);
+    rejectAllWaiters(true);
   }
 
   /**
-   * It was removed, terminates, has moved or has restarted: its connections are of no more use, and
-   * those in use are closed when they are released.
+   * Ends the use of a server that was removed, is terminating, has moved or has restarted: rejects
+   * all waiters and closes the idle connections. Those in use are closed when they are released.
    */
   public void retire() {
     retired = true;
@@ -207,7 +215,7 @@
     }
   }
 
-  /** Closes a connection from this side. */
+  /** Removes a connection from the pool and closes its transport. */
   void close(UpstreamConnection connection) {
     remove(connection);
     connection.transport().close();
@@ -217,7 +225,7 @@
     connecting--;
     backoff.connected();
     table.connected(nowNanos - connection.stateSinceNanos());
-    reassign(connection, nowNanos);
+    assignOrMakeIdle(connection, nowNanos);
     connectIfNeeded(nowNanos);
   }
 
@@ -226,23 +234,24 @@
     remove(connection);
     if (failure == ConnectFailure.NO_DESCRIPTOR) {
       backoff.descriptorsExhausted(nowNanos);
-      giveUpWaiting(nowNanos, true);
+      failWaiters(nowNanos, true);
       return;
     }
     backoff.connectFailed(nowNanos);
     int established = idle.size() + inUse.size();
     if (suspected) {
-      // It can't be reached: what is idle is dead.
+      // The server is unreachable, so its idle connections are dead too.
       closeIdle();
     } else if (failure == ConnectFailure.UNRESPONSIVE) {
       suspected = lastResponseAtNanos < connection.stateSinceNanos();
     } else if (established > 0) {
-      // It serves on others, so it has no room for one more: what waits has these.
-      learnedLimit.refusedBeyond(established, nowNanos);
+      // The server has open connections but refuses another one, so it is at its limit: the waiters
+      // get the open connections.
+      learnedLimit.connectRefused(established, nowNanos);
       connectIfNeeded(nowNanos);
       return;
     }
-    ConnectionWaiter first = waiting.poll();
+    ConnectionWaiter first = waiters.poll();
     if (first != null) {
       first.noConnection(false);
     }
@@ -251,7 +260,7 @@
 
   void released(UpstreamConnection connection, long nowNanos) {
     inUse.remove(connection);
-    reassign(connection, nowNanos);
+    assignOrMakeIdle(connection, nowNanos);
   }
 
   void responseReceived(
@@ -260,7 +269,7 @@
     lastResponseAtNanos = nowNanos;
     suspected = false;
     slowStart = false;
-    useTime.add(durationNanos);
+    averageUseTime.add(durationNanos);
     table.responded(durationNanos, first);
     if (reusable) {
       released(connection, nowNanos);
@@ -276,19 +285,19 @@
     }
   }
 
-  /** What waits may need another connection now. */
+  /** Removes a closed connection, and opens a new one if waiters need it. */
   void closed(UpstreamConnection connection, long nowNanos) {
     remove(connection);
     connectIfNeeded(nowNanos);
   }
 
-  /** A connection that is not in use goes to the first that waits, or becomes idle. */
-  private void reassign(UpstreamConnection connection, long nowNanos) {
+  /** Gives an unused connection to the first waiter, or makes it idle if there is none. */
+  private void assignOrMakeIdle(UpstreamConnection connection, long nowNanos) {
     if (retired) {
       close(connection);
       return;
     }
-    ConnectionWaiter next = waiting.poll();
+    ConnectionWaiter next = waiters.poll();
     if (next == null) {
       makeIdle(connection, nowNanos);
     } else {
--- a/edge/src/main/java/edgegateway/node/connections/UpstreamConnection.java
+++ b/edge/src/main/java/edgegateway/node/connections/UpstreamConnection.java
@@ -1,9 +1,10 @@
 package edgegateway.node.connections;
 
 /**
- * State machine of one connection to an archive server: connecting, then idle and in use by turns,
- * then closed. Its events are reported to it by what does the I/O; times are nanoseconds of one
- * clock. An event that does not fit its state is ignored, so both sides may close it.
+ * State machine of one connection to an archive server: connecting, then alternately idle and in
+ * use, then closed. The channel handler and the attempts report events to it; all times are
+ * nanoseconds of the same clock. An event that is not valid in the current state is ignored, since
+ * the pool and the channel may both close the connection.
  */
 public final class UpstreamConnection {
   private enum State {
@@ -16,7 +17,7 @@
   private final Upstream upstream;
   private State state = State.CONNECTING;
 
-  /** When it began to connect, to be in use or to be idle. */
+  /** Start time of the current state: of connecting, use or idleness. */
   private long stateSinceNanos;
 
   private boolean hasResponded;
@@ -27,22 +28,22 @@
     stateSinceNanos = nowNanos;
   }
 
-  /** Whose connection it is. */
+  /** The pool that this connection belongs to. */
   public Upstream upstream() {
     return upstream;
   }
 
-  /** What carries its bytes; null until it is attached. */
+  /** The connection's socket; null until attached. */
   public TransportHandle transport() {
     return transport;
   }
 
-  /** Attaches what carries its bytes. */
-  public void attachTransport(TransportHandle attached) {
-    transport = attached;
+  /** Attaches the connection's socket. */
+  public void attachTransport(TransportHandle transport) {
+    this.transport = transport;
   }
 
-  /** It is established. */
+  /** Reports that the connection is established. */
   public void connected(long nowNanos) {
     if (state == State.CONNECTING) {
       state = State.IDLE;
@@ -50,14 +51,14 @@
     }
   }
 
-  /** It could not be established. */
+  /** Reports that the connection could not be established. */
   public void connectFailed(long nowNanos, ConnectFailure failure) {
     if (state == State.CONNECTING) {
       upstream.connectFailed(this, nowNanos, failure);
     }
   }
 
-  /** Its attempt does not use it any more, or has not used it at all. */
+  /** Returns the connection to the pool without a response, for instance unused. */
   public void release(long nowNanos) {
     if (state == State.IN_USE) {
       upstream.released(this, nowNanos);
@@ -65,9 +66,10 @@
   }
 
   /**
-   * A complete response came to the attempt on it.
+   * Reports that the complete response to the attempt on this connection has arrived.
    *
-   * @param reusable whether another attempt may use it; if not, it is about to be closed
+   * @param reusable whether another attempt may use the connection; otherwise it is counted as
+   *     closed, and the caller closes it
    */
   public void responseReceived(long nowNanos, boolean reusable) {
     if (state != State.IN_USE) {
@@ -78,14 +80,17 @@
     upstream.responseReceived(this, nowNanos, first, reusable);
   }
 
-  /** An attempt that was written completely had no response in time; it is about to be closed. */
+  /**
+   * Reports that a completely written attempt got no response in time. The caller closes the
+   * connection afterwards.
+   */
   public void timedOut(long nowNanos) {
     if (state == State.IN_USE) {
       upstream.timedOut(this);
     }
   }
 
-  /** It is closed, by whichever side; may be repeated. */
+  /** Reports that the connection was closed by either side; idempotent. */
   public void closed(long nowNanos) {
     if (state != State.CLOSED) {
       upstream.closed(this, nowNanos);
--- a/edge/src/main/java/edgegateway/node/connections/UpstreamConnectionTable.java
+++ b/edge/src/main/java/edgegateway/node/connections/UpstreamConnectionTable.java
@@ -5,19 +5,20 @@
 import java.util.SplittableRandom;
 
 /**
- * All connections to archive servers: their bounds, which idle one is closed next, and what a new
- * one costs. Which connection an attempt gets is decided by each server's {@link Upstream}. No I/O
- * is done here; the clock is given, in nanoseconds. For one thread.
+ * All connections to archive servers: enforces the limits, selects the idle connection to close
+ * next, and estimates the cost of a new connection. Which connection an attempt gets is decided by
+ * the server's {@link Upstream}. Does no I/O; callers pass the time, in nanoseconds of one clock.
+ * Not thread-safe.
  *
- * <p>What each node does alone adds up over a fleet: an archive server holds few connections, and
- * each new one costs it work. So connections are opened for attempts that wait and no more, one at
+ * <p>The connections of all nodes add up at an archive server, which can hold few connections and
+ * has work with each new one. A node therefore opens connections only for waiting attempts, one at
  * a time to a server that is in slow start or failing, and with backoff to one that refuses them.
  */
 public final class UpstreamConnectionTable {
   private static final long NANOS_PER_MILLI = 1_000_000L;
-  private static final long ASSUMED_CONNECT_NANOS = NANOS_PER_MILLI;
+  private static final long INITIAL_CONNECT_ESTIMATE_NANOS = NANOS_PER_MILLI;
 
-  /** How far ahead of the archive server's keep-alive timeout an idle connection is closed. */
+  /** Minimum time before the archive server's keep-alive timeout to close an idle connection. */
   private static final long MIN_KEEP_ALIVE_MARGIN_NANOS = 1_000 * NANOS_PER_MILLI;
 
   private static final int KEEP_ALIVE_MARGIN_DIVISOR = 10;
@@ -27,23 +28,27 @@
   private final SplittableRandom random;
   private final long maxIdleNanos;
 
-  /** Idle for longest first; one set for all, since thousands of archive servers have none. */
+  /**
+   * The longest idle first. One set for all servers, since out of thousands of archive servers most
+   * have no idle connection.
+   */
   private final Set<UpstreamConnection> idle = new LinkedHashSet<>();
 
-  private final MovingAverage connectTime = new MovingAverage(ASSUMED_CONNECT_NANOS);
-  private final MovingAverage firstResponseTime = new MovingAverage();
-  private final MovingAverage laterResponseTime = new MovingAverage();
+  private final MovingAverage averageConnectTime =
+      new MovingAverage(INITIAL_CONNECT_ESTIMATE_NANOS);
+  private final MovingAverage averageFirstResponseTime = new MovingAverage();
+  private final MovingAverage averageLaterResponseTime = new MovingAverage();
   private int maxOpen = Integer.MAX_VALUE;
   private int maxOpenPerUpstream = Integer.MAX_VALUE;
 
-  /** Established or connecting. */
+  /** Number of connections that are established or connecting. */
   private int open;
 
   /**
-   * No connection yet.
+   * Creates an empty table.
    *
-   * @param seed of the backoff's jitter
-   * @param keepAliveNanos after which an archive server itself closes an idle connection
+   * @param seed seed of the backoff's jitter
+   * @param keepAliveNanos time after which an archive server closes an idle connection
    */
   public UpstreamConnectionTable(
       UpstreamTransport transport, ConnectionMetrics metrics, long seed, long keepAliveNanos) {
@@ -53,34 +58,38 @@
     maxIdleNanos = maxIdleNanos(keepAliveNanos);
   }
 
-  /** For how long a connection is kept idle whose other side closes it after the keep-alive. */
+  /**
+   * The time after which this side closes an idle connection that the server closes after its
+   * keep-alive timeout.
+   */
   public static long maxIdleNanos(long keepAliveNanos) {
-    // A request written to a connection that the other side closes ends as a reset: stay ahead of
-    // that by more than a response's way here.
-    long margin = Math.max(MIN_KEEP_ALIVE_MARGIN_NANOS, keepAliveNanos / KEEP_ALIVE_MARGIN_DIVISOR);
-    return Math.max(keepAliveNanos / 2, keepAliveNanos - margin);
+    // A request that crosses the server's close fails with a reset: the margin exceeds the network
+    // delay of a response.
+    long marginNanos =
+        Math.max(MIN_KEEP_ALIVE_MARGIN_NANOS, keepAliveNanos / KEEP_ALIVE_MARGIN_DIVISOR);
+    return Math.max(keepAliveNanos / 2, keepAliveNanos - marginNanos);
   }
 
-  /** Follows a new budget; idle connections beyond it are closed. */
+  /** Applies a new budget; closes idle connections that exceed it. */
   public void applyBudget(DescriptorBudget budget) {
     maxOpen = budget.upstreams();
     maxOpenPerUpstream = budget.perUpstream();
-    boolean closedOne = true;
-    while (open > maxOpen && closedOne) {
-      closedOne = closeLongestIdle(null);
+    boolean closed = true;
+    while (open > maxOpen && closed) {
+      closed = closeLongestIdle(null);
     }
   }
 
   /**
-   * An archive server that was listed: one run of it at one address.
+   * Creates the connection pool of one listed archive server instance at one address.
    *
-   * @param slowStart whether it has just begun, and is known to be slow at first
+   * @param slowStart whether the server started recently and is therefore still slow
    */
   public Upstream createUpstream(Object address, boolean slowStart) {
     return new Upstream(this, transport, new ConnectBackoff(random), address, slowStart);
   }
 
-  /** Closes connections that were idle for as long as they may. */
+  /** Closes connections that have been idle for longer than allowed. */
   public void closeExpired(long nowNanos) {
     while (!idle.isEmpty()) {
       UpstreamConnection longestIdle = idle.iterator().next();
@@ -91,10 +100,14 @@
     }
   }
 
-  /** Closes the connection that was idle for longest; false if there is none of another server. */
-  private boolean closeLongestIdle(Upstream except) {
+  /**
+   * Closes the connection that has been idle the longest; returns false if no connection is idle.
+   *
+   * @param excluded the server whose connections are not considered; null for none
+   */
+  private boolean closeLongestIdle(Upstream excluded) {
     for (UpstreamConnection connection : idle) {
-      if (connection.upstream() != except) {
+      if (connection.upstream() != excluded) {
         connection.upstream().close(connection);
         return true;
       }
@@ -110,8 +123,11 @@
     return open >= maxOpen;
   }
 
-  /** Makes room for one more connection of this server; false if there is none. */
-  boolean makeRoom(Upstream upstream) {
+  /**
+   * Makes sure that this server may open one more connection, if necessary by closing an idle
+   * connection of another server; returns false if that is not possible.
+   */
+  boolean ensureCapacity(Upstream upstream) {
     return !isFull() || closeLongestIdle(upstream);
   }
 
@@ -122,14 +138,14 @@
   }
 
   void connected(long durationNanos) {
-    connectTime.add(durationNanos);
+    averageConnectTime.add(durationNanos);
   }
 
   void connectFailed() {
     metrics.upstreamConnectFailures.incrementAndGet();
   }
 
-  /** An open connection was taken over. */
+  /** Counts a connection that was opened elsewhere. */
   void adopted() {
     open++;
   }
@@ -139,7 +155,7 @@
   }
 
   void responded(long durationNanos, boolean first) {
-    (first ? firstResponseTime : laterResponseTime).add(durationNanos);
+    (first ? averageFirstResponseTime : averageLaterResponseTime).add(durationNanos);
   }
 
   void becameIdle(UpstreamConnection connection) {
@@ -155,12 +171,12 @@
     metrics.upstreamsOpen.set(open);
   }
 
-  /** What a new connection costs in time, compared with one that is open. */
+  /** Extra latency of an attempt on a new connection, compared with an established one. */
   double newConnectionCostNanos() {
-    double firstResponseExtra =
-        laterResponseTime.nanos() == 0
+    double firstResponseExtraNanos =
+        averageLaterResponseTime.nanos() == 0
             ? 0
-            : Math.max(0, firstResponseTime.nanos() - laterResponseTime.nanos());
-    return connectTime.nanos() + firstResponseExtra;
+            : Math.max(0, averageFirstResponseTime.nanos() - averageLaterResponseTime.nanos());
+    return averageConnectTime.nanos() + firstResponseExtraNanos;
   }
 }
--- a/edge/src/main/java/edgegateway/node/connections/UpstreamTransport.java
+++ b/edge/src/main/java/edgegateway/node/connections/UpstreamTransport.java
@@ -1,10 +1,10 @@
 package edgegateway.node.connections;
 
-/** What {@link UpstreamConnectionTable} needs done: it does no I/O and has no timers. */
+/** The I/O and timers of {@link UpstreamConnectionTable}, which has none itself. */
 public interface UpstreamTransport {
   /**
-   * Begins to connect. {@link UpstreamConnection#connected} or {@link
-   * UpstreamConnection#connectFailed} follows, never from within this call.
+   * Starts connecting. Reports the result to {@link UpstreamConnection#connected} or {@link
+   * UpstreamConnection#connectFailed}, never from within this call.
    */
   void connect(UpstreamConnection connection);
 
--- a/edge/src/test/java/edgegateway/node/connections/ConnectBackoffTest.java
+++ b/edge/src/test/java/edgegateway/node/connections/ConnectBackoffTest.java
@@ -49,7 +49,7 @@
   void aLearnedLimitGrowsByOneEachPeriod() {
     LearnedConnectionLimit limit = new LearnedConnectionLimit();
     assertEquals(Integer.MAX_VALUE, limit.current(10_000 * MS));
-    limit.refusedBeyond(3, 10_000 * MS);
+    limit.connectRefused(3, 10_000 * MS);
     assertEquals(3, limit.current(12_000 * MS));
     assertEquals(4, limit.current(12_001 * MS));
     assertEquals(4, limit.current(14_001 * MS));
