--- a/edge/src/main/java/edgegateway/node/connections/ClientConnection.java
+++ b/edge/src/main/java/edgegateway/node/connections/ClientConnection.java
@@ -4,26 +4,27 @@
 import java.util.concurrent.atomic.AtomicLong;
 
 /**
- * A client's connection in the {@link ClientConnectionTable}: its state and since when. Its session
- * reports what happens on the socket; the table closes it through its {@link TransportHandle}. For
- * the event loop's thread; times are nanoseconds of the table's clock.
+ * A client's connection in the {@link ClientConnectionTable}: its state and the times that its
+ * timeouts depend on. The session of the connection reports socket events to it; the table closes
+ * the socket through the {@link TransportHandle}. Used on the event loop's thread only; times are
+ * nanoseconds of the table's clock.
  */
 public final class ClientConnection {
-  /** What the connection does. */
+  /** What the connection is doing. */
   enum State {
     /** The TLS handshake has not completed. */
     HANDSHAKING,
-    /** Nothing of the first request has arrived. */
+    /** No byte of the first request has arrived. */
     NEW,
     /** Between requests. */
     IDLE,
-    /** A request's head has not arrived whole. */
+    /** A request head is incomplete. */
     READING_HEAD,
-    /** A request's body has not arrived whole. */
+    /** A request body is incomplete. */
     READING_BODY,
-    /** A request is accepted, and its response not complete. */
+    /** A request was accepted, and its response is incomplete. */
     IN_FLIGHT,
-    /** The last response is being written, or was. */
+    /** The last response is being written or has been written. */
     CLOSING
   }
 
@@ -33,134 +34,137 @@
   private final TransportHandle transport;
   private final boolean tls;
   private final boolean overCapacity;
-  private final long acceptedNanos;
+  private final long acceptedAtNanos;
   private State state;
 
-  /** When the wait for the present request began. */
-  private long waitStartNanos;
+  /** When the wait for the current request began. */
+  private long waitStartedAtNanos;
 
-  /** When something of the present request last arrived. */
-  private long lastReceivedNanos;
+  /** When bytes of the current request last arrived. */
+  private long lastReceivedAtNanos;
 
   private long bodyBytes;
   private int pendingWrites;
-  private long lastWriteProgressNanos;
+  private long lastWriteProgressAtNanos;
   private boolean responded;
   private boolean closed;
 
-  /** Why it is selected for eviction; null if it is not. */
+  /** Why the connection is selected for eviction; null if it is not selected. */
   private CloseReason evictionReason;
 
-  /** Belongs to the table, which adds it to its peer. */
+  /** Created by the table, which then counts the connection at its peer. */
   ClientConnection(
       ClientConnectionTable table,
       PeerConnections peer,
       TransportHandle transport,
       boolean tls,
       boolean overCapacity,
-      long now) {
+      long nowNanos) {
     this.table = table;
     this.metrics = table.metrics();
     this.peer = peer;
     this.transport = transport;
     this.tls = tls;
     this.overCapacity = overCapacity;
-    acceptedNanos = now;
-    waitStartNanos = now;
-    lastReceivedNanos = now;
+    acceptedAtNanos = nowNanos;
+    waitStartedAtNanos = nowNanos;
+    lastReceivedAtNanos = nowNanos;
     enter(tls ? State.HANDSHAKING : State.NEW);
   }
 
-  /** Whether it was accepted over capacity: its request is to be rejected. */
+  /** Whether the connection was accepted over capacity, only to have its request rejected. */
   public boolean isOverCapacity() {
     return overCapacity;
   }
 
-  /** Whether nothing of a request has arrived since the last response. */
+  /** Whether no byte of a request has arrived since the last response. */
   public boolean isIdle() {
     return state == State.NEW || state == State.IDLE;
   }
 
   /**
-   * Whether the next response should close it: it was accepted over capacity, or the table is over
-   * capacity and no peer has more connections than this one's.
+   * Whether to close the connection after the next response: it was accepted over capacity, or the
+   * table is over capacity and no peer has more connections than the peer of this connection.
    */
   public boolean shouldCloseAfterResponse() {
     return overCapacity || table.isOverCapacityBy(peer);
   }
 
-  /** The TLS handshake completed. */
+  /** Reports that the TLS handshake completed. */
   public void handshakeCompleted() {
     if (state == State.HANDSHAKING) {
       enter(State.NEW);
     }
   }
 
-  /** Bytes of an incomplete head or body arrived. */
-  public void bytesReceived(long now, int bytes) {
-    lastReceivedNanos = now;
+  /** Reports that bytes of an incomplete head or body arrived. */
+  public void bytesReceived(long nowNanos, int bytes) {
+    lastReceivedAtNanos = nowNanos;
     bodyBytes += bytes;
     if (state == State.IDLE) {
-      waitStartNanos = now;
+      waitStartedAtNanos = nowNanos;
     }
     if (isIdle()) {
       enter(State.READING_HEAD);
     }
   }
 
-  /** A request's head is complete. */
-  public void headReceived(long now) {
-    bytesReceived(now, 0);
+  /** Reports that a request head is complete. */
+  public void headReceived(long nowNanos) {
+    bytesReceived(nowNanos, 0);
     bodyBytes = 0;
     enter(State.READING_BODY);
   }
 
-  /** The request is complete, or is forwarded as it arrives. */
+  /** Reports that the request is complete, or that its body is forwarded as it arrives. */
   public void requestReceived() {
     enter(State.IN_FLIGHT);
   }
 
-  /** The response is complete, and the connection persists. */
-  public void responseSent(long now) {
+  /** Reports that the response is complete and the connection stays open. */
+  public void responseSent(long nowNanos) {
     responded = true;
-    waitStartNanos = now;
-    lastReceivedNanos = now;
+    waitStartedAtNanos = nowNanos;
+    lastReceivedAtNanos = nowNanos;
     bodyBytes = 0;
     enter(State.IDLE);
   }
 
-  /** The connection closes once what is pending has been written. */
+  /** Reports that the connection will be closed after the pending writes. */
   public void closing() {
     enter(State.CLOSING);
   }
 
-  /** The last response was written, and only the client's close is awaited: its place is free. */
+  /**
+   * Reports that the last response was written and only the client's close is awaited. The
+   * connection no longer counts against the capacity.
+   */
   public void lingering() {
     if (!closed) {
       table.lingering(this);
     }
   }
 
-  /** A response is being written. */
-  public void writeStarted(long now) {
+  /** Reports that a write of a response began. */
+  public void writeStarted(long nowNanos) {
     if (pendingWrites == 0) {
-      lastWriteProgressNanos = now;
+      lastWriteProgressAtNanos = nowNanos;
     }
     pendingWrites++;
   }
 
-  /** A response was written, or failed to be. */
-  public void writeCompleted(long now) {
+  /** Reports that a write of a response succeeded or failed. */
+  public void writeCompleted(long nowNanos) {
     pendingWrites--;
-    lastWriteProgressNanos = now;
+    lastWriteProgressAtNanos = nowNanos;
   }
 
-  /** The client ended its side, and waits for its response. */
+  /** Reports that the client shut down its output while it waits for a response. */
   public void halfClosed() {
     metrics.halfClosed.incrementAndGet();
   }
 
-  /** The socket is closed. May be repeated. */
+  /** Reports that the socket is closed; idempotent. */
   public void closed() {
     if (closed) {
       return;
@@ -170,13 +174,13 @@
     table.removed(this);
   }
 
-  /** Has the socket closed; that is reported by {@link #closed}. */
+  /** Closes the socket; the session then calls {@link #closed}. */
   void close(CloseReason reason) {
     metrics.closed(reason);
     transport.close();
   }
 
-  /** Has the socket closed to make room while it lingers, and leaves the table before that. */
+  /** Removes a lingering connection from the table and closes its socket, to free capacity. */
   void closeLingering() {
     closed();
     transport.close();
@@ -190,26 +194,27 @@
     return state;
   }
 
-  long ageNanos(long now) {
-    return now - acceptedNanos;
+  long ageNanos(long nowNanos) {
+    return nowNanos - acceptedAtNanos;
   }
 
-  /** How long the present state's request has been awaited. */
-  long waitedNanos(long now) {
-    return now - waitStartNanos;
+  /** Time since the wait for the current request began. */
+  long waitedNanos(long nowNanos) {
+    return nowNanos - waitStartedAtNanos;
   }
 
-  long silentNanos(long now) {
-    return now - lastReceivedNanos;
+  /** Time since bytes of the current request last arrived. */
+  long receiveStalledNanos(long nowNanos) {
+    return nowNanos - lastReceivedAtNanos;
   }
 
   long bodyBytes() {
     return bodyBytes;
   }
 
-  /** How long writing has made no progress; 0 if nothing is being written. */
-  long writeStalledNanos(long now) {
-    return pendingWrites > 0 ? now - lastWriteProgressNanos : 0;
+  /** Time since the last write progress; 0 if no write is pending. */
+  long writeStalledNanos(long nowNanos) {
+    return pendingWrites > 0 ? nowNanos - lastWriteProgressAtNanos : 0;
   }
 
   boolean awaitsFirstHeadOverTls() {
@@ -238,7 +243,7 @@
     }
     peer.setNotEvictable(this);
     if (evictionReason != null) {
-      // A request came before its turn.
+      // A request arrived before the eviction took place.
       evictionReason = null;
       table.evictionCancelled(this);
     }
@@ -255,7 +260,7 @@
     }
   }
 
-  /** The gauge that counts connections in this state; null if none does. */
+  /** The gauge of connections in the current state; null if the state has no gauge. */
   private AtomicLong gauge() {
     if (state == State.HANDSHAKING) {
       return metrics.handshaking;
--- a/edge/src/main/java/edgegateway/node/connections/ClientConnectionTable.java
+++ b/edge/src/main/java/edgegateway/node/connections/ClientConnectionTable.java
@@ -9,28 +9,32 @@
 import java.util.Set;
 
 /**
- * The table of clients' connections: which are accepted, which are evicted to make room, and which
- * have timed out ({@link ClientTimeouts}). It does no I/O: sessions report what happens on their
- * sockets to their {@link ClientConnection}, and the table closes sockets through {@link
- * TransportHandle}. For the event loop's thread; times are nanoseconds of one clock.
+ * The table of clients' connections. It decides which connections are accepted, which are evicted
+ * to free capacity, and which have timed out ({@link ClientTimeouts}). It does no I/O: sessions
+ * report socket events to their {@link ClientConnection}, and the table closes sockets through
+ * {@link TransportHandle}. Used on the event loop's thread only; times are nanoseconds of one
+ * clock.
  *
- * <p>Up to its capacity the table accepts every connection. Beyond it, places are shared max-min
- * among peer addresses: the peer with the most connections gives up the one that has been idle
+ * <p>Up to its capacity the table accepts every connection. Beyond that, peer addresses get max-min
+ * fair shares: the peer with the most connections loses the connection that has been idle the
  * longest, and a new connection of that peer is accepted only to have its request rejected.
  */
 public final class ClientConnectionTable {
-  /** How long connections keep arriving in a drain. */
+  /** How long new connections keep arriving after a drain began. */
   public static final long DRAIN_GRACE_NANOS = ClientTimeouts.DRAIN_GRACE_NANOS;
 
-  /** Evictions at once; what the others have sent is read before their turn comes. */
+  /**
+   * Connections evicted in one step. Before the next step the sockets are read, so that a request
+   * that has already arrived cancels the eviction.
+   */
   private static final int MAX_EVICTIONS_PER_STEP = 4;
 
-  /** The part of the rejection slots that connections awaiting their rejection may take. */
+  /** Connections accepted over capacity may take this fraction (1/n) of the rejection slots. */
   private static final int REJECTION_SLOTS_DIVISOR = 3;
 
-  /** Runs evictions on behalf of the table. */
+  /** Schedules the table's evictions on the event loop. */
   public interface EvictionScheduler {
-    /** Has {@link ClientConnectionTable#evictSelected} called once the sockets were read again. */
+    /** Calls {@link ClientConnectionTable#evictSelected} after the sockets have been read. */
     void scheduleEvictions();
   }
 
@@ -41,75 +45,82 @@
   private final ClientPeers peers = new ClientPeers();
   private final Set<ClientConnection> connections = new LinkedHashSet<>();
 
-  /** Accepted over capacity, the longest waiting first. */
+  /** Connections accepted over capacity, the longest waiting first. */
   private final Set<ClientConnection> overCapacity = new LinkedHashSet<>();
 
-  /** Evicted when their turn comes, unless a request arrives before that. */
+  /** Connections to evict in the next steps, unless a request arrives before. */
   private final Set<ClientConnection> selectedForEviction = new LinkedHashSet<>();
 
-  /** The last response is written and only the client's close is awaited, the longest first. */
+  /**
+   * Connections whose last response was written and that only await the client's close, the longest
+   * waiting first.
+   */
   private final Set<ClientConnection> lingering = new LinkedHashSet<>();
 
-  /** Connections beyond capacity, while room is made or a rejection is written. */
+  /** Extra connections over the capacity, for the time of an eviction or a rejection. */
   private int rejectionSlots;
 
   private boolean draining;
   private boolean evictionScheduled;
 
-  /** Has no capacity until {@link #applyBudget}. */
+  /** Creates an empty table whose capacity is 0 until {@link #applyBudget}. */
   public ClientConnectionTable(EvictionScheduler evictionScheduler, ConnectionMetrics metrics) {
     this.evictionScheduler = evictionScheduler;
     this.metrics = metrics;
   }
 
-  /** Applies a new budget; connections beyond it are closed as they become idle. */
-  public void applyBudget(long now, DescriptorBudget budget) {
+  /** Applies a new budget; connections that exceed it are closed as they become idle. */
+  public void applyBudget(long nowNanos, DescriptorBudget budget) {
     capacity.setBudgeted(budget.clients());
     rejectionSlots = budget.rejectionSlots();
-    timeouts.setIdleNanos(budget.idleTimeoutNanos());
-    evictOverCapacity(now);
+    timeouts.setIdleTimeoutNanos(budget.idleTimeoutNanos());
+    evictOverCapacity(nowNanos);
   }
 
-  /** Whether no further connection is accepted, not even to have its request rejected. */
+  /** Whether no connection can be accepted, not even to have its request rejected. */
   public boolean isFull() {
     return connections.size() >= capacity.connections() + rejectionSlots;
   }
 
-  /** How many are open. */
+  /** The number of open connections. */
   public int openCount() {
     return connections.size();
   }
 
   /**
-   * The process has no descriptor left, whatever the budget says: for a while the table keeps below
-   * the present number. False if it did so already.
+   * Reports that the process has no file descriptor left although the budget allows more
+   * connections. For some time the capacity is lowered below the current number of connections.
+   *
+   * @return false if the capacity was already lowered for that reason
    */
-  public boolean descriptorsExhausted(long now) {
+  public boolean descriptorsExhausted(long nowNanos) {
     metrics.descriptorsExhausted.incrementAndGet();
-    boolean first = capacity.descriptorsExhausted(now, connections.size());
-    evictOverCapacity(now);
+    boolean first = capacity.descriptorsExhausted(nowNanos, connections.size());
+    evictOverCapacity(nowNanos);
     return first;
   }
 
   /**
-   * Adds a connection that the socket accepted.
+   * Adds a connection that the listening socket accepted.
    *
-   * @return null if the table is full, and the connection is to be closed
+   * @return null if the table is full; the caller then closes the connection
    */
   public ClientConnection accept(
-      long now, SocketAddress remoteAddress, boolean tls, TransportHandle transport) {
+      long nowNanos, SocketAddress remoteAddress, boolean tls, TransportHandle transport) {
     if (isFull() && !lingering.isEmpty()) {
       lingering.iterator().next().closeLingering();
     }
     PeerConnections peer = peers.at(remoteAddress);
-    boolean hasPlace = occupiedPlaces() < capacity.connections() || evictFor(now, peer);
-    boolean rejected = !hasPlace && peer.count() >= peers.largestCount();
+    boolean withinCapacity =
+        countAgainstCapacity() < capacity.connections() || evictFor(nowNanos, peer);
+    boolean rejected = !withinCapacity && peer.count() >= peers.maxConnectionCount();
     if (rejected && !freeRejectionSlot() || isFull()) {
       peers.removeIfEmpty(peer);
       metrics.rejected.incrementAndGet();
       return null;
     }
-    ClientConnection connection = new ClientConnection(this, peer, transport, tls, rejected, now);
+    ClientConnection connection =
+        new ClientConnection(this, peer, transport, tls, rejected, nowNanos);
     peer.connectionAdded();
     connections.add(connection);
     metrics.clientsOpen.set(connections.size());
@@ -120,14 +131,17 @@
     return connection;
   }
 
-  /** Closes some of those selected for eviction; called as the {@link EvictionScheduler} says. */
-  public void evictSelected(long now) {
+  /**
+   * Closes the next few connections that are selected for eviction. Called by the {@link
+   * EvictionScheduler}.
+   */
+  public void evictSelected(long nowNanos) {
     evictionScheduled = false;
     int closed = 0;
-    Iterator<ClientConnection> next = selectedForEviction.iterator();
-    while (closed < MAX_EVICTIONS_PER_STEP && next.hasNext()) {
-      ClientConnection connection = next.next();
-      next.remove();
+    Iterator<ClientConnection> selected = selectedForEviction.iterator();
+    while (closed < MAX_EVICTIONS_PER_STEP && selected.hasNext()) {
+      ClientConnection connection = selected.next();
+      selected.remove();
       CloseReason reason = connection.evictionReason();
       connection.setEvictionReason(null);
       if (reason != CloseReason.DRAINED || draining && connection.isIdle()) {
@@ -135,19 +149,19 @@
         closed++;
       }
     }
-    evictOverCapacity(now);
+    evictOverCapacity(nowNanos);
     if (!selectedForEviction.isEmpty()) {
       scheduleEvictions();
     }
   }
 
-  /** Begins or ends a drain, in which connections without a request time out sooner. */
+  /** Starts or ends a drain, during which connections without a request time out sooner. */
   public void setDraining(boolean draining) {
     this.draining = draining;
     timeouts.setDraining(draining);
   }
 
-  /** The grace time of a drain is over: all idle connections are evicted, some at a time. */
+  /** Evicts all idle connections, a few per step. Called at the end of a drain's grace period. */
   public void closeIdleConnections() {
     for (ClientConnection connection : connections) {
       if (connection.isIdle()
@@ -158,34 +172,34 @@
     }
   }
 
-  /** Closes connections that timed out; called about every 0.2 s. */
-  public void enforceTimeouts(long now) {
-    capacity.recover(now);
+  /** Closes connections that have timed out; called about every 0.2 s. */
+  public void enforceTimeouts(long nowNanos) {
+    capacity.recover(nowNanos);
     for (ClientConnection connection : new ArrayList<>(connections)) {
-      CloseReason expired = timeouts.expired(connection, now);
+      CloseReason expired = timeouts.expired(connection, nowNanos);
       if (expired != null) {
         connection.close(expired);
       }
     }
-    evictOverCapacity(now);
+    evictOverCapacity(nowNanos);
   }
 
   ConnectionMetrics metrics() {
     return metrics;
   }
 
-  /** A request arrived on a connection before its eviction. */
+  /** Called when a request arrived on a connection before its eviction. */
   void evictionCancelled(ClientConnection connection) {
     selectedForEviction.remove(connection);
   }
 
-  /** A connection waits for the client's close only: its place is free for others. */
+  /** Called when a connection awaits only the client's close: it no longer takes capacity. */
   void lingering(ClientConnection connection) {
     overCapacity.remove(connection);
     lingering.add(connection);
   }
 
-  /** A connection's socket is closed. */
+  /** Called when the socket of a connection is closed. */
   void removed(ClientConnection connection) {
     connections.remove(connection);
     connection.peer().connectionRemoved(connection);
@@ -195,19 +209,21 @@
     metrics.clientsOpen.set(connections.size());
   }
 
-  /** Whether the table is over capacity, and no peer has more connections than this one. */
+  /** Whether the table is over capacity and no peer has more connections than this peer. */
   boolean isOverCapacityBy(PeerConnections peer) {
-    return occupiedPlaces() > capacity.connections() && peer.count() >= peers.largestCount();
+    return countAgainstCapacity() > capacity.connections()
+        && peer.count() >= peers.maxConnectionCount();
   }
 
-  /** Connections that have a place and keep it for now. */
-  private int occupiedPlaces() {
+  /** The number of connections that count against the capacity. */
+  private int countAgainstCapacity() {
     return connections.size() - overCapacity.size() - selectedForEviction.size() - lingering.size();
   }
 
   /**
-   * Whether a connection may be accepted to have its request rejected. If all slots for that are
-   * taken, the one that has waited longest for its request is closed.
+   * Makes sure that a connection may be accepted over capacity. If all slots for such connections
+   * are taken, closes the one that has waited longest without a request; returns false if there is
+   * none.
    */
   private boolean freeRejectionSlot() {
     if (overCapacity.size() < Math.max(1, rejectionSlots / REJECTION_SLOTS_DIVISOR)) {
@@ -222,18 +238,18 @@
     return false;
   }
 
-  /** Selects a connection to be evicted for a new one of this peer; false if there is none. */
-  private boolean evictFor(long now, PeerConnections newcomer) {
-    ClientConnection selected = peers.selectForEviction(now, newcomer);
+  /** Selects a connection to evict for a new connection of a peer; returns false if none can be. */
+  private boolean evictFor(long nowNanos, PeerConnections newcomer) {
+    ClientConnection selected = peers.selectForEviction(nowNanos, newcomer);
     if (selected != null) {
       selectForEviction(selected, CloseReason.EVICTED);
     }
     return selected != null;
   }
 
-  private void evictOverCapacity(long now) {
-    while (occupiedPlaces() > capacity.connections()) {
-      ClientConnection selected = peers.selectForEviction(now, null);
+  private void evictOverCapacity(long nowNanos) {
+    while (countAgainstCapacity() > capacity.connections()) {
+      ClientConnection selected = peers.selectForEviction(nowNanos, null);
       if (selected == null) {
         return;
       }
@@ -247,7 +263,7 @@
     scheduleEvictions();
   }
 
-  /** Schedules once, however many are selected: the sockets are read between two steps. */
+  /** Schedules the next eviction step unless one is scheduled already. */
   private void scheduleEvictions() {
     if (!evictionScheduled) {
       evictionScheduled = true;
--- a/edge/src/main/java/edgegateway/node/connections/ClientPeers.java
+++ b/edge/src/main/java/edgegateway/node/connections/ClientPeers.java
@@ -8,7 +8,7 @@
 import java.util.HashMap;
 import java.util.Map;
 
-/** The peers that have connections, by address, and which of them has to give one up. */
+/** The client peers that have connections, by address; selects the connection to evict. */
 final class ClientPeers {
   private static final int IPV6_NETWORK_BYTES = 8;
 
@@ -17,47 +17,47 @@
 
   private final Map<Object, PeerConnections> peers = new HashMap<>();
 
-  /** The peer at an address, added if it has no connections yet. */
+  /** The peer of an address; created if it has no connections yet. */
   PeerConnections at(SocketAddress address) {
     return peers.computeIfAbsent(peerKey(address), PeerConnections::new);
   }
 
-  /** Forgets a peer that has no connections left. */
+  /** Removes a peer that has no connections left. */
   void removeIfEmpty(PeerConnections peer) {
     if (peer.count() == 0) {
       peers.remove(peer.address());
     }
   }
 
-  /** The most connections that any peer has. */
-  int largestCount() {
-    int largest = 0;
+  /** The number of connections of the peer that has the most. */
+  int maxConnectionCount() {
+    int max = 0;
     for (PeerConnections peer : peers.values()) {
-      largest = Math.max(largest, peer.count());
+      max = Math.max(max, peer.count());
     }
-    return largest;
+    return max;
   }
 
   /**
-   * The connection that the peer with the most connections gives up; null if no peer has one that
-   * has been idle for long enough.
+   * Selects the longest idle connection of the peer that has the most connections, among peers with
+   * a connection that has been idle long enough; null if there is no such peer.
    *
-   * @param newcomer the peer it is given up for: one of its own, or of a peer that has more; null
-   *     if any peer may give one up
+   * @param newcomer the peer that needs capacity: only its own connections and those of peers that
+   *     have more connections are considered; null to consider all peers
    */
-  ClientConnection selectForEviction(long now, PeerConnections newcomer) {
+  ClientConnection selectForEviction(long nowNanos, PeerConnections newcomer) {
     ClientConnection selected = null;
     for (PeerConnections peer : peers.values()) {
       boolean eligible = newcomer == null || peer == newcomer || peer.count() > newcomer.count();
       if (eligible && (selected == null || peer.count() > selected.peer().count())) {
-        ClientConnection longestIdle = peer.longestIdle(now);
+        ClientConnection longestIdle = peer.longestIdle(nowNanos);
         selected = longestIdle != null ? longestIdle : selected;
       }
     }
     return selected;
   }
 
-  /** An IPv6 network of 64 bits is one peer: further addresses in it cost nothing. */
+  /** A /64 IPv6 network is one peer, because a client can use any number of addresses in it. */
   private static Object peerKey(SocketAddress address) {
     InetAddress ip = address instanceof InetSocketAddress inet ? inet.getAddress() : null;
     if (ip instanceof Inet6Address) {
--- a/edge/src/main/java/edgegateway/node/connections/PeerConnections.java
+++ b/edge/src/main/java/edgegateway/node/connections/PeerConnections.java
@@ -3,12 +3,12 @@
 import java.util.LinkedHashSet;
 import java.util.Set;
 
-/** The connections of one peer address. */
+/** The connections of one client peer address. */
 final class PeerConnections {
   private final Object address;
   private int count;
 
-  /** Those without a complete request, the longest waiting first. */
+  /** Connections without a complete request head, the longest waiting first. */
   private final Set<ClientConnection> evictable = new LinkedHashSet<>();
 
   PeerConnections(Object address) {
@@ -32,7 +32,7 @@
     count--;
   }
 
-  /** Puts a connection last among those that may be evicted. */
+  /** Adds a connection at the end of those that may be evicted, or moves it there. */
   void setEvictable(ClientConnection connection) {
     evictable.remove(connection);
     evictable.add(connection);
@@ -43,13 +43,13 @@
   }
 
   /**
-   * The connection that has been without a request for longest, of those not selected for eviction
-   * yet; null if there is none, or if that is too short a time to close it.
+   * The connection that has waited for a request the longest, among those not yet selected for
+   * eviction; null if there is none, or if it has not waited long enough to be evicted.
    */
-  ClientConnection longestIdle(long now) {
+  ClientConnection longestIdle(long nowNanos) {
     for (ClientConnection connection : evictable) {
       if (!connection.isSelectedForEviction()) {
-        boolean idleLongEnough = connection.waitedNanos(now) >= ClientTimeouts.MIN_IDLE_NANOS;
+        boolean idleLongEnough = connection.waitedNanos(nowNanos) >= ClientTimeouts.MIN_IDLE_NANOS;
         return idleLongEnough ? connection : null;
       }
     }
--- a/edge/src/test/java/edgegateway/node/connections/ClientTimeoutsTest.java
+++ b/edge/src/test/java/edgegateway/node/connections/ClientTimeoutsTest.java
@@ -20,7 +20,7 @@
   @BeforeEach
   void applyLimits() {
     table.applyBudget(START, new DescriptorBudget(2, 3, 1, 1, 1, 1, 1, List.of()));
-    timeouts.setIdleNanos(75_000 * NANOS_PER_MILLI);
+    timeouts.setIdleTimeoutNanos(75_000 * NANOS_PER_MILLI);
   }
 
   private ClientConnection accept(boolean tls) {
