--- a/edge/src/main/java/edgegateway/node/connections/BufferedBodies.java
+++ b/edge/src/main/java/edgegateway/node/connections/BufferedBodies.java
@@ -4,16 +4,17 @@
 import java.util.Map;
 
 /**
- * Bounds the bytes of bodies that are buffered whole, for all requests together. Each customer may
- * hold up to twice what is free (a dynamic threshold): one customer alone gets two thirds of the
- * capacity, and however many hold much, some stays free for those that hold little. Nothing that is
- * buffered is ever dropped for it. For the event loop's thread.
+ * Limits the bytes of completely buffered bodies, over all requests. Each customer may buffer up to
+ * twice the free capacity (a dynamic threshold). A single customer thus gets two thirds of the
+ * capacity, and however many customers buffer much, some capacity stays free for customers that
+ * buffer little. A buffered body is never dropped to enforce the limit. Used on the event loop's
+ * thread only.
  */
 public final class BufferedBodies {
-  /** Stands for the customer of a request whose customer cannot be read. */
+  /** Used for a request whose customer cannot be parsed. */
   public static final long UNKNOWN_CUSTOMER = -1;
 
-  /** A customer may hold this many times the free capacity. */
+  /** A customer may buffer this many times the free capacity. */
   private static final int FREE_CAPACITY_MULTIPLE = 2;
 
   private final ConnectionMetrics metrics;
@@ -21,22 +22,22 @@
   private long totalBytes;
   private int capacityBytes;
 
-  /** Has no capacity until {@link #applyBudget}. */
+  /** Creates an instance whose capacity is 0 until {@link #applyBudget}. */
   public BufferedBodies(ConnectionMetrics metrics) {
     this.metrics = metrics;
   }
 
-  /** Takes its capacity from the budget; what is buffered beyond it stays. */
+  /** Sets the capacity from the budget; bytes already buffered over it stay. */
   public void applyBudget(DescriptorBudget budget) {
     capacityBytes = budget.bufferedBytes();
   }
 
-  /** Whether less than half of the capacity is used, so that reading ahead does no harm. */
+  /** Whether less than half of the capacity is used, so that there is enough for read-ahead. */
   public boolean isLessThanHalfUsed() {
     return 2 * totalBytes < capacityBytes;
   }
 
-  /** A body of this customer, empty so far. */
+  /** Creates the account of a body of this customer, with size 0. */
   public Body newBody(long customer) {
     return new Body(customer);
   }
@@ -54,7 +55,10 @@
       this.customer = customer;
     }
 
-    /** Changes the body's size; false, with nothing changed, if that exceeds the threshold. */
+    /**
+     * Changes the size of the body; returns false and changes nothing if the size exceeds the
+     * threshold.
+     */
     public boolean tryResize(int newBytes) {
       long addedBytes = newBytes - bytes;
       long thresholdBytes = FREE_CAPACITY_MULTIPLE * (capacityBytes - totalBytes);
@@ -66,7 +70,7 @@
       return true;
     }
 
-    /** Changes the body's size whatever the threshold: the bytes are in memory already. */
+    /** Changes the size regardless of the threshold, for bytes that are in memory already. */
     public void resize(int newBytes) {
       long addedBytes = newBytes - bytes;
       long customerBytes = bytesOf(customer) + addedBytes;
@@ -80,7 +84,7 @@
       metrics.bufferedBytes.set(totalBytes);
     }
 
-    /** Nothing of the body is buffered any more. May be repeated. */
+    /** Releases the account: no byte of the body is buffered any more. Idempotent. */
     public void release() {
       resize(0);
     }
--- a/edge/src/main/java/edgegateway/node/connections/ClientConnectionTable.java
+++ b/edge/src/main/java/edgegateway/node/connections/ClientConnectionTable.java
@@ -112,7 +112,7 @@
     }
     PeerConnections peer = peers.at(remoteAddress);
     boolean withinCapacity =
-        countAgainstCapacity() < capacity.connections() || evictFor(nowNanos, peer);
+        countedConnections() < capacity.connections() || evictFor(nowNanos, peer);
     boolean rejected = !withinCapacity && peer.count() >= peers.maxConnectionCount();
     if (rejected && !freeRejectionSlot() || isFull()) {
       peers.removeIfEmpty(peer);
@@ -211,12 +211,12 @@
 
   /** Whether the table is over capacity and no peer has more connections than this peer. */
   boolean isOverCapacityBy(PeerConnections peer) {
-    return countAgainstCapacity() > capacity.connections()
+    return countedConnections() > capacity.connections()
         && peer.count() >= peers.maxConnectionCount();
   }
 
   /** The number of connections that count against the capacity. */
-  private int countAgainstCapacity() {
+  private int countedConnections() {
     return connections.size() - overCapacity.size() - selectedForEviction.size() - lingering.size();
   }
 
@@ -248,7 +248,7 @@
   }
 
   private void evictOverCapacity(long nowNanos) {
-    while (countAgainstCapacity() > capacity.connections()) {
+    while (countedConnections() > capacity.connections()) {
       ClientConnection selected = peers.selectForEviction(nowNanos, null);
       if (selected == null) {
         return;
--- a/edge/src/main/java/edgegateway/node/connections/ConnectionAcceptor.java
+++ b/edge/src/main/java/edgegateway/node/connections/ConnectionAcceptor.java
@@ -28,38 +28,42 @@
 import java.util.function.Consumer;
 
 /**
- * A listening socket. It accepts a few connections at a time, so that requests in flight go on.
- * When no descriptor is left it reports that, pauses, and tries again. All methods but {@link
- * #bind} and {@link #address} are for its event loop's thread.
+ * A listening socket. It accepts a few connections per event loop iteration, so that requests in
+ * flight are not delayed. When no file descriptor is left, it reports that and pauses before it
+ * accepts again. All methods except {@link #bind} and {@link #address} are called on the event
+ * loop's thread.
  */
 public final class ConnectionAcceptor {
   private static final EventLog LOG = EventLog.console();
 
-  /** Half of the rejection slots of a small budget: each is read once before the next are taken. */
+  /**
+   * Half of the rejection slots of a small budget. Each accepted connection is read once before the
+   * next ones are accepted.
+   */
   private static final int MAX_ACCEPTS_PER_READ = 4;
 
   private static final int BACKLOG = 4096;
 
-  /** How long the backlog waits without a descriptor or a place: short against a deadline. */
-  private static final long PAUSE_MILLIS = 20;
+  /** Pause without a file descriptor or capacity; short compared with a request's deadline. */
+  private static final long ACCEPT_PAUSE_MILLIS = 20;
 
-  /** At a close the backlog is drained a few at a time for so long, and then all at once. */
+  /** A close accepts the backlog in small batches for this long, then all that is left at once. */
   private static final long GRADUAL_DRAIN_NANOS = TimeUnit.MILLISECONDS.toNanos(300);
 
-  /** Long enough for the selector to run, which a task that is executed at once does not let. */
+  /** A delay after which the selector has run; a task that is executed at once runs before that. */
   private static final long NEXT_SELECT_DELAY_MILLIS = 1;
 
   private final EventLoop loop;
   private final Runnable onDescriptorsExhausted;
   private ServerSocketChannel serverSocket;
   private Channel serverChannel;
-  private Future<?> pauseTimer;
-  private boolean mayPause = true;
+  private Future<?> resumeTimer;
+  private boolean pauseAllowed = true;
 
   /**
-   * Listens to nothing yet.
+   * Creates an acceptor that is not bound yet.
    *
-   * @param onDescriptorsExhausted run when no descriptor is left for a connection
+   * @param onDescriptorsExhausted run when no file descriptor is left for a connection
    */
   public ConnectionAcceptor(EventLoop loop, Runnable onDescriptorsExhausted) {
     this.loop = loop;
@@ -67,11 +71,11 @@
   }
 
   /**
-   * Begins to listen; any thread.
+   * Binds the socket and starts to listen. May be called on any thread.
    *
    * @param shared whether other processes may listen at the same address
    * @param initializer adds the handlers of each connection
-   * @return completes when it listens, or with the error
+   * @return completes when the socket listens, or exceptionally with the error
    */
   public CompletableFuture<Void> bind(
       InetSocketAddress address, boolean shared, Consumer<Channel> initializer) {
@@ -83,7 +87,7 @@
     }
     ServerBootstrap bootstrap = newBootstrap(initializer);
     if (shared) {
-      // Both processes of an upgrade listen at this address.
+      // During an upgrade the old and the new process both listen at this address.
       bootstrap.option(NioChannelOption.of(StandardSocketOptions.SO_REUSEPORT), true);
     }
     bootstrap
@@ -111,7 +115,7 @@
         .option(ChannelOption.SO_BACKLOG, BACKLOG)
         .option(ChannelOption.SO_REUSEADDR, true)
         .childOption(ChannelOption.TCP_NODELAY, true)
-        // A client that ended its side may still wait for its response.
+        // A client that shut down its output may still wait for its response.
         .childOption(ChannelOption.ALLOW_HALF_CLOSURE, true)
         .handler(new AcceptFailureHandler())
         .childHandler(
@@ -123,76 +127,80 @@
             });
   }
 
-  /** The address it listens at; any thread, once bound. */
+  /** The local address. May be called on any thread, once bound. */
   public InetSocketAddress address() {
     return (InetSocketAddress) serverChannel.localAddress();
   }
 
-  /** Whether it is bound and not closed. */
+  /** Whether the socket is bound and not closed. */
   public boolean isOpen() {
     return serverChannel != null && serverChannel.isOpen();
   }
 
   /**
-   * Leaves new connections in the kernel's backlog for a moment, or until there is room. If there
-   * is none by then, the next ones are accepted all the same: none may be left unheard there.
+   * Leaves new connections in the kernel's backlog for a short time, or until {@link
+   * #resumeAccepting}. After that time connections are accepted even without capacity, and further
+   * calls have no effect until {@link #resumeAccepting}: no client may be left in the backlog
+   * without any reply.
    */
   public void pauseAccepting() {
-    if (mayPause) {
+    if (pauseAllowed) {
       pause();
     }
   }
 
-  /** There is room for new connections. */
+  /** Resumes accepting, because there is capacity for new connections. */
   public void resumeAccepting() {
-    mayPause = true;
+    pauseAllowed = true;
     resume();
   }
 
   private void pause() {
-    if (pauseTimer == null && isOpen()) {
+    if (resumeTimer == null && isOpen()) {
       serverChannel.config().setAutoRead(false);
-      pauseTimer =
+      resumeTimer =
           loop.schedule(
               () -> {
-                mayPause = false;
+                pauseAllowed = false;
                 resume();
               },
-              PAUSE_MILLIS,
+              ACCEPT_PAUSE_MILLIS,
               TimeUnit.MILLISECONDS);
     }
   }
 
   private void resume() {
-    if (pauseTimer != null && isOpen()) {
-      pauseTimer.cancel(false);
-      pauseTimer = null;
+    if (resumeTimer != null && isOpen()) {
+      resumeTimer.cancel(false);
+      resumeTimer = null;
       serverChannel.config().setAutoRead(true);
     }
   }
 
   /**
-   * Drains the backlog, then closes the socket. It is deregistered from its selector first: closed
-   * while registered, it would go on queueing connections for a while.
+   * Drains the backlog, then closes the socket. The socket is deregistered from its selector first:
+   * if closed while registered, it would go on queueing connections for some time.
    *
-   * @param onClosed run when it is closed
+   * @param onClosed run when the socket is closed
    */
   public void close(Runnable onClosed) {
     if (serverChannel.isRegistered()) {
-      long gradualUntil = System.nanoTime() + GRADUAL_DRAIN_NANOS;
-      serverChannel.deregister().addListener(done -> drainBacklogAndClose(gradualUntil, onClosed));
+      long gradualUntilNanos = System.nanoTime() + GRADUAL_DRAIN_NANOS;
+      serverChannel
+          .deregister()
+          .addListener(done -> drainBacklogAndClose(gradualUntilNanos, onClosed));
     }
   }
 
   /**
-   * The backlog is accepted right before the close, which would reset what is still in it. Shown by
-   * ConnectionsTest#aSurgeInADrainAnswersEveryClient.
+   * Accepts the backlog right before the close, because the close resets connections that are still
+   * in the backlog. Tested by ConnectionsTest#aSurgeInADrainAnswersEveryClient.
    */
-  private void drainBacklogAndClose(long gradualUntil, Runnable onClosed) {
+  private void drainBacklogAndClose(long gradualUntilNanos, Runnable onClosed) {
     List<SocketChannel> accepted = new ArrayList<>();
     boolean more = true;
     if (!serverSocket.isRegistered()) {
-      boolean gradual = System.nanoTime() < gradualUntil;
+      boolean gradual = System.nanoTime() < gradualUntilNanos;
       more = acceptBacklog(accepted, gradual ? MAX_ACCEPTS_PER_READ : Integer.MAX_VALUE);
     }
     if (!more) {
@@ -202,7 +210,7 @@
       serverChannel.pipeline().fireChannelRead(new NioSocketChannel(serverChannel, socket));
     }
     if (more) {
-      afterNextSelect(loop, () -> drainBacklogAndClose(gradualUntil, onClosed));
+      afterNextSelect(loop, () -> drainBacklogAndClose(gradualUntilNanos, onClosed));
     } else {
       serverChannel.close().addListener(done -> onClosed.run());
     }
@@ -216,7 +224,10 @@
     }
   }
 
-  /** Accepts up to a number; false if the backlog is empty or no more can be accepted. */
+  /**
+   * Accepts connections until the list holds the maximum; returns false if the backlog is empty or
+   * no more connections can be accepted.
+   */
   private boolean acceptBacklog(List<SocketChannel> accepted, int max) {
     try {
       while (accepted.size() < max) {
@@ -228,21 +239,21 @@
       }
       return true;
     } catch (IOException e) {
-      // No descriptor is left: the close resets what is still in the backlog.
+      // No file descriptor is left: the close resets the connections still in the backlog.
       onDescriptorsExhausted.run();
       return false;
     }
   }
 
   /**
-   * Runs a task after the selector has run once more. By a timer: a task that is executed runs in
-   * the same round of the loop as long as there are others.
+   * Runs a task after the selector has run once more. This takes a timer, because a task that is
+   * executed directly may run in the same iteration of the event loop.
    */
   public static void afterNextSelect(EventLoop loop, Runnable task) {
     loop.schedule(task, NEXT_SELECT_DELAY_MILLIS, TimeUnit.MILLISECONDS);
   }
 
-  /** Handles a failed accept before Netty's acceptor, which would pause for a whole second. */
+  /** Handles a failed accept instead of Netty's acceptor, which would pause for one second. */
   private final class AcceptFailureHandler extends ChannelInboundHandlerAdapter {
     @Override
     public void exceptionCaught(ChannelHandlerContext context, Throwable cause) {
--- a/edge/src/main/java/edgegateway/node/connections/ConnectionLimits.java
+++ b/edge/src/main/java/edgegateway/node/connections/ConnectionLimits.java
@@ -1,17 +1,17 @@
 package edgegateway.node.connections;
 
 /**
- * What the configuration's {@code connections} object sets. A limit that it leaves out is 0 here
- * and comes from the {@link DescriptorBudget}.
+ * The limits in the configuration's {@code connections} object. A limit that is not configured is 0
+ * here; {@link DescriptorBudget} then sets it.
  *
- * @param clients connections of clients
- * @param upstreams connections to all archive servers together
- * @param perUpstream connections to one archive server
- * @param bufferedBytes bytes of bodies that are buffered whole, for all requests together
- * @param idleTimeoutNanos after which a client's connection between requests is closed
+ * @param clients maximum client connections
+ * @param upstreams maximum connections to all archive servers together
+ * @param perUpstream maximum connections to one archive server
+ * @param bufferedBytes maximum bytes of completely buffered bodies, over all requests
+ * @param idleTimeoutNanos time after which an idle client connection is closed
  */
 public record ConnectionLimits(
     int clients, int upstreams, int perUpstream, int bufferedBytes, long idleTimeoutNanos) {
-  /** Sets no limit. */
+  /** No limit is configured. */
   public static final ConnectionLimits NONE = new ConnectionLimits(0, 0, 0, 0, 0);
 }
--- a/edge/src/main/java/edgegateway/node/connections/ConnectionMetrics.java
+++ b/edge/src/main/java/edgegateway/node/connections/ConnectionMetrics.java
@@ -4,9 +4,12 @@
 import java.util.concurrent.atomic.AtomicLongArray;
 import java.util.function.BiConsumer;
 
-/** Counters and gauges of connections on both sides. Written on the event loop, read anywhere. */
+/**
+ * Counters and gauges of connections to clients and to archive servers. Updated on the event loop's
+ * thread, readable on any thread.
+ */
 public final class ConnectionMetrics {
-  /** Why this side closed a client's connection before the client did. */
+  /** Why this node closed a client's connection. */
   public enum CloseReason {
     /** The TLS handshake did not complete in time. */
     HANDSHAKE_TIMEOUT("timed_out.handshake"),
@@ -18,11 +21,11 @@
     IDLE_TIMEOUT("timed_out.idle"),
     /** The client did not read its response. */
     RESPONSE_NOT_READ("timed_out.unread"),
-    /** Closed while idle to make room for a peer with fewer connections. */
+    /** Evicted while idle, because capacity was needed for other connections. */
     EVICTED("evicted"),
-    /** The node drains. */
+    /** Idle while the node drains. */
     DRAINED("drain"),
-    /** Accepted over capacity, and no request arrived in time to be rejected. */
+    /** Accepted over capacity, but no request arrived in time to be rejected. */
     OVER_CAPACITY("timed_out.crowded");
 
     private final String metricName;
@@ -50,12 +53,12 @@
   final AtomicLong bodiesRejected = new AtomicLong();
   private final AtomicLongArray closedByReason = new AtomicLongArray(CLOSE_REASONS.length);
 
-  /** Counts a client's connection that this side closed. */
+  /** Counts a client's connection that this node closes. */
   void closed(CloseReason reason) {
     closedByReason.incrementAndGet(reason.ordinal());
   }
 
-  /** Passes each metric's name, as operators read it, and its value; any thread. */
+  /** Passes the name and value of each metric, as shown to operators. Thread-safe. */
   public void forEach(BiConsumer<String, Long> consumer) {
     consumer.accept("open", clientsOpen.get());
     consumer.accept("idle", clientsIdle.get());
--- a/edge/src/main/java/edgegateway/node/connections/DescriptorBudget.java
+++ b/edge/src/main/java/edgegateway/node/connections/DescriptorBudget.java
@@ -6,18 +6,18 @@
 import java.util.List;
 
 /**
- * How a process divides its file descriptors, and the bytes of bodies that it buffers. The
- * processes of a node share the node's descriptors, but each needs those for its own files, event
- * loops and connections to counter and discovery.
+ * How a process allocates its file descriptors to kinds of connections, and its limit for buffered
+ * bodies. The processes of a node share the node's descriptors, but each process needs descriptors
+ * for its own files, event loops and connections to the counter and to discovery.
  *
- * @param clients connections of clients, beyond which one is evicted for the next
- * @param rejectionSlots further ones, while room is made or a rejection is written
- * @param upstreams connections to all archive servers together
- * @param perUpstream connections to one archive server
- * @param operators connections at the operators' address
- * @param bufferedBytes bytes of bodies that are buffered whole
- * @param idleTimeoutNanos after which a client's connection between requests is closed
- * @param clamped a line for each limit that the configuration sets higher than there is room for
+ * @param clients maximum client connections; above that, one is evicted for each new one
+ * @param rejectionSlots extra client connections, for the time of an eviction or a rejection
+ * @param upstreams maximum connections to all archive servers together
+ * @param perUpstream maximum connections to one archive server
+ * @param operators maximum connections at the operators' address
+ * @param bufferedBytes maximum bytes of completely buffered bodies
+ * @param idleTimeoutNanos time after which an idle client connection is closed
+ * @param clamped a message for each configured limit that exceeds the available capacity
  */
 public record DescriptorBudget(
     int clients,
@@ -28,13 +28,13 @@
     int bufferedBytes,
     long idleTimeoutNanos,
     List<String> clamped) {
-  /** Standard streams, class archive, slots, three event loops, listening sockets, open files. */
+  /** For standard streams, class archive, slots, three event loops, listening sockets and files. */
   static final int RESERVED_DESCRIPTORS = 23;
 
-  /** Four, and as many again while a new address is followed. */
+  /** Four, and another four during a switch to a new address of the counter. */
   static final int COUNTER_CONNECTIONS = 8;
 
-  /** All watches that may be open at once. */
+  /** One for each watch that may be open at the same time. */
   static final int DISCOVERY_CONNECTIONS = WatchScheduler.MAX_OPEN_WATCHES;
 
   private static final int MIN_CLIENTS = 8;
@@ -43,22 +43,25 @@
   private static final int MIN_OPERATORS = 4;
   private static final int MAX_OPERATORS = 32;
 
-  /** One connection of operators to this many descriptors. */
+  /** The operators' address gets one connection for each this many descriptors. */
   private static final int DESCRIPTORS_PER_OPERATOR = 32;
 
-  /** Of what is left. A third of all descriptors serves clients' requests; others may come too. */
+  /**
+   * Fraction of the remaining descriptors for client connections. A third of all descriptors serves
+   * clients' requests; the rest allows further connections.
+   */
   private static final double CLIENT_FRACTION = 0.6;
 
   private static final double REJECTION_SLOT_FRACTION = 0.1;
 
-  /** One archive server may have this many times its even part of the connections. */
+  /** One archive server may have this many times its even share of the connections. */
   private static final int UNEVEN_LOAD_FACTOR = 4;
 
   private static final int MAX_BUFFERED_BYTES = 12 << 20;
 
   /**
-   * The part of the direct memory that buffered bodies may take, in eighths. Long bodies that are
-   * forwarded have a quarter of it, reads the rest.
+   * The part of the direct memory for buffered bodies, in eighths. Long bodies that are forwarded
+   * while they arrive get a quarter of the direct memory, and socket reads the rest.
    */
   private static final int BUFFERED_MEMORY_EIGHTHS = 3;
 
@@ -66,12 +69,12 @@
   private static final long DEFAULT_IDLE_TIMEOUT_NANOS = 75_000_000_000L;
 
   /**
-   * Divides a node's descriptors.
+   * Computes the budget of one process.
    *
-   * @param limits what the configuration sets
-   * @param descriptors of the node, for sockets and files
-   * @param processes of the node, which share them evenly
-   * @param endpoints how many archive servers are listed
+   * @param limits the configured limits
+   * @param descriptors the node's file descriptors, for sockets and files
+   * @param processes the number of the node's processes, which share the descriptors evenly
+   * @param endpoints the number of listed archive servers
    */
   public static DescriptorBudget of(
       ConnectionLimits limits, int descriptors, int processes, int endpoints) {
@@ -118,20 +121,20 @@
     if (limits.perUpstream() > 0) {
       return clamp("per-archive-server", limits.perUpstream(), upstreams, clamped);
     }
-    int unevenPart = UNEVEN_LOAD_FACTOR * upstreams / Math.max(1, endpoints);
-    return Math.min(upstreams, Math.max(UNEVEN_LOAD_FACTOR, unevenPart));
+    int unevenShare = UNEVEN_LOAD_FACTOR * upstreams / Math.max(1, endpoints);
+    return Math.min(upstreams, Math.max(UNEVEN_LOAD_FACTOR, unevenShare));
   }
 
   private static int maxBufferedBytes() {
-    long memoryPart = PlatformDependent.maxDirectMemory() / EIGHTHS * BUFFERED_MEMORY_EIGHTHS;
-    return (int) Math.min(MAX_BUFFERED_BYTES, memoryPart);
+    long memoryBytes = PlatformDependent.maxDirectMemory() / EIGHTHS * BUFFERED_MEMORY_EIGHTHS;
+    return (int) Math.min(MAX_BUFFERED_BYTES, memoryBytes);
   }
 
-  /** The limit that is set, or the most that there is room for if none is set or it is higher. */
+  /** The configured limit, at most the maximum; the maximum if no limit is configured. */
   private static int clamp(String key, int limit, int max, List<String> clamped) {
     if (limit > max) {
       String given = "connections." + key + " is " + limit;
-      clamped.add(given + ", more than there is room for: " + max + " it is");
+      clamped.add(given + ", which exceeds the available capacity: using " + max + " instead");
     }
     return limit > 0 ? Math.min(limit, max) : max;
   }
--- a/edge/src/main/java/edgegateway/node/connections/HandshakeQueue.java
+++ b/edge/src/main/java/edgegateway/node/connections/HandshakeQueue.java
@@ -5,17 +5,17 @@
 import java.util.Set;
 
 /**
- * Bounds how many TLS handshakes run at once; further ones are queued in order of arrival, and
- * rejected once the queue is full. Does no I/O. For one thread.
+ * Limits the number of concurrent TLS handshakes; further handshakes are queued in order of arrival
+ * and rejected when the queue is full. Does no I/O. Not thread-safe.
  */
 final class HandshakeQueue {
-  /** A connection whose handshake has not begun. */
+  /** A TLS handshake that has not begun. */
   interface PendingHandshake {
-    /** Its turn has come. */
+    /** Begins the handshake. */
     void begin();
   }
 
-  /** Queue capacity as a multiple of the handshakes that may run at once. */
+  /** Queue capacity as a multiple of the concurrent handshakes. */
   private static final int MAX_QUEUED_PER_RUNNING = 16;
 
   private final int maxRunning;
@@ -26,7 +26,7 @@
     this.maxRunning = maxRunning;
   }
 
-  /** Begins a handshake now, or queues it; false if the queue is full. */
+  /** Begins a handshake immediately or queues it; returns false if the queue is full. */
   boolean submit(PendingHandshake handshake) {
     if (running.size() < maxRunning) {
       running.add(handshake);
@@ -36,7 +36,7 @@
     return queue.size() < MAX_QUEUED_PER_RUNNING * maxRunning && queue.add(handshake);
   }
 
-  /** The handshake completed, failed, or left the queue. May be repeated. */
+  /** Removes a completed, failed or abandoned handshake and begins the next one; idempotent. */
   void remove(PendingHandshake handshake) {
     if (!running.remove(handshake)) {
       queue.remove(handshake);
--- a/edge/src/main/java/edgegateway/node/connections/TlsTermination.java
+++ b/edge/src/main/java/edgegateway/node/connections/TlsTermination.java
@@ -15,8 +15,8 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * TLS on clients' connections. For the event loop's thread; the handshakes' key operations run on a
- * thread of their own, so that they do not hold up the event loop.
+ * TLS termination of clients' connections. Used on the event loop's thread; the handshakes' key
+ * operations run on a separate thread, so that they do not block the event loop.
  */
 public final class TlsTermination implements AutoCloseable {
   private static final int SESSION_CACHE_SIZE = 4_096;
@@ -25,11 +25,11 @@
   private static final long KEY_THREAD_IDLE_SECONDS = 10;
 
   /**
-   * What the configuration's {@code tls} object sets.
+   * The configuration's {@code tls} object.
    *
-   * @param certificate a PEM file: the certificate, then those that sign it
-   * @param key a PEM file: its key, PKCS#8 without a password
-   * @param maxConcurrentHandshakes how many run at once
+   * @param certificate path of a PEM file with the certificate, followed by its chain
+   * @param key path of a PEM file with the private key, PKCS#8 without a password
+   * @param maxConcurrentHandshakes number of handshakes that may run at once
    */
   public record Settings(String certificate, String key, int maxConcurrentHandshakes) {}
 
@@ -39,12 +39,12 @@
   private final ThreadPoolExecutor keyOperations;
 
   /**
-   * Loads certificate and key.
+   * Loads the certificate and the key.
    *
-   * @throws IOException if they cannot be used; the message names the settings and the cause
+   * @throws IOException if either cannot be used; the message names the settings and the cause
    */
   public TlsTermination(Settings settings, ConnectionMetrics metrics) throws IOException {
-    // A client that renegotiates over and over would cost a signature each time.
+    // Each renegotiation costs a signature, so a client could use up the CPU by renegotiating.
     System.setProperty("jdk.tls.rejectClientInitiatedRenegotiation", "true");
     this.metrics = metrics;
     context = loadContext(settings);
@@ -88,15 +88,15 @@
   }
 
   /**
-   * The first handler of a new connection.
+   * Creates the first handler of a new connection.
    *
-   * @param onHandshakeCompleted run when the handshake succeeded
+   * @param onHandshakeCompleted run when the handshake has succeeded
    */
   public HandshakeGate newHandshakeGate(Runnable onHandshakeCompleted) {
     return new HandshakeGate(onHandshakeCompleted);
   }
 
-  /** Ends the output of a connection, by {@code close_notify} where TLS was begun. */
+  /** Shuts down the output of a connection, after {@code close_notify} if its handshake began. */
   public void shutdownOutput(SocketChannel channel) {
     SslHandler handler = channel.pipeline().get(SslHandler.class);
     if (handler == null) {
@@ -112,8 +112,8 @@
   }
 
   /**
-   * The first handler of a connection: it holds back reading until the handshake's turn has come,
-   * and adds Netty's TLS handler before itself then.
+   * The first handler of a connection: it suspends reading until the handshake may begin, and then
+   * inserts Netty's TLS handler before itself.
    */
   public final class HandshakeGate extends ChannelInboundHandlerAdapter
       implements HandshakeQueue.PendingHandshake {
@@ -140,7 +140,7 @@
     @Override
     public void begin() {
       SslHandler handler = context.newHandler(channel.alloc(), keyOperations);
-      // ClientConnectionTable enforces the timeout.
+      // No timeout here: ClientConnectionTable enforces it.
       handler.setHandshakeTimeoutMillis(0);
       handler.setCloseNotifyFlushTimeoutMillis(CLOSE_NOTIFY_FLUSH_TIMEOUT_MILLIS);
       handler
--- a/edge/src/main/java/edgegateway/node/connections/package-info.java
+++ b/edge/src/main/java/edgegateway/node/connections/package-info.java
@@ -1,2 +1,2 @@
-/** The life of connections on both sides: limits, time-outs, eviction, TLS. */
+/** Connections to clients and to archive servers: pools, limits, timeouts, eviction and TLS. */
 package edgegateway.node.connections;
--- a/edge/src/test/java/edgegateway/node/connections/DescriptorBudgetTest.java
+++ b/edge/src/test/java/edgegateway/node/connections/DescriptorBudgetTest.java
@@ -48,7 +48,7 @@
         DescriptorBudget.of(ConnectionLimits.NONE, 256, 1, 10).clients(), budget.clients());
     assertEquals(4, budget.clamped().size());
     assertEquals(
-        "connections.clients is 5000, more than there is room for: 128 it is",
+        "connections.clients is 5000, which exceeds the available capacity: using 128 instead",
         budget.clamped().get(0));
     assertEquals(3_000_000_000L, budget.idleTimeoutNanos());
     DescriptorBudget small =
