--- a/edge/src/main/java/edgegateway/node/connections/ConnectionAcceptor.java
+++ b/edge/src/main/java/edgegateway/node/connections/ConnectionAcceptor.java
@@ -50,7 +50,7 @@
   /** A close accepts the backlog in small batches for this long, then all that is left at once. */
   private static final long GRADUAL_DRAIN_NANOS = TimeUnit.MILLISECONDS.toNanos(300);
 
-  /** A delay after which the selector has run; a task that is executed at once runs before that. */
+  /** A delay after which the selector has run; an executed task may run before that. */
   private static final long NEXT_SELECT_DELAY_MILLIS = 1;
 
   private final EventLoop loop;
--- a/edge/src/test/java/edgegateway/node/connections/ClientCapacityTest.java
+++ b/edge/src/test/java/edgegateway/node/connections/ClientCapacityTest.java
@@ -8,7 +8,7 @@
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
 
-/** How the limit on connections follows a lack of descriptors. */
+/** Lowering and recovery of the limit on client connections after descriptors ran out. */
 class ClientCapacityTest {
   private static final long HOLD_NANOS = TimeUnit.SECONDS.toNanos(10);
   private final ClientCapacity capacity = new ClientCapacity();
@@ -19,21 +19,24 @@
   }
 
   @Test
-  void keepsBelowTheNumberAtWhichDescriptorsRanOut() {
+  void limitIsBelowTheNumberAtWhichDescriptorsRanOut() {
     assertTrue(capacity.descriptorsExhausted(0, 40));
     assertEquals(32, capacity.connections());
-    assertFalse(capacity.descriptorsExhausted(0, 60), "reported once");
-    assertEquals(32, capacity.connections(), "a limit is not raised by a further lack");
+    assertFalse(capacity.descriptorsExhausted(0, 60), "not the first report");
+    assertEquals(
+        32,
+        capacity.connections(),
+        "descriptors that run out at a higher number do not raise the limit");
   }
 
   @Test
-  void keepsOnePlaceWhateverHappens() {
+  void limitIsAtLeastOneConnection() {
     capacity.descriptorsExhausted(0, 3);
     assertEquals(1, capacity.connections());
   }
 
   @Test
-  void recoversByOneAtATimeAfterItsHold() {
+  void limitRecoversByOneAtATimeAfterTheHoldTime() {
     capacity.descriptorsExhausted(0, 106);
     capacity.recover(HOLD_NANOS);
     assertEquals(98, capacity.connections());
@@ -41,8 +44,10 @@
     assertEquals(99, capacity.connections());
     capacity.recover(HOLD_NANOS + 1);
     assertEquals(100, capacity.connections());
-    assertFalse(capacity.descriptorsExhausted(HOLD_NANOS, 200), "not forgotten yet");
+    assertFalse(capacity.descriptorsExhausted(HOLD_NANOS, 200), "the lowered limit still applies");
     capacity.recover(HOLD_NANOS + 1);
-    assertTrue(capacity.descriptorsExhausted(HOLD_NANOS, 200), "forgotten: another is news");
+    assertTrue(
+        capacity.descriptorsExhausted(HOLD_NANOS, 200),
+        "the lowered limit was removed, so this is a first report again");
   }
 }
--- a/edge/src/test/java/edgegateway/node/connections/ClientConnectionTableTest.java
+++ b/edge/src/test/java/edgegateway/node/connections/ClientConnectionTableTest.java
@@ -15,54 +15,54 @@
 import java.util.TreeMap;
 import org.junit.jupiter.api.Test;
 
-/** The table of clients' connections, on a clock of its own. */
+/** Admission, eviction, timeouts and drain of client connections, on a fake clock. */
 class ClientConnectionTableTest {
   private static final long MS = 1_000_000L;
   private final ConnectionMetrics metrics = new ConnectionMetrics();
-  private final List<FakeClient> ended = new ArrayList<>();
+  private final List<FakeClient> closedClients = new ArrayList<>();
   private boolean evictionsScheduled;
-  private long evictions;
+  private long evictedCount;
   private final ClientConnectionTable table =
       new ClientConnectionTable(
           () -> {
-            assertFalse(evictionsScheduled, "a step is wanted already");
+            assertFalse(evictionsScheduled, "an eviction step is scheduled already");
             evictionsScheduled = true;
           },
           metrics);
   private long now = 5_000_000 * MS;
 
-  /** A connection in memory. */
+  /** A client's connection without a socket. */
   private final class FakeClient implements TransportHandle {
-    private final ClientConnection entry;
+    private final ClientConnection connection;
     private final int peer;
-    private long restingSince = now;
+    private long idleSince = now;
     private boolean closed;
     private boolean busy;
 
     FakeClient(int peer) {
       this.peer = peer;
-      entry = table.accept(now, address(peer), false, this);
+      connection = table.accept(now, address(peer), false, this);
     }
 
     void serve() {
-      entry.headReceived(now);
-      entry.requestReceived();
-      entry.responseSent(now);
-      restingSince = now;
+      connection.headReceived(now);
+      connection.requestReceived();
+      connection.responseSent(now);
+      idleSince = now;
     }
 
     @Override
     public void close() {
-      assertFalse(busy, "a taken request is lost");
+      assertFalse(busy, "connection closed with a request in flight");
       assertFalse(closed, "closed twice");
       closed = true;
-      ended.add(this);
-      if (metricValues().get("evicted") > evictions) {
-        evictions++;
+      closedClients.add(this);
+      if (metricValues().get("evicted") > evictedCount) {
+        evictedCount++;
         assertTrue(
-            now - restingSince >= 2_000 * MS, "evicted after " + (now - restingSince) / MS + " ms");
+            now - idleSince >= 2_000 * MS, "evicted after " + (now - idleSince) / MS + " ms");
       }
-      entry.closed();
+      connection.closed();
     }
   }
 
@@ -70,12 +70,13 @@
     return new InetSocketAddress("10.0." + peer / 256 + "." + peer % 256, 1000);
   }
 
-  private void applyBudget(int clients, int lane) {
+  private void applyBudget(int clients, int rejectionSlots) {
     table.applyBudget(
-        now, new DescriptorBudget(clients, lane, 10, 10, 4, 1 << 20, 75_000 * MS, List.of()));
+        now,
+        new DescriptorBudget(clients, rejectionSlots, 10, 10, 4, 1 << 20, 75_000 * MS, List.of()));
   }
 
-  private void pass(long ms) {
+  private void advance(long ms) {
     now += ms * MS;
     while (evictionsScheduled) {
       evictionsScheduled = false;
@@ -84,39 +85,41 @@
   }
 
   private Map<String, Long> metricValues() {
-    Map<String, Long> figures = new TreeMap<>();
-    metrics.forEach(figures::put);
-    return figures;
+    Map<String, Long> values = new TreeMap<>();
+    metrics.forEach(values::put);
+    return values;
   }
 
   @Test
   void connectionsWithinCapacityAreAllAccepted() {
     applyBudget(100, 8);
     for (int i = 0; i < 100; i++) {
-      assertFalse(new FakeClient(1).entry.isOverCapacity());
+      assertFalse(new FakeClient(1).connection.isOverCapacity());
     }
     assertEquals(100, table.openCount());
-    assertTrue(ended.isEmpty());
+    assertTrue(closedClients.isEmpty());
   }
 
   @Test
-  void thePeerWithTheMostConnectionsLosesItsLongestIdle() {
+  void theLongestIdleConnectionOfTheLargestPeerIsEvicted() {
     applyBudget(10, 4);
     List<FakeClient> greedy = new ArrayList<>();
     FakeClient lone = new FakeClient(2);
     lone.serve();
     for (int i = 0; i < 9; i++) {
-      pass(1);
+      advance(1);
       greedy.add(new FakeClient(1));
       greedy.get(i).serve();
     }
     greedy.get(0).serve();
-    pass(2_000);
+    advance(2_000);
     FakeClient newcomer = new FakeClient(3);
-    assertFalse(newcomer.entry.isOverCapacity());
-    pass(1);
+    assertFalse(newcomer.connection.isOverCapacity());
+    advance(1);
     assertEquals(
-        List.of(greedy.get(1)), ended, "not the longest idle of all, nor one that was used since");
+        List.of(greedy.get(1)),
+        closedClients,
+        "neither the longest idle of all peers nor one that was used since");
     assertEquals(1L, metricValues().get("evicted"));
   }
 
@@ -126,43 +129,46 @@
     for (int i = 0; i < 10; i++) {
       new FakeClient(1).serve();
     }
-    pass(1_999);
+    advance(1_999);
     assertFalse(
-        new FakeClient(2).entry.isOverCapacity(), "who has fewer is served beyond the bound");
-    assertTrue(new FakeClient(1).entry.isOverCapacity(), "who has the most is turned away");
-    pass(0);
-    assertTrue(ended.isEmpty());
-    pass(1);
-    assertFalse(new FakeClient(1).entry.isOverCapacity());
-    pass(0);
-    assertEquals(2, ended.size());
+        new FakeClient(2).connection.isOverCapacity(),
+        "a peer with fewer connections is accepted over capacity");
+    assertTrue(
+        new FakeClient(1).connection.isOverCapacity(),
+        "a connection of the peer with the most connections is rejected");
+    advance(0);
+    assertTrue(closedClients.isEmpty());
+    advance(1);
+    assertFalse(new FakeClient(1).connection.isOverCapacity());
+    advance(0);
+    assertEquals(2, closedClients.size());
   }
 
   @Test
-  void aRequestThatCrossesAnEvictionIsKept() {
+  void aRequestThatArrivesBeforeTheEvictionCancelsIt() {
     applyBudget(2, 2);
     FakeClient first = new FakeClient(1);
     first.serve();
-    pass(1);
+    advance(1);
     FakeClient second = new FakeClient(1);
     second.serve();
-    pass(2_500);
-    assertFalse(new FakeClient(2).entry.isOverCapacity());
-    // It was chosen, and its request comes before its turn.
-    first.entry.headReceived(now);
-    first.entry.requestReceived();
+    advance(2_500);
+    assertFalse(new FakeClient(2).connection.isOverCapacity());
+    // It was selected for eviction, but its request arrives before the eviction.
+    first.connection.headReceived(now);
+    first.connection.requestReceived();
     first.busy = true;
-    pass(1);
-    assertEquals(List.of(second), ended, "another one gives way");
+    advance(1);
+    assertEquals(List.of(second), closedClients, "another connection is evicted instead");
   }
 
   @Test
-  void silentAndSlowClientsCannotExcludeOthers() {
+  void clientsWithoutRequestsCannotExcludeOtherPeers() {
     applyBudget(20, 8);
     for (int i = 0; i < 20; i++) {
-      FakeClient silent = new FakeClient(1);
+      FakeClient withoutRequest = new FakeClient(1);
       if (i % 2 == 0) {
-        silent.entry.bytesReceived(now, 0);
+        withoutRequest.connection.bytesReceived(now, 0);
       }
     }
     for (int i = 0; i < 40; i++) {
@@ -171,63 +177,64 @@
     int served = 0;
     for (int peer = 2; peer < 6; peer++) {
       FakeClient other = new FakeClient(peer);
-      served += other.entry != null && !other.entry.isOverCapacity() ? 1 : 0;
+      served += other.connection != null && !other.connection.isOverCapacity() ? 1 : 0;
     }
     assertEquals(4, served);
-    pass(2_401);
+    advance(2_401);
     table.enforceTimeouts(now);
-    assertEquals(0, table.openCount(), "all of them have brought nothing");
+    assertEquals(0, table.openCount(), "no connection has sent a request head in time");
   }
 
   @Test
-  void onePeerMayUseAllPlacesAndIsRejectedBeyond() {
+  void aPeerMayUseTheFullCapacityAndIsRejectedAboveIt() {
     applyBudget(10, 6);
     for (int i = 0; i < 10; i++) {
-      FakeClient held = new FakeClient(1);
-      held.entry.headReceived(now);
-      held.entry.requestReceived();
-      held.busy = true;
+      FakeClient client = new FakeClient(1);
+      client.connection.headReceived(now);
+      client.connection.requestReceived();
+      client.busy = true;
     }
-    FakeClient away = new FakeClient(1);
-    assertTrue(away.entry.isOverCapacity());
-    assertTrue(away.entry.shouldCloseAfterResponse());
+    FakeClient rejected = new FakeClient(1);
+    assertTrue(rejected.connection.isOverCapacity());
+    assertTrue(rejected.connection.shouldCloseAfterResponse());
     FakeClient second = new FakeClient(1);
-    assertNotNull(second.entry);
-    pass(1);
-    assertNotNull(new FakeClient(1).entry);
-    assertEquals(List.of(away), ended, "two thirds of the lane stay for others");
-    second.entry.headReceived(now);
-    second.entry.requestReceived();
+    assertNotNull(second.connection);
+    advance(1);
+    assertNotNull(new FakeClient(1).connection);
+    assertEquals(
+        List.of(rejected), closedClients, "two thirds of the rejection slots stay for other peers");
+    second.connection.headReceived(now);
+    second.connection.requestReceived();
     second.busy = true;
-    pass(501);
+    advance(501);
     table.enforceTimeouts(now);
     assertEquals(2L, metricValues().get("timed_out.crowded"));
     assertEquals(3L, metricValues().get("refused"));
   }
 
   @Test
-  void eachStateTimesOutInItsTime() {
+  void eachStateHasAnOwnTimeout() {
     applyBudget(100, 8);
-    FakeClient silent = new FakeClient(1);
+    FakeClient withoutRequest = new FakeClient(1);
     FakeClient slow = new FakeClient(2);
-    slow.entry.bytesReceived(now, 0);
+    slow.connection.bytesReceived(now, 0);
     FakeClient body = new FakeClient(3);
-    body.entry.headReceived(now);
+    body.connection.headReceived(now);
     FakeClient unread = new FakeClient(4);
     unread.serve();
-    unread.entry.writeStarted(now);
+    unread.connection.writeStarted(now);
     FakeClient idle = new FakeClient(5);
     idle.serve();
-    FakeClient shaking = new FakeClient(6);
-    FakeClient tls = tls(7);
+    FakeClient alsoIdle = new FakeClient(6);
+    FakeClient tls = acceptTls(7);
     FakeClient busy = new FakeClient(8);
-    busy.entry.headReceived(now);
-    busy.entry.requestReceived();
+    busy.connection.headReceived(now);
+    busy.connection.requestReceived();
     busy.busy = true;
-    shaking.serve();
-    long began = now;
-    Map<String, Long> at = new HashMap<>();
-    while (now < began + 80_000 * MS) {
+    alsoIdle.serve();
+    long startedAt = now;
+    Map<String, Long> expiredAtMillis = new HashMap<>();
+    while (now < startedAt + 80_000 * MS) {
       now += 50 * MS;
       Map<String, Long> before = metricValues();
       table.enforceTimeouts(now);
@@ -235,12 +242,17 @@
           .forEach(
               (name, value) -> {
                 if (value > before.get(name) && name.startsWith("timed")) {
-                  at.putIfAbsent(name, (now - began) / MS);
+                  expiredAtMillis.putIfAbsent(name, (now - startedAt) / MS);
                 }
               });
     }
     assertTrue(
-        silent.closed && slow.closed && body.closed && unread.closed && idle.closed && tls.closed);
+        withoutRequest.closed
+            && slow.closed
+            && body.closed
+            && unread.closed
+            && idle.closed
+            && tls.closed);
     assertFalse(busy.closed);
     assertEquals(
         Map.of(
@@ -254,57 +266,58 @@
             8_050L,
             "timed_out.idle",
             75_050L),
-        at);
+        expiredAtMillis);
   }
 
-  private FakeClient tls(int peer) {
-    FakeClient[] made = new FakeClient[1];
-    FakeClient held = new FakeClient(peer);
-    held.entry.closed();
-    held.closed = true;
-    ClientConnection entry = table.accept(now, address(peer), true, () -> made[0].closed = true);
-    made[0] = held;
-    held.closed = false;
+  private FakeClient acceptTls(int peer) {
+    FakeClient[] accepted = new FakeClient[1];
+    FakeClient client = new FakeClient(peer);
+    client.connection.closed();
+    client.closed = true;
+    ClientConnection connection =
+        table.accept(now, address(peer), true, () -> accepted[0].closed = true);
+    accepted[0] = client;
+    client.closed = false;
     assertEquals(1L, metricValues().get("handshaking"));
-    assertNotNull(entry);
-    return held;
+    assertNotNull(connection);
+    return client;
   }
 
   @Test
-  void aBodyAtItsRateNeverTimesOut() {
+  void aBodyAboveTheMinimumRateNeverTimesOut() {
     applyBudget(10, 4);
     FakeClient steady = new FakeClient(1);
-    steady.entry.headReceived(now);
+    steady.connection.headReceived(now);
     for (int i = 0; i < 100; i++) {
-      pass(100);
-      steady.entry.bytesReceived(now, 6_400);
+      advance(100);
+      steady.connection.bytesReceived(now, 6_400);
       table.enforceTimeouts(now);
     }
     assertFalse(steady.closed);
   }
 
   @Test
-  void aDrainClosesIdleConnectionsSomeAtATime() {
+  void aDrainClosesIdleConnectionsInBatches() {
     applyBudget(100, 8);
     for (int i = 0; i < 20; i++) {
       new FakeClient(i).serve();
     }
-    FakeClient coming = new FakeClient(50);
-    coming.entry.bytesReceived(now, 0);
+    FakeClient readingHead = new FakeClient(50);
+    readingHead.connection.bytesReceived(now, 0);
     table.setDraining(true);
     table.closeIdleConnections();
     evictionsScheduled = false;
     table.evictSelected(now);
-    assertEquals(4, ended.size());
+    assertEquals(4, closedClients.size());
     assertTrue(evictionsScheduled);
-    pass(0);
-    assertEquals(20, ended.size());
-    assertFalse(coming.closed);
-    FakeClient again = new FakeClient(60);
+    advance(0);
+    assertEquals(20, closedClients.size());
+    assertFalse(readingHead.closed);
+    FakeClient newClient = new FakeClient(60);
     table.setDraining(false);
-    pass(1_000);
+    advance(1_000);
     table.enforceTimeouts(now);
-    assertFalse(again.closed);
+    assertFalse(newClient.closed);
   }
 
   @Test
@@ -312,108 +325,111 @@
     applyBudget(20, 4);
     List<FakeClient> all = new ArrayList<>();
     for (int i = 0; i < 20; i++) {
-      FakeClient held = new FakeClient(1);
-      held.serve();
-      all.add(held);
-      held.entry.headReceived(now);
-      held.entry.requestReceived();
-      held.busy = i < 15;
-      if (!held.busy) {
-        held.entry.responseSent(now);
+      FakeClient client = new FakeClient(1);
+      client.serve();
+      all.add(client);
+      client.connection.headReceived(now);
+      client.connection.requestReceived();
+      client.busy = i < 15;
+      if (!client.busy) {
+        client.connection.responseSent(now);
       }
     }
-    pass(2_001);
+    advance(2_001);
     applyBudget(10, 2);
-    pass(1);
+    advance(1);
     assertEquals(15, table.openCount());
-    assertTrue(all.get(0).entry.shouldCloseAfterResponse(), "its answer says that it ends");
+    assertTrue(
+        all.get(0).connection.shouldCloseAfterResponse(), "the response announces the close");
     all.get(0).busy = false;
-    all.get(0).entry.responseSent(now);
-    pass(2_001);
+    all.get(0).connection.responseSent(now);
+    advance(2_001);
     table.enforceTimeouts(now);
-    pass(1);
+    advance(1);
     assertEquals(14, table.openCount());
   }
 
   @Test
-  void exhaustedDescriptorsLowerTheCapacityForAWhile() {
+  void exhaustedDescriptorsLowerTheCapacityTemporarily() {
     applyBudget(100, 8);
     for (int i = 0; i < 40; i++) {
       new FakeClient(1).serve();
     }
-    pass(2_100);
+    advance(2_100);
     assertTrue(table.descriptorsExhausted(now));
-    assertFalse(table.descriptorsExhausted(now), "told once");
-    pass(1);
+    assertFalse(table.descriptorsExhausted(now), "not the first report");
+    advance(1);
     assertEquals(32, table.openCount());
     FakeClient first = new FakeClient(2);
-    pass(1);
-    assertNotNull(first.entry);
-    assertEquals(32, table.openCount(), "one gives way for it");
-    // Later the bound goes up again.
+    advance(1);
+    assertNotNull(first.connection);
+    assertEquals(32, table.openCount(), "another connection is evicted for the new one");
+    // The capacity recovers until it is back at the budget.
     for (int i = 0; i < 10_000 && !evictionsScheduled; i++) {
       now += 200 * MS;
       first.serve();
       table.enforceTimeouts(now);
       evictionsScheduled = false;
     }
-    assertTrue(table.descriptorsExhausted(now), "the lack is over, and another is news");
+    assertTrue(
+        table.descriptorsExhausted(now),
+        "the capacity has recovered, so this is a first report again");
   }
 
   /**
-   * Whatever happens: bounds hold, no request is lost, nobody gives way too early, and nothing is
-   * left.
+   * Random sequences of events: limits hold, no request in flight is closed, no connection is
+   * evicted too early, and all connections are removed at the end.
    */
   @Test
   void invariantsHoldForManySeeds() {
     for (long seed = 1; seed <= 200; seed++) {
       try {
-        new ClientConnectionTableTest().play(seed);
+        new ClientConnectionTableTest().runRandomEvents(seed);
       } catch (AssertionError e) {
         throw new AssertionError("seed " + seed, e);
       }
     }
   }
 
-  private void play(long seed) {
+  private void runRandomEvents(long seed) {
     SplittableRandom random = new SplittableRandom(seed);
-    int most = random.nextInt(4, 40);
-    int lane = random.nextInt(2, 8);
-    applyBudget(most, lane);
+    int capacity = random.nextInt(4, 40);
+    int rejectionSlots = random.nextInt(2, 8);
+    applyBudget(capacity, rejectionSlots);
     List<FakeClient> open = new ArrayList<>();
     boolean shrunk = false;
     for (int i = 0; i < 3_000; i++) {
-      pass(random.nextInt(20) == 0 ? random.nextInt(1_500) : random.nextInt(30));
-      // Some peers come far more often than others.
+      advance(random.nextInt(20) == 0 ? random.nextInt(1_500) : random.nextInt(30));
+      // Some peers connect far more often than others.
       int peer = (int) (10 * Math.pow(random.nextDouble(), 3));
       if (random.nextInt(3) > 0) {
-        FakeClient held = new FakeClient(peer);
-        if (held.entry != null) {
-          open.add(held);
+        FakeClient client = new FakeClient(peer);
+        if (client.connection != null) {
+          open.add(client);
         }
       }
-      open.removeIf(held -> held.closed);
+      open.removeIf(client -> client.closed);
       if (!open.isEmpty()) {
-        FakeClient held = open.get(random.nextInt(open.size()));
+        FakeClient client = open.get(random.nextInt(open.size()));
         switch (random.nextInt(5)) {
-          case 0 -> held.entry.bytesReceived(now, 0);
+          case 0 -> client.connection.bytesReceived(now, 0);
           case 1 -> {
-            if (!held.busy) {
-              held.entry.headReceived(now);
-              held.entry.requestReceived();
-              held.busy = true;
+            if (!client.busy) {
+              client.connection.headReceived(now);
+              client.connection.requestReceived();
+              client.busy = true;
             }
           }
           case 2, 3 -> {
-            if (held.busy) {
-              held.busy = false;
-              held.entry.responseSent(now);
-              held.restingSince = now;
+            if (client.busy) {
+              client.busy = false;
+              client.connection.responseSent(now);
+              client.idleSince = now;
             }
           }
           default -> {
-            held.busy = false;
-            held.close();
+            client.busy = false;
+            client.close();
           }
         }
       }
@@ -424,14 +440,14 @@
         shrunk = true;
         table.descriptorsExhausted(now);
       }
-      assertTrue(shrunk || table.openCount() <= most + lane, "step " + i);
+      assertTrue(shrunk || table.openCount() <= capacity + rejectionSlots, "step " + i);
       assertEquals(
-          open.stream().filter(held -> !held.closed).count(), table.openCount(), "step " + i);
+          open.stream().filter(client -> !client.closed).count(), table.openCount(), "step " + i);
     }
-    for (FakeClient held : List.copyOf(open)) {
-      if (!held.closed) {
-        held.busy = false;
-        held.close();
+    for (FakeClient client : List.copyOf(open)) {
+      if (!client.closed) {
+        client.busy = false;
+        client.close();
       }
     }
     assertEquals(0, table.openCount());
--- a/edge/src/test/java/edgegateway/node/connections/ConnectBackoffTest.java
+++ b/edge/src/test/java/edgegateway/node/connections/ConnectBackoffTest.java
@@ -7,28 +7,28 @@
 import java.util.SplittableRandom;
 import org.junit.jupiter.api.Test;
 
-/** Backoff and learned limit of one archive server, on a fake clock. */
+/** Connect backoff and learned connection limit of one archive server, on a fake clock. */
 class ConnectBackoffTest {
   private static final long MS = 1_000_000L;
   private final ConnectBackoff backoff = new ConnectBackoff(new SplittableRandom(1));
 
   @Test
-  void eachFailureDoublesTheWaitUpToOneSecond() {
+  void eachFailureDoublesTheDelayUpToASecond() {
     long now = 0;
-    long baseNanos = 20 * MS;
+    long delayNanos = 20 * MS;
     for (int failures = 1; failures <= 20; failures++) {
       assertTrue(backoff.allowsConnect(now));
       backoff.connectFailed(now);
       assertTrue(backoff.isFailing());
-      assertFalse(backoff.allowsConnect(now + baseNanos / 2 - 1), "failure " + failures);
-      assertTrue(backoff.allowsConnect(now + baseNanos), "failure " + failures);
-      now += baseNanos;
-      baseNanos = Math.min(1_000 * MS, 2 * baseNanos);
+      assertFalse(backoff.allowsConnect(now + delayNanos / 2 - 1), "failure " + failures);
+      assertTrue(backoff.allowsConnect(now + delayNanos), "failure " + failures);
+      now += delayNanos;
+      delayNanos = Math.min(1_000 * MS, 2 * delayNanos);
     }
   }
 
   @Test
-  void aSuccessEndsTheDoubling() {
+  void aSuccessResetsTheDelay() {
     backoff.connectFailed(0);
     backoff.connectFailed(100 * MS);
     backoff.connected();
@@ -38,7 +38,7 @@
   }
 
   @Test
-  void aLackOfDescriptorsIsAShortWaitAndNoFailure() {
+  void exhaustedDescriptorsAreAShortDelayAndNotAFailure() {
     backoff.descriptorsExhausted(0);
     assertFalse(backoff.isFailing());
     assertFalse(backoff.allowsConnect(20 * MS - 1));
@@ -46,7 +46,7 @@
   }
 
   @Test
-  void aLearnedLimitGrowsByOneEachPeriod() {
+  void theLearnedLimitGrowsByOnePerPeriod() {
     LearnedConnectionLimit limit = new LearnedConnectionLimit();
     assertEquals(Integer.MAX_VALUE, limit.current(10_000 * MS));
     limit.connectRefused(3, 10_000 * MS);
--- a/edge/src/test/java/edgegateway/node/connections/DescriptorBudgetTest.java
+++ b/edge/src/test/java/edgegateway/node/connections/DescriptorBudgetTest.java
@@ -6,15 +6,15 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
-/** How descriptors are shared out. */
+/** Allocation of file descriptors, and the clamping of configured limits. */
 class DescriptorBudgetTest {
   @Test
   void allProcessesTogetherStayWithinTheDescriptors() {
-    for (int sockets = 256; sockets <= 4_096; sockets += 16) {
+    for (int descriptors = 256; descriptors <= 4_096; descriptors += 16) {
       for (int processes = 1; processes <= 2; processes++) {
         DescriptorBudget budget =
-            DescriptorBudget.of(ConnectionLimits.NONE, sockets, processes, 100);
-        int each =
+            DescriptorBudget.of(ConnectionLimits.NONE, descriptors, processes, 100);
+        int descriptorsPerProcess =
             budget.clients()
                 + budget.rejectionSlots()
                 + budget.upstreams()
@@ -22,18 +22,21 @@
                 + DescriptorBudget.RESERVED_DESCRIPTORS
                 + DescriptorBudget.COUNTER_CONNECTIONS
                 + DescriptorBudget.DISCOVERY_CONNECTIONS;
-        assertTrue(each * processes <= sockets, sockets + " for " + processes + ": " + budget);
         assertTrue(
-            processes > 1 || budget.clients() >= sockets / 2, "fewer clients than ever: " + budget);
+            descriptorsPerProcess * processes <= descriptors,
+            descriptors + " for " + processes + ": " + budget);
         assertTrue(
-            budget.clients() > sockets / processes / 6,
-            "clients hold a third for requests: " + budget);
+            processes > 1 || budget.clients() >= descriptors / 2,
+            "less than half of the descriptors for clients: " + budget);
+        assertTrue(
+            budget.clients() > descriptors / processes / 6,
+            "less than a sixth of the descriptors for clients: " + budget);
       }
     }
   }
 
   @Test
-  void oneUpstreamGetsItsPartOfTheConnections() {
+  void limitPerUpstreamIsFourTimesTheEvenShareWithinBounds() {
     assertEquals(64, DescriptorBudget.of(ConnectionLimits.NONE, 256, 1, 1).perUpstream());
     assertEquals(5, DescriptorBudget.of(ConnectionLimits.NONE, 256, 1, 50).perUpstream());
     assertEquals(4, DescriptorBudget.of(ConnectionLimits.NONE, 256, 1, 200).perUpstream());
--- a/edge/src/test/java/edgegateway/node/connections/HandshakeQueueTest.java
+++ b/edge/src/test/java/edgegateway/node/connections/HandshakeQueueTest.java
@@ -10,9 +10,9 @@
 import java.util.SplittableRandom;
 import org.junit.jupiter.api.Test;
 
-/** Whose handshake goes on and who waits. */
+/** Which handshakes run, are queued or are rejected. */
 class HandshakeQueueTest {
-  private static final class One implements HandshakeQueue.PendingHandshake {
+  private static final class FakeHandshake implements HandshakeQueue.PendingHandshake {
     private int begun;
 
     @Override
@@ -23,44 +23,43 @@
 
   @Test
   void handshakesOverTheLimitAreQueuedAndThenRejected() {
-    HandshakeQueue handshakes = new HandshakeQueue(2);
-    List<One> all = new ArrayList<>();
+    HandshakeQueue queue = new HandshakeQueue(2);
+    List<FakeHandshake> all = new ArrayList<>();
     for (int i = 0; i < 40; i++) {
-      all.add(new One());
-      assertEquals(i < 34, handshakes.submit(all.get(i)), "number " + i);
+      all.add(new FakeHandshake());
+      assertEquals(i < 34, queue.submit(all.get(i)), "handshake " + i);
     }
-    assertEquals(List.of(2, 32), List.of(handshakes.runningCount(), handshakes.queuedCount()));
-    handshakes.remove(all.get(3));
-    handshakes.remove(all.get(0));
-    handshakes.remove(all.get(0));
+    assertEquals(List.of(2, 32), List.of(queue.runningCount(), queue.queuedCount()));
+    queue.remove(all.get(3));
+    queue.remove(all.get(0));
+    queue.remove(all.get(0));
     assertEquals(1, all.get(2).begun);
     assertEquals(0, all.get(3).begun);
-    assertEquals(List.of(2, 30), List.of(handshakes.runningCount(), handshakes.queuedCount()));
+    assertEquals(List.of(2, 30), List.of(queue.runningCount(), queue.queuedCount()));
   }
 
   @Test
   void limitsHoldForManySeeds() {
     for (long seed = 1; seed <= 100; seed++) {
       SplittableRandom random = new SplittableRandom(seed);
-      int most = random.nextInt(1, 6);
-      HandshakeQueue handshakes = new HandshakeQueue(most);
-      Set<One> in = new HashSet<>();
+      int maxRunning = random.nextInt(1, 6);
+      HandshakeQueue queue = new HandshakeQueue(maxRunning);
+      Set<FakeHandshake> accepted = new HashSet<>();
       for (int i = 0; i < 2_000; i++) {
         if (random.nextInt(3) > 0) {
-          One one = new One();
-          if (handshakes.submit(one)) {
-            in.add(one);
+          FakeHandshake handshake = new FakeHandshake();
+          if (queue.submit(handshake)) {
+            accepted.add(handshake);
           }
-        } else if (!in.isEmpty()) {
-          One one = in.iterator().next();
-          in.remove(one);
-          handshakes.remove(one);
+        } else if (!accepted.isEmpty()) {
+          FakeHandshake handshake = accepted.iterator().next();
+          accepted.remove(handshake);
+          queue.remove(handshake);
         }
-        long begun = in.stream().filter(one -> one.begun == 1).count();
-        assertEquals(Math.min(most, in.size()), begun, "seed " + seed);
-        assertTrue(in.stream().allMatch(one -> one.begun <= 1), "seed " + seed);
-        assertEquals(
-            in.size(), handshakes.runningCount() + handshakes.queuedCount(), "seed " + seed);
+        long begun = accepted.stream().filter(handshake -> handshake.begun == 1).count();
+        assertEquals(Math.min(maxRunning, accepted.size()), begun, "seed " + seed);
+        assertTrue(accepted.stream().allMatch(handshake -> handshake.begun <= 1), "seed " + seed);
+        assertEquals(accepted.size(), queue.runningCount() + queue.queuedCount(), "seed " + seed);
       }
     }
   }
--- a/edge/src/test/java/edgegateway/node/connections/RecordingWaiter.java
+++ b/edge/src/test/java/edgegateway/node/connections/RecordingWaiter.java
@@ -2,25 +2,25 @@
 
 import static org.junit.jupiter.api.Assertions.assertNull;
 
-/** An attempt that records what it was told, and fails if that is more than one thing. */
+/** A waiter that records its result, and fails if it gets more than one. */
 class RecordingWaiter implements ConnectionWaiter {
-  /** Null until it got one. */
+  /** The assigned connection; null if none was assigned. */
   UpstreamConnection connection;
 
-  /** Null unless it was told that there is no connection. */
+  /** The argument of {@link #noConnection}; null if it was not called. */
   Boolean localCause;
 
   @Override
   public void connectionReady(UpstreamConnection ready) {
-    assertNull(connection, "two connections");
-    assertNull(localCause, "a connection after a refusal");
+    assertNull(connection, "a second connection");
+    assertNull(localCause, "a connection after noConnection");
     connection = ready;
   }
 
   @Override
   public void noConnection(boolean isLocalCause) {
-    assertNull(connection, "a refusal after a connection");
-    assertNull(localCause, "two refusals");
+    assertNull(connection, "noConnection after a connection");
+    assertNull(localCause, "a second noConnection");
     localCause = isLocalCause;
   }
 
--- a/edge/src/test/java/edgegateway/node/connections/StrictHttpResponseDecoderTest.java
+++ b/edge/src/test/java/edgegateway/node/connections/StrictHttpResponseDecoderTest.java
@@ -11,50 +11,50 @@
 import java.nio.charset.StandardCharsets;
 import org.junit.jupiter.api.Test;
 
-/** Which responses are refused, without a socket. */
+/** Which responses the decoder rejects, in an embedded channel. */
 class StrictHttpResponseDecoderTest {
   private final StrictHttpResponseDecoder decoder = new StrictHttpResponseDecoder();
   private final EmbeddedChannel channel = new EmbeddedChannel(decoder);
 
-  /** Whether nothing of it was refused. */
-  private boolean reads(String response) {
+  /** Whether the decoder accepted all parts of a response. */
+  private boolean accepts(String response) {
     channel.writeInbound(Unpooled.copiedBuffer(response, StandardCharsets.US_ASCII));
-    boolean read = true;
+    boolean accepted = true;
     for (HttpObject part = channel.readInbound(); part != null; part = channel.readInbound()) {
-      read &= part.decoderResult().isSuccess();
+      accepted &= part.decoderResult().isSuccess();
       ReferenceCountUtil.release(part);
     }
-    return read;
+    return accepted;
   }
 
   @Test
-  void aStatusLineMayLackAReason() {
-    assertTrue(reads("HTTP/1.1 200\r\nContent-Length: 0\r\n\r\n"));
+  void aStatusLineMayLackAReasonPhrase() {
+    assertTrue(accepts("HTTP/1.1 200\r\nContent-Length: 0\r\n\r\n"));
   }
 
   @Test
-  void aHeaderLineWithoutAColonIsRefused() {
-    assertFalse(reads("HTTP/1.1 200 OK\r\nno colon\r\nContent-Length: 0\r\n\r\n"));
+  void aHeaderLineWithoutAColonIsRejected() {
+    assertFalse(accepts("HTTP/1.1 200 OK\r\nno colon\r\nContent-Length: 0\r\n\r\n"));
   }
 
   @Test
-  void twoLengthsAreRefused() {
+  void aContentLengthWithChunkedEncodingIsRejected() {
     assertFalse(
-        reads("HTTP/1.1 200 OK\r\nContent-Length: 1\r\nTransfer-Encoding: chunked\r\n\r\n"));
+        accepts("HTTP/1.1 200 OK\r\nContent-Length: 1\r\nTransfer-Encoding: chunked\r\n\r\n"));
   }
 
   @Test
-  void aTransferEncodingOtherThanChunkedIsRefused() {
-    assertFalse(reads("HTTP/1.1 200 OK\r\nTransfer-Encoding: gzip\r\n\r\n"));
+  void aTransferEncodingOtherThanChunkedIsRejected() {
+    assertFalse(accepts("HTTP/1.1 200 OK\r\nTransfer-Encoding: gzip\r\n\r\n"));
   }
 
   @Test
-  void bytesBehindAResponseAreUndecodedUntilTheyAreAWholeOne() {
-    assertTrue(reads("HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n"));
+  void bytesAfterAResponseAreUndecodedUntilTheNextResponseIsComplete() {
+    assertTrue(accepts("HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n"));
     assertFalse(decoder.hasUndecodedBytes());
-    assertTrue(reads("HTTP/1.1 20"));
+    assertTrue(accepts("HTTP/1.1 20"));
     assertTrue(decoder.hasUndecodedBytes());
-    assertTrue(reads("0 OK\r\nContent-Length: 0\r\n\r\n"));
+    assertTrue(accepts("0 OK\r\nContent-Length: 0\r\n\r\n"));
     assertFalse(decoder.hasUndecodedBytes());
     assertEquals(0, channel.inboundMessages().size());
   }
--- a/edge/src/test/java/edgegateway/node/connections/UpstreamConnectionTableScenarioTest.java
+++ b/edge/src/test/java/edgegateway/node/connections/UpstreamConnectionTableScenarioTest.java
@@ -12,47 +12,50 @@
 import java.util.SplittableRandom;
 import org.junit.jupiter.api.Test;
 
-/** Random attempts, faults, restarts and limits on a fake clock: invariants that always hold. */
+/** Invariants under random attempts, faults, restarts and limits, on a fake clock. */
 class UpstreamConnectionTableScenarioTest {
   private static final long MS = 1_000_000L;
 
-  /** Whatever happens: each attempt is told once, bounds hold, and no connection is left. */
+  /**
+   * Each waiter gets exactly one result, limits hold, and all connections are closed at the end.
+   */
   @Test
-  void everyWaiterIsToldOnceAndBoundsHoldWhateverHappens() {
+  void everyWaiterGetsOneResultAndLimitsHoldForManySeeds() {
     for (long seed = 1; seed <= 200; seed++) {
       try {
-        new Scenario(new SplittableRandom(seed)).run();
+        new RandomRun(new SplittableRandom(seed)).run();
       } catch (AssertionError | RuntimeException e) {
         throw new AssertionError("seed " + seed, e);
       }
     }
   }
 
-  private record Event(long at, Runnable action) {}
+  private record Event(long atNanos, Runnable action) {}
 
-  private static final class Scenario implements UpstreamTransport {
+  private static final class RandomRun implements UpstreamTransport {
     private final SplittableRandom random;
     private final ConnectionMetrics metrics = new ConnectionMetrics();
     private final UpstreamConnectionTable table =
         new UpstreamConnectionTable(this, metrics, 5, 15_000 * MS);
     private final PriorityQueue<Event> events =
-        new PriorityQueue<>((a, b) -> Long.compare(a.at, b.at));
+        new PriorityQueue<>((a, b) -> Long.compare(a.atNanos, b.atNanos));
     private final List<Upstream> upstreams = new ArrayList<>();
     private final List<RecordingWaiter> waiters = new ArrayList<>();
 
-    /** Connections that each archive server takes. */
+    /** Number of connections that each archive server accepts. */
     private final Map<Upstream, Integer> capacity = new HashMap<>();
 
     private final int maxOpen;
     private final int maxOpenPerUpstream;
-    private long now = 7_000_000 * MS;
+    private long nowNanos = 7_000_000 * MS;
 
-    /** Connects that began, and rechecks that were asked for, since the last step. */
+    /** Connects started since the last step. */
     private final List<UpstreamConnection> connecting = new ArrayList<>();
 
+    /** Upstreams with a recheck scheduled since the last step. */
     private final List<Upstream> rechecks = new ArrayList<>();
 
-    Scenario(SplittableRandom random) {
+    RandomRun(SplittableRandom random) {
       this.random = random;
       maxOpen = random.nextInt(4, 30);
       maxOpenPerUpstream = random.nextInt(1, 8);
@@ -86,33 +89,34 @@
       }
       upstreams.forEach(Upstream::retire);
       while (!events.isEmpty()) {
-        now = Math.max(now, events.peek().at);
+        nowNanos = Math.max(nowNanos, events.peek().atNanos);
         events.poll().action.run();
-        connecting.forEach(one -> one.connectFailed(now, ConnectFailure.REFUSED));
+        connecting.forEach(
+            connection -> connection.connectFailed(nowNanos, ConnectFailure.REFUSED));
         connecting.clear();
       }
       for (RecordingWaiter waiter : waiters) {
-        assertFalse(waiter.isWaiting(), "never told");
+        assertFalse(waiter.isWaiting(), "a waiter got no result");
       }
       assertEquals(0, metrics.upstreamsOpen.get());
     }
 
     private void step() {
-      now += random.nextLong(20 * MS);
-      while (!events.isEmpty() && events.peek().at <= now) {
+      nowNanos += random.nextLong(20 * MS);
+      while (!events.isEmpty() && events.peek().atNanos <= nowNanos) {
         events.poll().action.run();
       }
       if (random.nextInt(300) == 0) {
-        restartOne();
+        restartRandomUpstream();
       }
       if (random.nextInt(100) == 0) {
-        table.closeExpired(now);
+        table.closeExpired(nowNanos);
       }
       beginAttempt();
       connecting.forEach(this::scheduleConnectResult);
       connecting.clear();
       for (Upstream upstream : rechecks) {
-        events.add(new Event(now + 5 * MS, () -> upstream.connectIfNeeded(now)));
+        events.add(new Event(nowNanos + 5 * MS, () -> upstream.connectIfNeeded(nowNanos)));
       }
       rechecks.clear();
       assertTrue(metrics.upstreamsOpen.get() <= maxOpen, metrics.upstreamsOpen + " of " + maxOpen);
@@ -122,7 +126,7 @@
       }
     }
 
-    private void restartOne() {
+    private void restartRandomUpstream() {
       int index = random.nextInt(upstreams.size());
       upstreams.get(index).retire();
       upstreams.set(index, createUpstream(true));
@@ -139,49 +143,49 @@
           };
       waiters.add(waiter);
       Upstream upstream = upstreams.get(random.nextInt(upstreams.size()));
-      upstream.acquire(now, waiter);
-      events.add(new Event(now + 500 * MS, () -> giveUp(waiter, upstream)));
+      upstream.acquire(nowNanos, waiter);
+      events.add(new Event(nowNanos + 500 * MS, () -> cancelIfWaiting(waiter, upstream)));
     }
 
-    private void giveUp(RecordingWaiter waiter, Upstream upstream) {
+    private void cancelIfWaiting(RecordingWaiter waiter, Upstream upstream) {
       if (waiter.isWaiting()) {
-        assertTrue(upstream.cancel(waiter), "lost");
+        assertTrue(upstream.cancel(waiter), "a waiter without a result is not in the queue");
         waiter.localCause = true;
       }
     }
 
     private void scheduleEnd(UpstreamConnection inUse) {
-      long end = now + random.nextLong(200 * MS);
-      int how = random.nextInt(20);
+      long endNanos = nowNanos + random.nextLong(200 * MS);
+      int outcome = random.nextInt(20);
       events.add(
           new Event(
-              end,
+              endNanos,
               () -> {
-                if (how == 0) {
-                  inUse.timedOut(now);
-                  inUse.closed(now);
-                } else if (how == 1) {
-                  inUse.closed(now);
+                if (outcome == 0) {
+                  inUse.timedOut(nowNanos);
+                  inUse.closed(nowNanos);
+                } else if (outcome == 1) {
+                  inUse.closed(nowNanos);
                 } else {
-                  inUse.responseReceived(now, how > 3);
+                  inUse.responseReceived(nowNanos, outcome > 3);
                 }
               }));
     }
 
     private void scheduleConnectResult(UpstreamConnection connection) {
       Upstream upstream = connection.upstream();
-      long at = now + random.nextLong(30 * MS);
+      long atNanos = nowNanos + random.nextLong(30 * MS);
       boolean accepted =
           upstream.connectionCount() <= capacity.get(upstream) && random.nextInt(10) > 0;
       ConnectFailure failure = ConnectFailure.values()[random.nextInt(3)];
       events.add(
           new Event(
-              at,
+              atNanos,
               () -> {
                 if (accepted) {
-                  connection.connected(now);
+                  connection.connected(nowNanos);
                 } else {
-                  connection.connectFailed(now, failure);
+                  connection.connectFailed(nowNanos, failure);
                 }
               }));
     }
--- a/edge/src/test/java/edgegateway/node/connections/UpstreamConnectionTableTest.java
+++ b/edge/src/test/java/edgegateway/node/connections/UpstreamConnectionTableTest.java
@@ -11,10 +11,10 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
-/** Each rule of the table and of its upstreams alone, on a fake clock and a fake transport. */
+/** The rules of the table and of its upstreams, with a fake clock and a fake transport. */
 class UpstreamConnectionTableTest {
   private static final long MS = 1_000_000L;
-  private static final long KEEP_ALIVE = 15_000 * MS;
+  private static final long KEEP_ALIVE_NANOS = 15_000 * MS;
   private final ConnectionMetrics metrics = new ConnectionMetrics();
   private final List<UpstreamConnection> opened = new ArrayList<>();
   private final List<UpstreamConnection> closed = new ArrayList<>();
@@ -36,14 +36,14 @@
           },
           metrics,
           5,
-          KEEP_ALIVE);
+          KEEP_ALIVE_NANOS);
 
   UpstreamConnectionTableTest() {
-    bound(100, 10);
+    applyLimits(100, 10);
   }
 
-  private void bound(int all, int each) {
-    table.applyBudget(new DescriptorBudget(1, 1, all, each, 1, 1, 1, List.of()));
+  private void applyLimits(int maxOpen, int maxOpenPerUpstream) {
+    table.applyBudget(new DescriptorBudget(1, 1, maxOpen, maxOpenPerUpstream, 1, 1, 1, List.of()));
   }
 
   private RecordingWaiter acquire(Upstream upstream) {
@@ -52,8 +52,8 @@
     return waiter;
   }
 
-  /** A connection that is open and has had a response. */
-  private UpstreamConnection respondedOnce(Upstream upstream) {
+  /** Opens a connection that has received one response and is idle. */
+  private UpstreamConnection openAndRespond(Upstream upstream) {
     RecordingWaiter waiter = acquire(upstream);
     opened.get(opened.size() - 1).connected(now);
     now += 100 * MS;
@@ -62,7 +62,7 @@
   }
 
   @Test
-  void idleConnectionsAreReusedMostRecentFirst() {
+  void theMostRecentlyUsedIdleConnectionIsReusedFirst() {
     Upstream upstream = table.createUpstream("a", false);
     RecordingWaiter first = acquire(upstream);
     RecordingWaiter second = acquire(upstream);
@@ -76,20 +76,20 @@
   }
 
   @Test
-  void aWaiterGetsTheFirstReleasedConnectionAndTheNewOneStaysIdle() {
+  void aWaiterGetsAReleasedConnectionAndTheNewConnectionBecomesIdle() {
     Upstream upstream = table.createUpstream("a", false);
-    UpstreamConnection connection = respondedOnce(upstream);
+    UpstreamConnection connection = openAndRespond(upstream);
     RecordingWaiter busy = acquire(upstream);
-    RecordingWaiter waits = acquire(upstream);
-    assertNull(waits.connection);
+    RecordingWaiter waiter = acquire(upstream);
+    assertNull(waiter.connection);
     busy.connection.responseReceived(now, true);
-    assertSame(connection, waits.connection);
+    assertSame(connection, waiter.connection);
     opened.get(1).connected(now);
     assertSame(opened.get(1), acquire(upstream).connection);
   }
 
   @Test
-  void aWaiterWaitsForAConnectionThatIsReleasedSoonerThanANewOneOpens() {
+  void noConnectionIsOpenedIfAReleaseIsExpectedSooner() {
     Upstream upstream = table.createUpstream("a", false);
     RecordingWaiter slow = acquire(upstream);
     now += 80 * MS;
@@ -98,21 +98,21 @@
     slow.connection.responseReceived(now, true);
     RecordingWaiter busy = acquire(upstream);
     now += 95 * MS;
-    // It is due in 5 ms, and a new one took 80.
-    RecordingWaiter waits = acquire(upstream);
+    // Its release is expected in 5 ms, and a new connection takes 80 ms.
+    RecordingWaiter waiter = acquire(upstream);
     assertEquals(1, opened.size());
     assertEquals(List.of(upstream), rechecks);
     busy.connection.responseReceived(now, true);
-    assertNotNull(waits.connection);
+    assertNotNull(waiter.connection);
     assertEquals(1, opened.size());
-    // One that is overdue for long is not waited for.
+    // No waiter relies on a connection that is long overdue.
     now += 300 * MS;
     acquire(upstream);
     assertEquals(2, opened.size());
   }
 
   @Test
-  void duringSlowStartConnectionsAreOpenedOneAtATime() {
+  void duringSlowStartOnlyASingleConnectIsPending() {
     Upstream upstream = table.createUpstream("a", true);
     List<RecordingWaiter> waiters = new ArrayList<>();
     for (int i = 0; i < 4; i++) {
@@ -124,44 +124,50 @@
     assertEquals(2, opened.size());
     waiters.get(0).connection.responseReceived(now, true);
     assertNotNull(waiters.get(1).connection);
-    assertEquals(3, opened.size(), "it has answered, and one more waits than connections come");
+    assertEquals(
+        3,
+        opened.size(),
+        "slow start is over, and there are more waiters than connecting connections");
   }
 
   @Test
-  void refusedConnectsAreFollowedByAGrowingBackoff() {
+  void backoffGrowsWithEachRefusedConnect() {
     Upstream upstream = table.createUpstream("a", false);
-    long before = 0;
+    long longestWaitNanos = 0;
     for (int i = 0; i < 10; i++) {
       RecordingWaiter waiter = acquire(upstream);
       assertEquals(i + 1, opened.size());
       opened.get(i).connectFailed(now, ConnectFailure.REFUSED);
       assertEquals(false, waiter.localCause);
-      long began = now;
+      long startedAtNanos = now;
       while (opened.size() == i + 1) {
         RecordingWaiter early = acquire(upstream);
         if (early.localCause == null) {
           opened.remove(i + 1).connectFailed(now, ConnectFailure.NO_DESCRIPTOR);
           break;
         }
-        assertEquals(false, early.localCause, "who comes meanwhile is told at once");
+        assertEquals(
+            false, early.localCause, "a waiter during the backoff is rejected immediately");
         now += MS;
       }
-      long waited = now - began;
-      assertTrue(waited >= before / 2 && waited <= 1_021 * MS, "after " + i + ": " + waited / MS);
-      before = Math.max(before, waited);
+      long waitedNanos = now - startedAtNanos;
+      assertTrue(
+          waitedNanos >= longestWaitNanos / 2 && waitedNanos <= 1_021 * MS,
+          "backoff in ms after failure " + i + ": " + waitedNanos / MS);
+      longestWaitNanos = Math.max(longestWaitNanos, waitedNanos);
       now += 21 * MS;
     }
-    assertTrue(before > 400 * MS);
+    assertTrue(longestWaitNanos > 400 * MS);
   }
 
   @Test
-  void beyondTheLearnedLimitWaitersGetTheOpenConnections() {
+  void atTheLearnedLimitWaitersGetTheOpenConnections() {
     Upstream upstream = table.createUpstream("a", false);
-    UpstreamConnection only = respondedOnce(upstream);
+    UpstreamConnection only = openAndRespond(upstream);
     RecordingWaiter busy = acquire(upstream);
     RecordingWaiter second = acquire(upstream);
     opened.get(1).connectFailed(now, ConnectFailure.REFUSED);
-    assertNull(second.localCause, "it is served by the one there is");
+    assertNull(second.localCause, "it waits for the open connection");
     now += 1_500 * MS;
     RecordingWaiter third = acquire(upstream);
     assertEquals(2, opened.size());
@@ -171,11 +177,11 @@
     assertSame(only, third.connection);
     now += 2_500 * MS;
     acquire(upstream);
-    assertEquals(3, opened.size(), "after a while it may have room for one more");
+    assertEquals(3, opened.size(), "the learned limit has grown by one");
   }
 
-  /** One of two connections is in use and has timed out; returns the other one. */
-  private UpstreamConnection idleBesideATimedOutOne(Upstream upstream) {
+  /** Opens two connections, lets an attempt on one time out, and returns the idle one. */
+  private UpstreamConnection idleAfterTimeoutOfAnother(Upstream upstream) {
     RecordingWaiter first = acquire(upstream);
     RecordingWaiter second = acquire(upstream);
     opened.forEach(connection -> connection.connected(now));
@@ -191,11 +197,11 @@
   }
 
   @Test
-  void aSuspectedUpstreamIsTrustedAgainAfterAResponse() {
+  void aResponseEndsTheSuspicionOfAnUpstream() {
     Upstream upstream = table.createUpstream("a", false);
-    UpstreamConnection idle = idleBesideATimedOutOne(upstream);
+    UpstreamConnection idle = idleAfterTimeoutOfAnother(upstream);
     RecordingWaiter next = acquire(upstream);
-    assertNull(next.connection, "what is idle may be dead");
+    assertNull(next.connection, "the idle connection may be dead");
     UpstreamConnection fresh = opened.get(2);
     fresh.connected(now);
     assertSame(fresh, next.connection);
@@ -209,7 +215,7 @@
   @Test
   void idleConnectionsOfAnUnreachableUpstreamAreClosed() {
     Upstream upstream = table.createUpstream("a", false);
-    UpstreamConnection idle = idleBesideATimedOutOne(upstream);
+    UpstreamConnection idle = idleAfterTimeoutOfAnother(upstream);
     RecordingWaiter next = acquire(upstream);
     opened.get(2).connectFailed(now, ConnectFailure.UNRESPONSIVE);
     assertEquals(false, next.localCause);
@@ -218,9 +224,9 @@
   }
 
   @Test
-  void aTimeoutBesideOtherResponsesRaisesNoSuspicion() {
+  void aTimeoutWithALaterResponseRaisesNoSuspicion() {
     Upstream upstream = table.createUpstream("a", false);
-    respondedOnce(upstream);
+    openAndRespond(upstream);
     RecordingWaiter slow = acquire(upstream);
     RecordingWaiter quick = acquire(upstream);
     opened.get(1).connected(now);
@@ -234,8 +240,8 @@
   @Test
   void idleConnectionsAreClosedAheadOfTheServersKeepAlive() {
     Upstream upstream = table.createUpstream("a", false);
-    UpstreamConnection connection = respondedOnce(upstream);
-    now += KEEP_ALIVE - 1_600 * MS;
+    UpstreamConnection connection = openAndRespond(upstream);
+    now += KEEP_ALIVE_NANOS - 1_600 * MS;
     table.closeExpired(now);
     assertTrue(closed.isEmpty());
     now += 200 * MS;
@@ -244,18 +250,18 @@
   }
 
   @Test
-  void atTheBoundTheLongestIdleConnectionOfAnotherUpstreamIsClosed() {
-    bound(3, 2);
+  void atTheLimitTheLongestIdleConnectionOfAnotherUpstreamIsClosed() {
+    applyLimits(3, 2);
     Upstream a = table.createUpstream("a", false);
     Upstream b = table.createUpstream("b", false);
-    UpstreamConnection oldest = respondedOnce(a);
+    UpstreamConnection oldest = openAndRespond(a);
     now += MS;
     acquire(a);
     RecordingWaiter busy = acquire(a);
     opened.get(1).connected(now);
     RecordingWaiter more = acquire(a);
     assertNull(more.connection);
-    assertEquals(2, opened.size(), "two are the most for one of them");
+    assertEquals(2, opened.size(), "two connections are the limit for one upstream");
     oldest.responseReceived(now, true);
     assertSame(oldest, more.connection);
     oldest.responseReceived(now, true);
@@ -265,7 +271,7 @@
     assertEquals(4, opened.size());
     assertEquals(List.of(oldest), closed);
     RecordingWaiter third = acquire(table.createUpstream("c", false));
-    assertEquals(true, third.localCause, "it is the node's own bound, not the server's fault");
+    assertEquals(true, third.localCause, "the cause is the node's own limit, not the server");
     assertNull(second.localCause);
     assertNotNull(busy.connection);
   }
@@ -273,12 +279,12 @@
   @Test
   void aRetiredUpstreamKeepsNoConnection() {
     Upstream old = table.createUpstream("a", false);
-    UpstreamConnection idle = respondedOnce(old);
+    UpstreamConnection idle = openAndRespond(old);
     RecordingWaiter busy = acquire(old);
     RecordingWaiter waiting = acquire(old);
     assertSame(idle, busy.connection);
     old.retire();
-    assertEquals(true, waiting.localCause, "a server that was told to leave has failed nobody");
+    assertEquals(true, waiting.localCause, "a retired server has not failed");
     busy.connection.responseReceived(now, true);
     assertEquals(List.of(idle), closed);
     opened.get(1).connected(now);
@@ -288,7 +294,7 @@
   }
 
   @Test
-  void aLackOfDescriptorsIsNoConnectFailure() {
+  void exhaustedDescriptorsAreNotAConnectFailure() {
     Upstream upstream = table.createUpstream("a", false);
     RecordingWaiter waiter = acquire(upstream);
     opened.get(0).connectFailed(now, ConnectFailure.NO_DESCRIPTOR);
@@ -296,7 +302,7 @@
     now += 21 * MS;
     acquire(upstream);
     acquire(upstream);
-    assertEquals(3, opened.size(), "it is connected to as one that never failed");
+    assertEquals(3, opened.size(), "two concurrent connects: no failure was counted");
   }
 
   @Test
