--- a/edge/src/main/java/edgegateway/node/lifecycle/ClassArchive.java
+++ b/edge/src/main/java/edgegateway/node/lifecycle/ClassArchive.java
@@ -5,15 +5,15 @@
 import java.nio.file.Path;
 
 /**
- * Whether this process's classes come from the archive that the build made ({@code
- * deploy/archive.sh}). The JVM passes over an archive that does not fit and only starts slower.
+ * Finds out whether the JVM loads classes from the class data archive that the build made ({@code
+ * deploy/archive.sh}). The JVM ignores an archive that does not match and only starts more slowly.
  */
 public final class ClassArchive {
   private static final String SUFFIX = ".jsa";
 
   private ClassArchive() {}
 
-  /** As the kernel tells it; false where it does not. */
+  /** Whether this process has mapped such an archive; false if that cannot be read. */
   public static boolean inUse() {
     try {
       return isMapped(
@@ -23,8 +23,13 @@
     }
   }
 
-  /** Whether {@code maps}, as in proc(5), name an archive other than those that the JDK brings. */
-  public static boolean isMapped(String maps, String jdk) {
-    return maps.lines().anyMatch(line -> line.endsWith(SUFFIX) && !line.contains(jdk));
+  /**
+   * Whether an archive outside the JDK is mapped.
+   *
+   * @param maps content of {@code /proc/PID/maps} (proc(5))
+   * @param jdkHome directory of the JDK, whose own archives don't count
+   */
+  public static boolean isMapped(String maps, String jdkHome) {
+    return maps.lines().anyMatch(line -> line.endsWith(SUFFIX) && !line.contains(jdkHome));
   }
 }
--- a/edge/src/main/java/edgegateway/node/lifecycle/ConfigFileWatcher.java
+++ b/edge/src/main/java/edgegateway/node/lifecycle/ConfigFileWatcher.java
@@ -6,56 +6,57 @@
 import java.nio.file.attribute.BasicFileAttributes;
 
 /**
- * Notices a new configuration by looking at its file, for a process that no SIGHUP reaches. Not
+ * Detects a new configuration by polling its file, for a process that ignores SIGHUP. Not
  * thread-safe.
  */
 public final class ConfigFileWatcher {
   /**
-   * Time between two polls: the platform expects discovery's changes to be known 4 s after a new
-   * configuration.
+   * Time between two polls. The platform expects a changed discovery address to be in use 4 s after
+   * the new configuration was written.
    */
   public static final long POLL_INTERVAL_MILLIS = 500;
 
   /**
-   * Writes that follow each other within a tick of the file system's clock may leave the same time.
+   * Age that a modification time must have when the file is read for an unchanged time to mean an
+   * unchanged file: two writes within one tick of the file system's clock get the same time.
    */
-  private static final long YOUNG_MS = 2_000;
+  private static final long MIN_TRUSTED_AGE_MILLIS = 2_000;
 
   private final Path file;
-  private String text;
-  private BasicFileAttributes seen;
-  private long readAt;
+  private String lastText;
+  private BasicFileAttributes lastAttributes;
+  private long lastReadMillis;
 
-  /** {@code followed} is the text that is followed now. */
-  public ConfigFileWatcher(Path file, String followed) {
+  /** {@code currentText} is the content of the configuration that is in use. */
+  public ConfigFileWatcher(Path file, String currentText) {
     this.file = file;
-    text = followed;
+    lastText = currentText;
   }
 
   /**
-   * Whether the file now holds another text than at the last look; one that is gone or can't be
-   * read does not.
+   * Whether the file's content differs from that of the last poll; false if the file is missing or
+   * cannot be read.
    */
   public boolean pollForChange() {
     try {
-      BasicFileAttributes now = Files.readAttributes(file, BasicFileAttributes.class);
-      if (seen != null
-          && same(now, seen)
-          && readAt - now.lastModifiedTime().toMillis() > YOUNG_MS) {
+      BasicFileAttributes attributes = Files.readAttributes(file, BasicFileAttributes.class);
+      if (lastAttributes != null
+          && sameFileState(attributes, lastAttributes)
+          && lastReadMillis - attributes.lastModifiedTime().toMillis() > MIN_TRUSTED_AGE_MILLIS) {
         return false;
       }
-      readAt = System.currentTimeMillis();
-      String read = Files.readString(file);
-      seen = now;
-      boolean changed = !read.equals(text);
-      text = read;
+      lastReadMillis = System.currentTimeMillis();
+      String readText = Files.readString(file);
+      lastAttributes = attributes;
+      boolean changed = !readText.equals(lastText);
+      lastText = readText;
       return changed;
     } catch (IOException e) {
       return false;
     }
   }
 
-  private static boolean same(BasicFileAttributes a, BasicFileAttributes b) {
+  private static boolean sameFileState(BasicFileAttributes a, BasicFileAttributes b) {
     return a.lastModifiedTime().equals(b.lastModifiedTime())
         && a.size() == b.size()
         && a.fileKey().equals(b.fileKey());
--- a/edge/src/main/java/edgegateway/node/lifecycle/EventLoopStallDetector.java
+++ b/edge/src/main/java/edgegateway/node/lifecycle/EventLoopStallDetector.java
@@ -3,44 +3,46 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * Detects stalls of the event loop. Right after a stall, data that arrived meanwhile may be unread,
- * and what is known of a client is as old as the stall was long. Times are nanoseconds of one
- * clock; for the event loop's thread.
+ * Detects stalls of the event loop by a gap between the firings of a periodic timer. Right after a
+ * stall, data that arrived meanwhile may be unread, and what is known of a client's presence is as
+ * old as the stall was long. All times are nanoseconds of the same clock. Not thread-safe: used on
+ * the event loop's thread only.
  */
 public final class EventLoopStallDetector {
-  /** The policy's timer fires each 10 ms; one that is this late reveals a stall. */
-  static final long LATE_TIMER_NANOS = TimeUnit.MILLISECONDS.toNanos(50);
+  /** A longer gap between two firings is a stall; the policy's timer fires every 10 ms. */
+  static final long MAX_TIMER_GAP_NANOS = TimeUnit.MILLISECONDS.toNanos(50);
 
   /**
-   * Time after a stall in which sockets are read and half-closed clients are probed and may answer.
+   * Time after a stall that is enough to read the sockets, to probe half-closed clients and to
+   * receive their replies.
    */
   public static final long SETTLE_NANOS = TimeUnit.MILLISECONDS.toNanos(20);
 
-  private long ticked;
-  private long settled;
+  private long lastFiredNanos;
+  private long settledAtNanos;
 
-  /** Starts without a stall. */
-  public EventLoopStallDetector(long now) {
-    ticked = now;
-    settled = now;
+  /** Creates a detector that has seen no stall; {@code nowNanos} counts as the first firing. */
+  public EventLoopStallDetector(long nowNanos) {
+    lastFiredNanos = nowNanos;
+    settledAtNanos = nowNanos;
   }
 
-  /** The loop's timer came. */
-  public void timerFired(long now) {
-    look(now);
-    ticked = now;
+  /** Called each time the periodic timer fires. */
+  public void timerFired(long nowNanos) {
+    detectStall(nowNanos);
+    lastFiredNanos = nowNanos;
   }
 
-  /** Whether there was none of late. */
-  public boolean noRecentStall(long now) {
-    look(now);
-    return now - settled >= 0;
+  /** False from the detection of a stall until {@link #SETTLE_NANOS} later, otherwise true. */
+  public boolean noRecentStall(long nowNanos) {
+    detectStall(nowNanos);
+    return nowNanos - settledAtNanos >= 0;
   }
 
-  private void look(long now) {
-    if (now - ticked > LATE_TIMER_NANOS) {
-      settled = now + SETTLE_NANOS;
-      ticked = now;
+  private void detectStall(long nowNanos) {
+    if (nowNanos - lastFiredNanos > MAX_TIMER_GAP_NANOS) {
+      settledAtNanos = nowNanos + SETTLE_NANOS;
+      lastFiredNanos = nowNanos;
     }
   }
 }
--- a/edge/src/main/java/edgegateway/node/lifecycle/SignalDispositions.java
+++ b/edge/src/main/java/edgegateway/node/lifecycle/SignalDispositions.java
@@ -5,9 +5,10 @@
 import java.nio.file.Path;
 
 /**
- * Which signals this process ignores. The JVM leaves SIGHUP, SIGINT and SIGTERM alone if they were
- * ignored when it began, as {@code nohup} and a shell's {@code trap ''} hand them down through
- * every exec, and {@link sun.misc.Signal#handle} then does nothing and says nothing.
+ * Tells which signals a process ignores. If SIGHUP, SIGINT or SIGTERM is ignored when the JVM
+ * starts, the JVM keeps ignoring it, and {@link sun.misc.Signal#handle} has no effect and reports
+ * no error. {@code nohup} and a shell's {@code trap ''} cause this: the disposition is inherited
+ * through every exec.
  */
 public final class SignalDispositions {
   /** Number of the hang-up signal on Linux (signal(7)). */
@@ -16,41 +17,42 @@
   /** Number of the termination signal on Linux (signal(7)). */
   public static final int SIGTERM = 15;
 
-  private static final Path STATUS = Path.of("/proc/self/status");
-  private static final String IGNORED = "SigIgn:";
-  private static final int HEXADECIMAL = 16;
+  private static final Path STATUS_FILE = Path.of("/proc/self/status");
+  private static final String IGNORED_PREFIX = "SigIgn:";
+  private static final int HEX_RADIX = 16;
 
-  private final long ignored;
+  private final long ignoredMask;
 
-  private SignalDispositions(long ignored) {
-    this.ignored = ignored;
+  private SignalDispositions(long ignoredMask) {
+    this.ignoredMask = ignoredMask;
   }
 
-  /** As the kernel tells them now; where it does not, none counts as ignored. */
+  /** Reads the dispositions of this process; if that fails, no signal counts as ignored. */
   public static SignalDispositions current() {
     try {
-      return parse(Files.readString(STATUS));
+      return parse(Files.readString(STATUS_FILE));
     } catch (IOException e) {
       return parse("");
     }
   }
 
   /**
-   * Reads the text of {@code /proc/PID/status} (proc(5)): a mask in hexadecimal, the lowest bit for
-   * signal 1.
+   * Parses the content of {@code /proc/PID/status} (proc(5)), in which the ignored signals are a
+   * hexadecimal mask with the lowest bit for signal 1. Without that line no signal counts as
+   * ignored.
    */
   public static SignalDispositions parse(String status) {
     for (String line : status.split("\n")) {
-      if (line.startsWith(IGNORED)) {
-        String mask = line.substring(IGNORED.length()).strip();
-        return new SignalDispositions(Long.parseUnsignedLong(mask, HEXADECIMAL));
+      if (line.startsWith(IGNORED_PREFIX)) {
+        String mask = line.substring(IGNORED_PREFIX.length()).strip();
+        return new SignalDispositions(Long.parseUnsignedLong(mask, HEX_RADIX));
       }
     }
     return new SignalDispositions(0);
   }
 
-  /** Whether a signal is ignored, by its number. */
+  /** Whether the signal of this number is ignored. */
   public boolean isIgnored(int signal) {
-    return (ignored >>> signal - 1 & 1) != 0;
+    return (ignoredMask >>> signal - 1 & 1) != 0;
   }
 }
--- a/edge/src/main/java/edgegateway/node/lifecycle/package-info.java
+++ b/edge/src/main/java/edgegateway/node/lifecycle/package-info.java
@@ -1,2 +1,2 @@
-/** Signals, configuration changes, event-loop stalls and the class archive. */
+/** The process's surroundings: signals, configuration file, event-loop stalls, class archive. */
 package edgegateway.node.lifecycle;
--- a/edge/src/main/java/edgegateway/node/logging/EventLog.java
+++ b/edge/src/main/java/edgegateway/node/logging/EventLog.java
@@ -3,19 +3,19 @@
 import java.io.PrintStream;
 
 /**
- * Writes the node's log: one line for each event, as {@code event key=value key=value}. Information
- * goes to standard output, warnings and errors go to standard error. Safe for any thread.
+ * Writes the node's log: one line per event, as {@code event key=value key=value}. Events of level
+ * INFO go to one stream, warnings and errors to another. Thread-safe.
  *
- * <p>The events on-call staff act on are listed in {@code docs/operating.md}.
+ * <p>The events that on-call staff act on are listed in {@code docs/operating.md}.
  */
 public final class EventLog {
   /** How urgent an event is. */
   public enum Level {
     /** Expected in normal operation. */
     INFO,
-    /** Something failed and was worked around; service goes on. */
+    /** Something failed, and the node continues to serve without it. */
     WARN,
-    /** Something failed and a person has to look. */
+    /** Something failed, and a person has to intervene. */
     ERROR
   }
 
@@ -25,27 +25,27 @@
   private static final EventLog CONSOLE = new EventLog(System.out, System.err);
 
   static {
-    // What is logged may be that no descriptor is left, and then no class file can be opened: all
-    // that a line needs is loaded with this class.
+    // Loads all classes that a line needs: a line may report that no file descriptor is left, and
+    // then no class file can be opened any more.
     CONSOLE.streamOf(Level.INFO);
     format("loaded", field("by", new IllegalStateException("start")));
   }
 
-  private final PrintStream information;
-  private final PrintStream problems;
+  private final PrintStream infoStream;
+  private final PrintStream problemStream;
 
-  /** Writes to the given streams; neither is closed by this class. */
-  public EventLog(PrintStream information, PrintStream problems) {
-    this.information = information;
-    this.problems = problems;
+  /** Writes to the given streams; this class closes neither of them. */
+  public EventLog(PrintStream infoStream, PrintStream problemStream) {
+    this.infoStream = infoStream;
+    this.problemStream = problemStream;
   }
 
-  /** The log on the process's standard streams. */
+  /** The log that writes to standard output (INFO) and standard error (WARN, ERROR). */
   public static EventLog console() {
     return CONSOLE;
   }
 
-  /** A field for {@link #info}, {@link #warn} and {@link #error}. */
+  /** Creates a field for {@link #info}, {@link #warn} and {@link #error}. */
   public static Field field(String key, Object value) {
     return new Field(key, value);
   }
@@ -55,23 +55,26 @@
     write(Level.INFO, event, fields);
   }
 
-  /** Logs a failure that was worked around. */
+  /** Logs a failure despite which the node continues to serve. */
   public void warn(String event, Field... fields) {
     write(Level.WARN, event, fields);
   }
 
-  /** Logs a failure that needs a person. */
+  /** Logs a failure for which a person has to intervene. */
   public void error(String event, Field... fields) {
     write(Level.ERROR, event, fields);
   }
 
-  /** Logs an event at a level; a value with white space is quoted. */
+  /**
+   * Logs an event. A value that is empty or has white space or double quotes is put in double
+   * quotes; line breaks in it become spaces and double quotes become single ones.
+   */
   public void write(Level level, String event, Field... fields) {
     streamOf(level).println(format(event, fields));
   }
 
   private PrintStream streamOf(Level level) {
-    return level == Level.INFO ? information : problems;
+    return level == Level.INFO ? infoStream : problemStream;
   }
 
   private static String format(String event, Field... fields) {
@@ -101,7 +104,7 @@
     return text.isEmpty();
   }
 
-  /** The error and the first place of its stack: enough to find it, on one line. */
+  /** The exception with its top stack frame, so that its origin can be found from a single line. */
   private static String describe(Throwable error) {
     StackTraceElement[] stack = error.getStackTrace();
     return stack.length == 0 ? error.toString() : error + " at " + stack[0];
--- a/edge/src/main/java/edgegateway/node/metrics/NodeMetrics.java
+++ b/edge/src/main/java/edgegateway/node/metrics/NodeMetrics.java
@@ -8,17 +8,18 @@
 import java.util.concurrent.atomic.AtomicLongArray;
 
 /**
- * What operators read of a node: counted on its event loop, read on any thread, all from 0 with the
- * process. The metrics' names are the operators' (docs/operating.md) and stay as they are.
+ * The metrics of a node. They are updated on its event loop, may be read on any thread, and start
+ * at 0 with the process. Operators' tools depend on the metrics' names ({@code docs/operating.md}),
+ * which must not change.
  */
 public final class NodeMetrics {
-  /** How a request ended for its client. */
+  /** How a request ended for its client; the label is part of a metric's name. */
   public enum RequestEnd {
-    /** It got an archive server's answer. */
+    /** An archive server's response was forwarded. */
     FORWARDED("passed"),
-    /** It was rejected. */
+    /** It was rejected and may be retried. */
     REJECTED("dropped"),
-    /** It failed. */
+    /** It failed, with or without effect. */
     FAILED("bad_gateway");
 
     private final String label;
@@ -34,7 +35,7 @@
   private final List<String> classes;
   private final ConnectionMetrics connections;
 
-  /** For each request class, one after the other, a count for each of {@link #ENDS}. */
+  /** Counts by request class and {@link RequestEnd}; the position is {@link #index}. */
   private final AtomicLongArray endedRequests;
 
   private final AtomicLong attempts = new AtomicLong();
@@ -46,29 +47,31 @@
 
   private volatile long lastDiscoveryMessageNanos = System.nanoTime();
 
-  /** Written on the event loop alone, as is the next. */
+  /** Written on the event loop only, as is {@link #longestDiscoveryWaitNanos}. */
   private volatile long longestLoopStallNanos;
 
   private volatile long longestDiscoveryWaitNanos;
 
-  /** Null where zones are ejected by operators alone. */
+  /** Null if only operators eject zones. */
   private volatile ZoneMetrics zones;
 
-  private record ZoneMetrics(long away, long calls, long trials) {}
+  private record ZoneMetrics(long ejectedZones, long voteCalls, long probes) {}
 
-  /** {@code classes} are the request classes' names, each at its index. */
+  /** {@code classes} are the names of the request classes, by index. */
   public NodeMetrics(List<String> classes, ConnectionMetrics connections) {
     this.classes = classes;
     this.connections = connections;
     endedRequests = new AtomicLongArray(classes.size() * ENDS.length);
   }
 
-  /** A request was taken. */
+  /** Counts a request as in progress. */
   public void requestAccepted() {
     inProgress.incrementAndGet();
   }
 
-  /** A request has ended; {@code end} is null if its client left before the answer. */
+  /**
+   * Counts a request as ended; {@code end} is null if its client disconnected before the answer.
+   */
   public void requestEnded(int requestClass, RequestEnd end) {
     inProgress.decrementAndGet();
     if (end != null) {
@@ -80,12 +83,12 @@
     return requestClass * ENDS.length + end.ordinal();
   }
 
-  /** An attempt was written whole to an archive server. */
+  /** Counts an attempt that was completely written to an archive server. */
   public void attemptWritten() {
     attempts.incrementAndGet();
   }
 
-  /** A call to the counter has ended; {@code answered} unless it was rejected, late or lost. */
+  /** Counts a call to the shared counter; {@code answered} unless it was rejected, late or lost. */
   public void counterCallEnded(boolean answered) {
     counterCalls.incrementAndGet();
     if (!answered) {
@@ -93,54 +96,60 @@
     }
   }
 
-  /** How many endpoints the list holds, and how many of these are skipped. */
+  /** Sets the number of listed endpoints and how many of these the policy skips. */
   public void endpointsChanged(int listed, int skipped) {
     listedEndpoints.set(listed);
     skippedEndpoints.set(skipped);
   }
 
   /**
-   * How many zones are out or on their way by the fleet's decision, calls to the counter about
-   * zones, requests sent to try one.
+   * Sets the metrics of the zones' ejection by the fleet.
+   *
+   * @param ejectedZones number of zones that are ejected, leaving or returning
+   * @param voteCalls number of calls to the shared counter for votes on zones
+   * @param probes number of requests sent to an ejected zone as a half-open attempt
    */
-  public void zonesChanged(long ejectedZones, long calls, long halfOpenAttempts) {
-    zones = new ZoneMetrics(ejectedZones, calls, halfOpenAttempts);
+  public void zonesChanged(long ejectedZones, long voteCalls, long probes) {
+    zones = new ZoneMetrics(ejectedZones, voteCalls, probes);
   }
 
-  /** A line of discovery came, or the first one is waited for from now on. */
+  /** A line arrived from discovery, or the wait for the first one begins. */
   public void discoveryMessageReceived() {
     lastDiscoveryMessageNanos = System.nanoTime();
   }
 
-  /** For how long nothing was heard of discovery, in milliseconds; a line comes every 2 s. */
+  /**
+   * Time since the last line from discovery or the start of the wait for the first, in
+   * milliseconds. Discovery sends a line at least every 2 s.
+   */
   public long millisSinceDiscoveryMessage() {
     return TimeUnit.NANOSECONDS.toMillis(System.nanoTime() - lastDiscoveryMessageNanos);
   }
 
-  /** A timer of the policy ran this late: for so long the loop was at something else. */
-  public void timerFiredLate(long delayNanos) {
-    longestLoopStallNanos = Math.max(longestLoopStallNanos, delayNanos);
+  /** Records by how much a timer of the policy was late because the event loop was busy. */
+  public void timerFiredLate(long lateNanos) {
+    longestLoopStallNanos = Math.max(longestLoopStallNanos, lateNanos);
   }
 
-  /** A message of discovery reached the policy this long after it was read. */
+  /** Records how long after it was read a discovery message was applied to the policy. */
   public void discoveryMessageApplied(long waitNanos) {
     longestDiscoveryWaitNanos = Math.max(longestDiscoveryWaitNanos, waitNanos);
   }
 
-  /** The longest stall of the event loop since the process began, in milliseconds. */
+  /** The longest stall of the event loop since the process started, in milliseconds. */
   public long longestLoopStallMillis() {
     return TimeUnit.NANOSECONDS.toMillis(longestLoopStallNanos);
   }
 
   /**
-   * The longest time that a message of discovery waited until the policy had it, since the process
-   * began, in milliseconds.
+   * The longest time between the reading of a discovery message and its application to the policy
+   * since the process started, in milliseconds.
    */
   public long longestDiscoveryWaitMillis() {
     return TimeUnit.NANOSECONDS.toMillis(longestDiscoveryWaitNanos);
   }
 
-  /** All metrics, one {@code name=value} a line. */
+  /** All metrics, one {@code name=value} per line. */
   public String render() {
     StringBuilder text = new StringBuilder();
     for (int i = 0; i < classes.size(); i++) {
@@ -160,9 +169,9 @@
     appendLine(text, "loop.longest_standstill_ms", longestLoopStallMillis());
     ZoneMetrics currentZones = zones;
     if (currentZones != null) {
-      appendLine(text, "zones.away", currentZones.away());
-      appendLine(text, "zones.calls", currentZones.calls());
-      appendLine(text, "zones.trials", currentZones.trials());
+      appendLine(text, "zones.away", currentZones.ejectedZones());
+      appendLine(text, "zones.calls", currentZones.voteCalls());
+      appendLine(text, "zones.trials", currentZones.probes());
     }
     connections.forEach((name, value) -> appendLine(text, "connections." + name, value));
     return text.toString();
--- a/edge/src/main/java/edgegateway/node/metrics/package-info.java
+++ b/edge/src/main/java/edgegateway/node/metrics/package-info.java
@@ -1,2 +1,2 @@
-/** What operators read of a node. */
+/** The metrics that operators read from a node. */
 package edgegateway.node.metrics;
--- a/edge/src/test/java/edgegateway/node/logging/EventLogTest.java
+++ b/edge/src/test/java/edgegateway/node/logging/EventLogTest.java
@@ -11,9 +11,9 @@
 import org.junit.jupiter.api.Test;
 
 class EventLogTest {
-  private final ByteArrayOutputStream information = new ByteArrayOutputStream();
-  private final ByteArrayOutputStream problems = new ByteArrayOutputStream();
-  private final EventLog log = new EventLog(stream(information), stream(problems));
+  private final ByteArrayOutputStream infoStream = new ByteArrayOutputStream();
+  private final ByteArrayOutputStream problemStream = new ByteArrayOutputStream();
+  private final EventLog log = new EventLog(stream(infoStream), stream(problemStream));
 
   private static PrintStream stream(ByteArrayOutputStream bytes) {
     return new PrintStream(bytes, true, StandardCharsets.UTF_8);
@@ -24,31 +24,32 @@
   }
 
   @Test
-  void writesTheEventAndItsFieldsOnOneLine() {
+  void writesEventAndFieldsOnSingleLine() {
     log.info("serving", field("address", "127.0.0.1:80"), field("attempt", 2));
-    assertEquals("serving address=127.0.0.1:80 attempt=2", text(information));
-    assertEquals("", text(problems));
+    assertEquals("serving address=127.0.0.1:80 attempt=2", text(infoStream));
+    assertEquals("", text(problemStream));
   }
 
   @Test
-  void quotesValuesWithWhiteSpaceAndKeepsThemOnOneLine() {
+  void quotesEmptyValuesAndValuesWithWhiteSpaceOnSingleLine() {
     log.info("rejected", field("reason", "a \"key\"\nis missing"), field("empty", ""));
-    assertEquals("rejected reason=\"a 'key' is missing\" empty=\"\"", text(information));
+    assertEquals("rejected reason=\"a 'key' is missing\" empty=\"\"", text(infoStream));
   }
 
   @Test
-  void warningsAndErrorsGoToTheOtherStream() {
+  void writesWarningsAndErrorsToProblemStream() {
     log.warn("slow");
     log.error("broken");
-    assertEquals("", text(information));
-    assertEquals("slow\nbroken", text(problems));
+    assertEquals("", text(infoStream));
+    assertEquals("slow\nbroken", text(problemStream));
   }
 
   @Test
-  void anErrorNamesTheFirstPlaceOfItsStack() {
+  void writesThrowableWithTopStackFrame() {
     log.warn("failed", field("error", new IOException("gone")));
     assertTrue(
-        text(problems).startsWith("failed error=\"java.io.IOException: gone at edgegateway.node"),
-        text(problems));
+        text(problemStream)
+            .startsWith("failed error=\"java.io.IOException: gone at edgegateway.node"),
+        text(problemStream));
   }
 }
