--- a/edge/src/main/java/edgegateway/node/config/InvalidConfigException.java
+++ b/edge/src/main/java/edgegateway/node/config/InvalidConfigException.java
@@ -1,6 +1,6 @@
 package edgegateway.node.config;
 
-/** A configuration that cannot be used; the message is one plain line that names the key. */
+/** A configuration is invalid; the message is a single line that names the key. */
 public final class InvalidConfigException extends Exception {
   private static final long serialVersionUID = 1L;
 
@@ -12,8 +12,8 @@
   }
 
   /**
-   * The key that cannot be used, with the objects that hold it, as {@code zones.verdicts}; empty if
-   * the file as a whole cannot be.
+   * The path of the invalid key, such as {@code zones.verdicts}; empty if the file as a whole
+   * cannot be read.
    */
   public String key() {
     return key;
--- a/edge/src/main/java/edgegateway/node/config/NodeConfig.java
+++ b/edge/src/main/java/edgegateway/node/config/NodeConfig.java
@@ -9,24 +9,25 @@
 import java.net.InetSocketAddress;
 
 /**
- * The configuration a node starts with; {@link NodeConfigParser} reads it.
+ * The configuration of a node, as {@link NodeConfigParser} reads it.
  *
- * @param listen where clients connect
- * @param discovery where discovery listens; followed when it changes
- * @param counter where the shared quota counter listens, followed when it changes; null where there
- *     is none
- * @param operators where operators call; null where they can't
- * @param seed of all random numbers
- * @param maxDescriptors how many descriptors the process may hold; default 1,024
- * @param connections limits on connections, so far as they are set; {@link ConnectionLimits#NONE}
- *     by default
- * @param tls how clients' connections are secured; null, the default, if they are not
- * @param zones how the fleet ejects zones; null, the default, if operators alone do
- * @param knownEndpoints the endpoint list as last had before this start; empty if there was none
- * @param connectTimeoutNanos nanoseconds after which a connection counts as not made
- * @param keepAliveNanos nanoseconds after which an archive server closes an idle connection
- * @param names the names that stand for the settings' indices
- * @param settings what the policy goes by
+ * @param listen address at which the node accepts clients
+ * @param discovery address of discovery; a change takes effect while the node runs
+ * @param counter address of the shared quota counter; a change takes effect while the node runs;
+ *     null if there is no counter
+ * @param operators address at which the node accepts operators' calls; null for none
+ * @param seed seed of all random numbers
+ * @param maxDescriptors maximum number of file descriptors of the node; 1,024 by default
+ * @param connections limits on connections that the file sets; {@link ConnectionLimits#NONE} by
+ *     default
+ * @param tls TLS settings of clients' connections; null, the default, if they are not encrypted
+ * @param zones how the fleet ejects zones; null, the default, if only operators do
+ * @param knownEndpoints the last endpoint list known before the start; empty if there was none
+ * @param connectTimeoutNanos time after which opening a connection to an archive server fails
+ * @param keepAliveNanos idle time after which an archive server closes a connection
+ * @param names names of the request classes, quota plans, zones and machine types, which the
+ *     settings refer to by index
+ * @param settings settings of the policy
  */
 public record NodeConfig(
     InetSocketAddress listen,
--- a/edge/src/main/java/edgegateway/node/config/NodeConfigParser.java
+++ b/edge/src/main/java/edgegateway/node/config/NodeConfigParser.java
@@ -19,11 +19,12 @@
 import java.util.Map;
 
 /**
- * Reads a node's configuration. What cannot be used is refused with one line that names the key; of
- * several faults the first in the order of this class is reported. Safe for any thread.
+ * Parses the configuration file of a node. An invalid configuration is rejected with a single-line
+ * message that names the key; of several errors the first one in the order of this class's checks
+ * is reported. Thread-safe.
  */
 public final class NodeConfigParser {
-  private static final int DEFAULT_DESCRIPTORS = 1_024;
+  private static final int DEFAULT_MAX_DESCRIPTORS = 1_024;
   private static final int SEED_RADIX = 16;
 
   private static final List<String> REQUIRED_SETTINGS =
@@ -53,22 +54,22 @@
 
   private NodeConfigParser() {}
 
-  /** Reads a file. */
+  /** Reads and parses a file. */
   public static NodeConfig read(Path file) throws InvalidConfigException {
     return parse(readText(file));
   }
 
-  /** What a file holds, for {@link #parse}. */
+  /** Reads the text of a file, for {@link #parse}. */
   public static String readText(Path file) throws InvalidConfigException {
     try {
       return Files.readString(file);
     } catch (IOException e) {
       throw new InvalidConfigException(
-          "", "the configuration " + file + " cannot be read: " + e.getMessage());
+          "", "the configuration file " + file + " cannot be read: " + e.getMessage());
     }
   }
 
-  /** Reads the text of a configuration. */
+  /** Parses the text of a configuration. */
   public static NodeConfig parse(String text) throws InvalidConfigException {
     try {
       return config(Json.read(text));
@@ -83,34 +84,34 @@
   private static NodeConfig config(JsonNode root)
       throws InvalidConfigException, InvalidFieldException {
     JsonNode settings = JsonFields.required(root, "settings");
-    Map<String, String> pairs = SettingsFlattener.of(settings);
+    Map<String, String> settingsByPath = SettingsFlattener.of(settings);
     SettingNames names = names(settings);
-    checkIdempotencies(pairs, names);
-    checkRequired(pairs, names);
-    PolicySettings policySettings = policySettings(pairs);
+    checkIdempotencies(settingsByPath, names);
+    checkRequired(settingsByPath, names);
+    PolicySettings policySettings = policySettings(settingsByPath);
     return new NodeConfig(
         JsonFields.address(root, "listen"),
         JsonFields.address(root, "discovery"),
         policySettings.counter().configured() ? JsonFields.address(root, "counter") : null,
         root.hasNonNull("ops") ? JsonFields.address(root, "ops") : null,
         seed(JsonFields.required(root, "seed")),
-        root.path("limits").path("sockets").asInt(DEFAULT_DESCRIPTORS),
+        root.path("limits").path("sockets").asInt(DEFAULT_MAX_DESCRIPTORS),
         OwnSettingsParser.connections(root.path("connections")),
         OwnSettingsParser.tls(root.path("tls")),
         OwnSettingsParser.zones(root.path("zones")),
         root.hasNonNull("known")
             ? EndpointListParser.parse(root.get("known"), names)
             : EndpointList.empty(),
-        (long) number(pairs, "caps.connect-timeout-ns"),
-        (long) number(pairs, "caps.keepalive-ns"),
+        (long) number(settingsByPath, "caps.connect-timeout-ns"),
+        (long) number(settingsByPath, "caps.keepalive-ns"),
         names,
         policySettings);
   }
 
-  private static PolicySettings policySettings(Map<String, String> pairs)
+  private static PolicySettings policySettings(Map<String, String> settingsByPath)
       throws InvalidConfigException {
     try {
-      return PolicySettingsReader.read(pairs);
+      return PolicySettingsReader.read(settingsByPath);
     } catch (IllegalArgumentException e) {
       throw new InvalidConfigException("settings", "settings." + e.getMessage());
     }
@@ -125,7 +126,7 @@
         texts(settings, "skus"));
   }
 
-  /** The names of the objects in a list, which has to hold at least one. */
+  /** The names of the objects in a list; rejects an empty list. */
   private static List<String> requiredNames(JsonNode settings, String list)
       throws InvalidConfigException, InvalidFieldException {
     List<String> names = new ArrayList<>();
@@ -147,64 +148,65 @@
     return List.copyOf(texts);
   }
 
-  private static void checkIdempotencies(Map<String, String> pairs, SettingNames names)
+  private static void checkIdempotencies(Map<String, String> settingsByPath, SettingNames names)
       throws InvalidConfigException {
     for (int i = 0; i < names.classes().size(); i++) {
       String path = "classes." + i + ".idempotency";
-      if (!IDEMPOTENCIES.contains(pairs.getOrDefault(path, ""))) {
+      if (!IDEMPOTENCIES.contains(settingsByPath.getOrDefault(path, ""))) {
         String key = "settings." + path;
         throw new InvalidConfigException(key, key + " is not retryable, dedup or fragile");
       }
     }
   }
 
-  private static void checkRequired(Map<String, String> pairs, SettingNames names)
+  private static void checkRequired(Map<String, String> settingsByPath, SettingNames names)
       throws InvalidConfigException {
     for (String path : REQUIRED_SETTINGS) {
-      checkNumber(pairs, path);
+      checkNumber(settingsByPath, path);
     }
     for (int i = 0; i < names.classes().size(); i++) {
       for (String name : REQUIRED_CLASS_SETTINGS) {
-        checkNumber(pairs, "classes." + i + "." + name);
+        checkNumber(settingsByPath, "classes." + i + "." + name);
       }
     }
     for (int i = 0; i < names.plans().size(); i++) {
       for (String name : REQUIRED_PLAN_SETTINGS) {
-        checkNumber(pairs, "tariffs." + i + "." + name);
+        checkNumber(settingsByPath, "tariffs." + i + "." + name);
       }
     }
   }
 
-  private static void checkNumber(Map<String, String> pairs, String path)
+  private static void checkNumber(Map<String, String> settingsByPath, String path)
       throws InvalidConfigException {
-    if (!pairs.containsKey(path)) {
+    if (!settingsByPath.containsKey(path)) {
       String key = "settings." + path;
       throw new InvalidConfigException(key, key + " is missing");
     }
-    number(pairs, path);
+    number(settingsByPath, path);
   }
 
-  /** A finite number from 0. */
-  private static double number(Map<String, String> pairs, String path)
+  /** The value at a path; rejects one that is not a finite number of at least 0. */
+  private static double number(Map<String, String> settingsByPath, String path)
       throws InvalidConfigException {
     try {
-      double value = Double.parseDouble(pairs.get(path));
+      double value = Double.parseDouble(settingsByPath.get(path));
       if (Double.isFinite(value) && value >= 0) {
         return value;
       }
     } catch (NumberFormatException e) {
-      // Reported below, as a number out of range is.
+      // Reported below, like a number out of range.
     }
     String key = "settings." + path;
-    throw new InvalidConfigException(key, key + " is not a number from 0: " + pairs.get(path));
+    throw new InvalidConfigException(
+        key, key + " is not a finite number of at least 0: " + settingsByPath.get(path));
   }
 
-  /** A number, or text that is a hexadecimal number of 64 bits. */
+  /** Parses a number, or a string of a 64-bit hexadecimal number. */
   private static long seed(JsonNode seed) throws InvalidConfigException {
     try {
       return seed.isTextual() ? Long.parseUnsignedLong(seed.asText(), SEED_RADIX) : seed.asLong();
     } catch (NumberFormatException e) {
-      throw new InvalidConfigException("seed", "seed is not a hexadecimal number of 64 bits");
+      throw new InvalidConfigException("seed", "seed is not a 64-bit hexadecimal number");
     }
   }
 }
--- a/edge/src/main/java/edgegateway/node/config/package-info.java
+++ b/edge/src/main/java/edgegateway/node/config/package-info.java
@@ -1,2 +1,2 @@
-/** What a node is configured with, and errors that name the key. */
+/** The node's configuration, its parsers, and errors that name the invalid key. */
 package edgegateway.node.config;
