--- a/edge/src/main/java/edgegateway/node/EdgeNode.java
+++ b/edge/src/main/java/edgegateway/node/EdgeNode.java
@@ -31,20 +31,21 @@
 import java.util.function.Supplier;
 
 /**
- * An edge node: wires its parts together and carries it from start to end. All parts run on one
- * event loop thread, so nothing in them is locked. A process has one node with a loop of its own;
- * many nodes may share loops where that is measured.
+ * An edge node: wires its components together and controls their start, upgrade and shutdown. All
+ * components of a node run on one event loop thread and therefore need no locks. A process normally
+ * runs one node with its own event loop; in scale tests many nodes share the event loops of one
+ * process.
  */
 public final class EdgeNode implements NodeHealth, AutoCloseable {
-  /** How often the metrics of endpoints and what another process wrote are looked at. */
+  /** Interval at which the endpoint metrics and the files of other processes are checked. */
   private static final long REFRESH_INTERVAL_NANOS = TimeUnit.MILLISECONDS.toNanos(200);
 
   private static final long HANDOVER_POLL_MILLIS = 5;
 
-  /** How long the new process of an upgrade waits for what the other one knows. */
+  /** How long the new process of an upgrade waits for the state of the old one. */
   private static final long HANDOVER_TIMEOUT_MILLIS = 10_000;
 
-  /** The loop that all parts of this node run on. */
+  /** The event loop that all components of this node run on. */
   public final EventLoop loop;
 
   final NodeMetrics metrics;
@@ -52,7 +53,7 @@
   final ClientHttpServer clients;
   final ProcessSlots slots;
 
-  /** Null where the loop is another's. */
+  /** Null if the event loop is shared with other nodes. */
   private final EventLoopGroup ownLoops;
 
   private final CounterClient counter;
@@ -66,27 +67,31 @@
   private final DescriptorBudgetService budget;
   private final HandoverFile handoverFile;
 
-  /** The configuration that is followed now; replaced on the event loop. */
+  /** The configuration in use; replaced on the event loop. */
   private volatile NodeConfig config;
 
+  /** Whether the health check may succeed; in an upgrade true from the first connection on. */
   private volatile boolean admitted;
+
+  /** Whether this process has been declared ready for clients by {@link #admit}. */
   private volatile boolean takingClients;
 
   /**
-   * Makes a node with a loop of its own; it listens and connects only once started.
+   * Creates a node with its own event loop. It listens and connects only after its start.
    *
-   * @param folder keeps what outlives the process; null if nothing does
+   * @param folder folder of the files that outlive the process; null if nothing outlives it
    */
   public EdgeNode(NodeConfig config, Path folder) throws IOException {
     this(config, folder, new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory()), null);
   }
 
   /**
-   * One of many on a loop that others share; nothing of it outlives the process. It ends with the
-   * loop.
+   * Creates a node on an event loop that it shares with other nodes. None of its state outlives the
+   * process, and closing the node does not stop the event loop.
    *
-   * @param configuration what the file that {@code GW_CONFIG} names would hold
-   * @throws IllegalArgumentException with one line that names the key, if it can't be used
+   * @param configuration text of the configuration, as the file that {@code GW_CONFIG} names
+   * @throws IllegalArgumentException with a single-line message that names the key, if the
+   *     configuration is invalid
    */
   public static EdgeNode onSharedLoop(EventLoop loop, String configuration) throws IOException {
     try {
@@ -157,10 +162,10 @@
   }
 
   /**
-   * Begins to serve; returns when the listening socket is bound, or when the process ends before
-   * that. The cached endpoint list may name servers that drain by now, so the node listens only
-   * after a first message from discovery, or after having waited for one. Not for the loop's
-   * thread.
+   * Starts to serve; returns when the listening socket is bound, or when the process ends before
+   * that. Servers in the cached endpoint list may have begun to drain, so the node listens only
+   * after a first message from discovery or after the wait for it has timed out. Must not be called
+   * on the event loop's thread.
    */
   public void start() throws Exception {
     startPolicy();
@@ -169,9 +174,9 @@
   }
 
   /**
-   * Begins to serve beside the other process of an upgrade: health says yes from the first
-   * connection on, and the policy is made only now, so that its quotas begin when its clients do.
-   * Not for the loop's thread.
+   * Starts to serve beside the old process of an upgrade. The health check succeeds from the first
+   * connection on. The policy is created only now, so that its quotas start with its first clients.
+   * Must not be called on the event loop's thread.
    */
   void startAsSuccessor() throws Exception {
     handoverFile.discard();
@@ -182,15 +187,15 @@
     admit();
   }
 
-  /** Returns when discovery was heard, or has been waited for. */
+  /** Returns when a first discovery message has arrived or the wait for it has timed out. */
   private void startDiscovery() throws Exception {
     loop.submit(() -> discovery.start(config.knownEndpoints().revision())).get();
     discovery.firstMessage().get();
   }
 
   /**
-   * Makes the policy, with the list as last had; nothing listens or connects by this alone. Not for
-   * the loop's thread.
+   * Creates the policy with the cached endpoint list. This alone does not listen or connect. Must
+   * not be called on the event loop's thread.
    */
   public void startPolicy() throws Exception {
     loop.submit(this::startPolicyOnLoop).get();
@@ -208,11 +213,11 @@
   }
 
   /**
-   * Applies the ejections that another process of this node wrote, and updates the metrics that
-   * only the policy knows.
+   * Applies the ejections that another process of this node has written, divides the descriptors
+   * among the running processes, and updates the metrics that are read from the policy.
    */
   private void refresh() {
-    ejections.readChanges();
+    ejections.applyFileChanges();
     budget.allocate();
     updateMetrics();
   }
@@ -224,11 +229,13 @@
   }
 
   /**
-   * Waits for the state that the other process of an upgrade writes when SIGTERM ends it; returns
-   * without it after a time-out.
+   * Waits for the state that the old process of an upgrade writes when SIGTERM ends it, and imports
+   * it into the policy. After a timeout, returns without it.
    */
   void importPredecessorState() throws InterruptedException {
-    for (long waited = 0; waited < HANDOVER_TIMEOUT_MILLIS; waited += HANDOVER_POLL_MILLIS) {
+    for (long waitedMillis = 0;
+        waitedMillis < HANDOVER_TIMEOUT_MILLIS;
+        waitedMillis += HANDOVER_POLL_MILLIS) {
       StateTransfer state = handoverFile.read();
       if (state != null) {
         loop.execute(() -> policyEvents.run((policy, now) -> policy.importState(now, state)));
@@ -239,8 +246,9 @@
   }
 
   /**
-   * From now on the front may send here, unless the process ends; not for the loop's thread. Done
-   * when this returns: whoever then tells the other process of an upgrade to end counts on it.
+   * Declares this process ready for clients, unless it is ending. This has taken effect when the
+   * method returns, because the old process of an upgrade may be stopped right after it. Must not
+   * be called on the event loop's thread.
    */
   public void admit() {
     loop.submit(
@@ -255,29 +263,30 @@
   }
 
   /**
-   * Answers all that was taken and completes when no client's connection is open any more. Not for
-   * the loop's thread.
+   * Answers all accepted requests and stops. Must not be called on the event loop's thread.
+   *
+   * @return completes when no client connection is open any more
    */
   CompletableFuture<Void> stop() throws Exception {
-    CompletableFuture<Void> done = new CompletableFuture<>();
-    StateTransfer state = loop.submit(() -> stopOnLoop(done)).get();
-    // Written here and not on the loop: that has clients to see to.
+    CompletableFuture<Void> drained = new CompletableFuture<>();
+    StateTransfer state = loop.submit(() -> stopOnLoop(drained)).get();
+    // Written on this thread, so that file I/O does not block the event loop, which serves clients.
     if (state != null) {
       handoverFile.write(state);
     }
-    return done;
+    return drained;
   }
 
-  /** What the successor is to know; null if there is none. */
-  private StateTransfer stopOnLoop(CompletableFuture<Void> done) {
-    boolean succeeded = slots.otherTakes();
+  /** Returns the state to transfer to the successor; null if there is no successor. */
+  private StateTransfer stopOnLoop(CompletableFuture<Void> drained) {
+    boolean hasSuccessor = slots.otherTakes();
     slots.take(false);
     zoneEjection.stopVoting();
-    clients.stop(done, succeeded);
-    return succeeded ? policyEvents.policy().exportState(policyEvents.nowNanos()) : null;
+    clients.stop(drained, hasSuccessor);
+    return hasSuccessor ? policyEvents.policy().exportState(policyEvents.nowNanos()) : null;
   }
 
-  /** Whether the process ends; any thread. */
+  /** Whether the process is ending. For any thread. */
   boolean stopping() {
     return clients.stopping();
   }
@@ -285,7 +294,7 @@
   /**
    * Applies a new configuration: the addresses of discovery and of the counter at once, the limits
    * on connections and descriptors at the next refresh. The policy keeps its settings, so the order
-   * of the zones' names must not change. Any thread.
+   * of the zones' names must not change. May be called on any thread.
    */
   void applyConfiguration(NodeConfig next) {
     loop.execute(
@@ -300,7 +309,7 @@
         });
   }
 
-  /** No descriptor is left, for whatever part of the node: clients give up some of theirs. */
+  /** Frees descriptors of client connections, since some component of the node got none. */
   private void descriptorsExhausted() {
     loop.execute(clients::descriptorsExhausted);
   }
@@ -315,22 +324,22 @@
     return admitted && discovery.hasStarted() && (!clients.draining() || clients.isSuperseded());
   }
 
-  /** What operators can ask of this node; any thread. */
+  /** The operators' commands of this node. For any thread. */
   public OperatorCommands operatorCommands() {
     return operatorCommands;
   }
 
-  /** Where clients connect. */
+  /** The address at which the node accepts clients. */
   public InetSocketAddress address() {
     return clients.address();
   }
 
-  /** The version of the endpoint list that the node goes by; on the loop only. */
+  /** The revision of the endpoint list in use. For the event loop's thread only. */
   public long endpointListRevision() {
     return discovery.revision();
   }
 
-  /** How the descriptors are shared out now; any thread. */
+  /** The descriptor budget in effect. For any thread. */
   DescriptorBudget budget() {
     return budget.current();
   }
--- a/edge/src/main/java/edgegateway/node/InFlightRequestTable.java
+++ b/edge/src/main/java/edgegateway/node/InFlightRequestTable.java
@@ -18,25 +18,25 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * The table of requests in flight: each is entered once, gets one final answer, and is forgotten
- * when it is answered and no attempt of it is out.
+ * The table of requests in flight. Each request is added once, gets one final answer, and is
+ * removed when it has been answered and has no attempt in flight.
  *
- * <p>Both sides of the proxy report here, and what they report goes on to the policy as an event.
- * What the policy decides about a request comes back through {@link #beginAttempt}, {@link #reject}
- * and {@link #fail}. {@link #answerOnce} is the one place that settles how a request ends. All
- * methods are for the event loop's thread.
+ * <p>The client side and the upstream side of the proxy report to this class, which passes their
+ * reports to the policy as events. The policy's decisions about a request arrive through {@link
+ * #beginAttempt}, {@link #reject} and {@link #fail}. {@link InFlightRequest#claimResponse} makes
+ * sure that a request is answered only once. All methods are called on the event loop's thread.
  */
 final class InFlightRequestTable implements ClientRequestHandler, AttemptListener {
   private static final EventLog LOG = EventLog.console();
 
-  /** The policy sees each deadline this much early: its last answer has to reach the client. */
-  private static final long ANSWER_MARGIN_NANOS = TimeUnit.MILLISECONDS.toNanos(12);
+  /** The policy's deadline is this much before the client's, so that its last answer is in time. */
+  private static final long POLICY_DEADLINE_MARGIN_NANOS = TimeUnit.MILLISECONDS.toNanos(12);
 
   /**
-   * This long before the client's deadline a request that is still unanswered is failed, and a long
-   * answer that is not out is cut.
+   * This long before the client's deadline, a request without an answer is failed, and a streamed
+   * response that is not completely written is aborted.
    */
-  private static final long FINAL_MARGIN_NANOS = TimeUnit.MILLISECONDS.toNanos(6);
+  private static final long LOCAL_FAILURE_MARGIN_NANOS = TimeUnit.MILLISECONDS.toNanos(6);
 
   private static final long MIN_WAIT_NANOS = TimeUnit.MILLISECONDS.toNanos(1);
 
@@ -51,7 +51,7 @@
     this.health = health;
   }
 
-  // What the clients' side reports.
+  // Events from the client side.
 
   @Override
   public long nowNanos() {
@@ -60,7 +60,7 @@
 
   @Override
   public long policyDeadlineNanos(long nowNanos, long waitNanos) {
-    return nowNanos + Math.max(MIN_WAIT_NANOS, waitNanos - ANSWER_MARGIN_NANOS);
+    return nowNanos + Math.max(MIN_WAIT_NANOS, waitNanos - POLICY_DEADLINE_MARGIN_NANOS);
   }
 
   @Override
@@ -70,12 +70,12 @@
 
   @Override
   public boolean accept(InFlightRequest request) {
-    if (!enter(request)) {
+    if (!add(request)) {
       return false;
     }
-    // A client's time counts from its last byte.
+    // The deadline of a request with an upload counts from the upload's last byte.
     if (request.upload == null) {
-      scheduleDeadline(request, request.request.deadlineNanos() + ANSWER_MARGIN_NANOS);
+      scheduleDeadline(request, request.request.deadlineNanos() + POLICY_DEADLINE_MARGIN_NANOS);
     }
     runEvent(request, (policy, now) -> policy.requestReceived(now, request.request));
     return true;
@@ -83,14 +83,14 @@
 
   @Override
   public boolean rejectOverCapacity(InFlightRequest request) {
-    if (!enter(request)) {
+    if (!add(request)) {
       return false;
     }
     runEvent(request, (policy, now) -> policy.requestOverHostCapacity(now, request.request));
     return true;
   }
 
-  private boolean enter(InFlightRequest request) {
+  private boolean add(InFlightRequest request) {
     if (inFlight.putIfAbsent(request.request.id(), request) != null) {
       return false;
     }
@@ -119,8 +119,8 @@
 
   @Override
   public void clientDisconnected(InFlightRequest request) {
-    if (answerOnce(request, null) != null) {
-      forgetIfSettled(request);
+    if (claimAnswer(request, null) != null) {
+      removeIfFinished(request);
       runEvent(request, (policy, now) -> policy.clientDisconnected(now, request.request.id()));
       request.cancelUnsentAttempt();
     }
@@ -136,7 +136,10 @@
     }
   }
 
-  /** No attempt follows: rejected if none may have run, since then repeating it is harmless. */
+  /**
+   * Ends a request that gets no further attempt. It is rejected if none of its attempts can have
+   * been executed, because a retry is then harmless, and failed otherwise.
+   */
   private void endWithoutAttempt(InFlightRequest request) {
     if (request.firstPossibleExecutionNanos == Long.MIN_VALUE) {
       reject(request.request.id(), 0);
@@ -145,28 +148,28 @@
     }
   }
 
-  // What the upstream side reports.
+  // Events from the upstream side.
 
   @Override
   public void attemptEnded(
       InFlightRequest request,
       Outcome outcome,
       long durationNanos,
-      String server,
+      String endpointId,
       double actualUnits,
       ByteBuf body) {
     request.attemptInFlight = false;
     if (outcome == Outcome.OK) {
-      InFlightRequest.ResponseWriter response = answerOnce(request, RequestEnd.FORWARDED);
+      InFlightRequest.ResponseWriter response = claimAnswer(request, RequestEnd.FORWARDED);
       if (response != null) {
         response.sendResponse(body);
       }
     }
-    reportAttemptEnd(request, outcome, durationNanos, server, actualUnits);
+    reportAttemptEnd(request, outcome, durationNanos, endpointId, actualUnits);
     if (request.lastAttempt) {
       endWithoutAttempt(request);
     }
-    forgetIfSettled(request);
+    removeIfFinished(request);
   }
 
   @Override
@@ -174,29 +177,35 @@
       InFlightRequest request,
       long length,
       long durationNanos,
-      String server,
+      String endpointId,
       Runnable onClientGone) {
-    // Counted when the long response ends, not here.
+    // Does not update the metrics: a streamed response is counted when it ends.
     InFlightRequest.ResponseWriter response = request.claimResponse();
     if (response == null) {
       return null;
     }
-    // The policy's deadline does not bind what follows, and the server has done its work.
-    reportAttemptEnd(request, Outcome.OK, durationNanos, server, 0);
+    // For the policy the attempt is over: the server has executed the request, and the policy's
+    // deadline does not apply to the rest of the response.
+    reportAttemptEnd(request, Outcome.OK, durationNanos, endpointId, 0);
     request.attemptInFlight = false;
-    forgetIfSettled(request);
+    removeIfFinished(request);
     Channel client = response.startStream(length, onClientGone);
     request.clientDeadlineTimer =
         policyEvents.scheduleAt(
-            request.clientDeadlineNanos - FINAL_MARGIN_NANOS, response::abortUnfinishedResponse);
+            request.clientDeadlineNanos - LOCAL_FAILURE_MARGIN_NANOS,
+            response::abortUnfinishedResponse);
     return client;
   }
 
   private void reportAttemptEnd(
-      InFlightRequest request, Outcome outcome, long durationNanos, String server, double units) {
-    // Read now: the event may run in a later turn of the loop.
-    boolean complete = request.answered;
-    int attempt = request.attempts - 1;
+      InFlightRequest request,
+      Outcome outcome,
+      long durationNanos,
+      String endpointId,
+      double units) {
+    // Read here because the event may run in a later iteration of the event loop.
+    boolean requestComplete = request.answered;
+    int attemptIndex = request.attempts - 1;
     runEvent(
         request,
         (policy, now) ->
@@ -206,19 +215,19 @@
                     request.request.id(),
                     outcome,
                     durationNanos,
-                    server,
-                    complete,
-                    attempt,
+                    endpointId,
+                    requestComplete,
+                    attemptIndex,
                     units,
                     List.of())));
   }
 
-  // What the policy decides.
+  // Decisions of the policy.
 
   /**
-   * Notes that an attempt of a request begins.
+   * Records that an attempt of a request begins.
    *
-   * @return the request to send; null if it is unknown, answered, or has an attempt out
+   * @return the request to send; null if it is unknown, answered, or has an attempt in flight
    */
   InFlightRequest beginAttempt(String id) {
     InFlightRequest request = inFlight.get(id);
@@ -235,22 +244,25 @@
   }
 
   /**
-   * Final answer: refused, trying again is harmless. Nothing is done if the request is unknown or
-   * answered.
+   * Sends the final answer that a request was rejected and that a retry is harmless. Does nothing
+   * if the request is unknown or answered.
    *
-   * @param retryAfterNanos advice on when to try again; 0 for none
+   * @param retryAfterNanos Retry-After for the client, from now; 0 for none
    */
   void reject(String id, long retryAfterNanos) {
     InFlightRequest request = inFlight.get(id);
     InFlightRequest.ResponseWriter response =
-        request == null ? null : answerOnce(request, RequestEnd.REJECTED);
+        request == null ? null : claimAnswer(request, RequestEnd.REJECTED);
     if (response != null) {
       response.sendRejection(retryAfterNanos);
-      forgetIfSettled(request);
+      removeIfFinished(request);
     }
   }
 
-  /** Final answer: failed, with no promise about the effect; nothing if unknown or answered. */
+  /**
+   * Sends the final answer that a request failed; it may have been executed. Does nothing if the
+   * request is unknown or answered.
+   */
   void fail(String id) {
     InFlightRequest request = inFlight.get(id);
     if (request != null) {
@@ -259,22 +271,22 @@
   }
 
   private void fail(InFlightRequest request) {
-    InFlightRequest.ResponseWriter response = answerOnce(request, RequestEnd.FAILED);
+    InFlightRequest.ResponseWriter response = claimAnswer(request, RequestEnd.FAILED);
     if (response != null) {
       response.sendFailure();
-      forgetIfSettled(request);
+      removeIfFinished(request);
     }
   }
 
-  // How a request ends.
+  // Final answers and deadlines.
 
   /**
-   * The one place that settles how a request ends.
+   * Claims the one answer of a request and counts how the request ended.
    *
-   * @param end null if its client left before the answer
-   * @return where the answer goes; null if the request was answered already
+   * @param end null if the client disconnected before the answer
+   * @return the writer of the answer; null if the request is already answered
    */
-  private InFlightRequest.ResponseWriter answerOnce(InFlightRequest request, RequestEnd end) {
+  private InFlightRequest.ResponseWriter claimAnswer(InFlightRequest request, RequestEnd end) {
     InFlightRequest.ResponseWriter response = request.claimResponse();
     if (response != null) {
       metrics.requestEnded(request.request.requestClass(), end);
@@ -282,8 +294,8 @@
     return response;
   }
 
-  /** Forgets a request once it is answered and no attempt of it is out. */
-  private void forgetIfSettled(InFlightRequest request) {
+  /** Removes a request if it is answered and has no attempt in flight. */
+  private void removeIfFinished(InFlightRequest request) {
     if (request.answered
         && !request.attemptInFlight
         && inFlight.remove(request.request.id(), request)) {
@@ -293,13 +305,14 @@
   }
 
   /**
-   * No request may be left without an answer when its client's time is over, even if the policy is
-   * late.
+   * Sets the client's deadline, shortly before which an unanswered request is failed even if the
+   * policy has not decided.
    */
   private void scheduleDeadline(InFlightRequest request, long deadlineNanos) {
     request.clientDeadlineNanos = deadlineNanos;
     request.clientDeadlineTimer =
-        policyEvents.scheduleAt(deadlineNanos - FINAL_MARGIN_NANOS, () -> deadlineReached(request));
+        policyEvents.scheduleAt(
+            deadlineNanos - LOCAL_FAILURE_MARGIN_NANOS, () -> deadlineReached(request));
   }
 
   private static void cancelDeadline(InFlightRequest request) {
@@ -316,7 +329,7 @@
     }
   }
 
-  /** Runs an event about a request; if the policy fails at it, the request still gets an answer. */
+  /** Runs an event about a request; if the policy throws an exception, the request is failed. */
   private void runEvent(InFlightRequest request, PolicyEventLoop.PolicyEvent event) {
     policyEvents.run(event, () -> fail(request));
   }
--- a/edge/src/main/java/edgegateway/node/OperatorEjections.java
+++ b/edge/src/main/java/edgegateway/node/OperatorEjections.java
@@ -11,8 +11,9 @@
 import java.util.function.Supplier;
 
 /**
- * Keeps what operators ejected the same in the two processes of an upgrade: the policy holds it,
- * two files carry it to the other process. For the event loop's thread.
+ * Synchronizes operators' ejections between the two processes of an upgrade. The policy of each
+ * process holds them; two files, one for endpoints and one for zones, transfer them to the other
+ * process and to a later one. Used on the event loop's thread only.
  */
 final class OperatorEjections {
   private static final String ENDPOINTS_FILE = "left-out";
@@ -25,10 +26,10 @@
   private final EjectionFile zonesFile;
 
   /**
-   * Reads and writes nothing yet.
+   * Creates an instance; this neither reads nor writes a file.
    *
-   * @param folder null where nothing outlives the process
-   * @param config the configuration that is followed now
+   * @param config the configuration in use
+   * @param folder folder of the two files; null if nothing is to outlive the process
    */
   OperatorEjections(
       PolicyEventLoop policyEvents,
@@ -42,8 +43,8 @@
     zonesFile = new EjectionFile(folder, ZONES_FILE);
   }
 
-  /** Applies ejections that another process of this node, or an earlier one, wrote. */
-  void readChanges() {
+  /** Applies the files if another process of this node, running or earlier, has changed them. */
+  void applyFileChanges() {
     Set<String> endpoints = endpointsFile.changed();
     if (endpoints != null) {
       policyEvents.run((policy, now) -> policy.restoreEjectedEndpoints(now, endpoints));
@@ -51,30 +52,30 @@
     }
     Set<String> zones = zonesFile.changed();
     if (zones != null) {
-      Set<Integer> indices = indicesOf(zones);
-      policyEvents.run((policy, now) -> policy.restoreEjectedZones(now, indices));
+      Set<Integer> indexes = indexesOf(zones);
+      policyEvents.run((policy, now) -> policy.restoreEjectedZones(now, indexes));
     }
   }
 
-  /** Zones that the settings do not name are passed over. */
-  private Set<Integer> indicesOf(Set<String> zones) {
+  /** The indexes of the named zones; a zone that the settings do not name is ignored. */
+  private Set<Integer> indexesOf(Set<String> zones) {
     List<String> zoneNames = config.get().names().zones();
-    Set<Integer> indices = new HashSet<>();
+    Set<Integer> indexes = new HashSet<>();
     for (String zone : zones) {
       int index = zoneNames.indexOf(zone);
       if (index >= 0) {
-        indices.add(index);
+        indexes.add(index);
       }
     }
-    return indices;
+    return indexes;
   }
 
-  /** On return the ejected endpoints are on file. */
+  /** Writes the endpoints that operators have ejected to the file. */
   void writeEndpoints() throws IOException {
     endpointsFile.write(policyEvents.policy().operatorEjectedEndpoints());
   }
 
-  /** On return the ejected zones are on file. */
+  /** Writes the zones that operators have ejected to the file. */
   void writeZones() throws IOException {
     List<String> zoneNames = config.get().names().zones();
     Set<String> names = new HashSet<>();
--- a/edge/src/main/java/edgegateway/node/WarmUp.java
+++ b/edge/src/main/java/edgegateway/node/WarmUp.java
@@ -21,15 +21,15 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * Has the JVM compile what a request passes through before the front sends any. On a part of a core
- * that takes seconds, in which requests would wait longer than their answers are worth. The
- * requests are made up and go through a node of their own, on connections in memory: nothing
- * listens, connects or leaves the process.
+ * Makes the JVM compile the code that serves requests before the load balancer sends any. On a
+ * fraction of a CPU core, compilation takes seconds, during which clients' requests would be
+ * answered too late to be of use. The warm-up sends synthetic requests through a separate node on
+ * in-memory connections: it neither listens nor connects, and nothing leaves the process.
  */
 public final class WarmUp {
   private static final EventLog LOG = EventLog.console();
 
-  /** Code is compiled after some 200 runs, and not all of it is run for each request. */
+  /** The JVM compiles code after about 200 runs, and not every request runs all of the code. */
   private static final int REQUESTS = 2_000;
 
   private static final int REQUESTS_PER_ROUND = 20;
@@ -39,12 +39,15 @@
   private static final String RESPONSE =
       "HTTP/1.1 200 OK\r\nContent-Length: " + BODY_BYTES + "\r\n\r\n" + BODY;
 
-  /** Customers differ in the last two digits of their cookie, from 10 on. */
+  /** The customers' cookies differ in the last two digits, which begin at 10. */
   private static final int FIRST_CUSTOMER = 10;
 
   private static final int CUSTOMERS = 90;
 
-  /** On a small part of a core all of them take too long for a node that others are waiting for. */
+  /**
+   * Limit for a node with a small fraction of a CPU core. There all requests would take too long,
+   * since the load balancer or the old process of an upgrade waits for this node.
+   */
   private static final long MAX_DURATION_NANOS = TimeUnit.MILLISECONDS.toNanos(3_000);
 
   private final NodeConfig config;
@@ -52,7 +55,7 @@
   private final List<EmbeddedChannel> servers = new ArrayList<>();
   private EmbeddedChannel client;
 
-  /** Whether a request is sent and not answered. */
+  /** Whether a request has been sent and not yet answered. */
   private boolean inProgress;
 
   private int sent;
@@ -64,24 +67,24 @@
   }
 
   /**
-   * Returns when the requests are through or have taken their longest. Not for an event loop's
-   * thread.
+   * Runs the warm-up until all requests are sent or {@link #MAX_DURATION_NANOS} has passed. Must
+   * not be called on an event loop's thread.
    *
-   * @return how many were served; 0 where no endpoint is known
+   * @return number of requests that reached a server; 0 if no endpoint is known
    */
-  public static int run(NodeConfig real) throws Exception {
+  public static int run(NodeConfig nodeConfig) throws Exception {
     long startNanos = System.nanoTime();
-    if (real.knownEndpoints().entries().isEmpty()) {
+    if (nodeConfig.knownEndpoints().entries().isEmpty()) {
       return 0;
     }
-    NodeConfig config = isolated(real);
+    NodeConfig config = isolatedConfig(nodeConfig);
     try (EdgeNode node = new EdgeNode(config, null)) {
       WarmUp warmUp = new WarmUp(config, node);
       node.startPolicy();
       node.loop.submit(warmUp::connect).get();
-      // A round at a time: the policy's timers run in between, as they do in service.
+      // In rounds, so that the policy's timers run in between as they do in normal operation.
       while (warmUp.sent < REQUESTS && System.nanoTime() - startNanos < MAX_DURATION_NANOS) {
-        node.loop.submit(warmUp::round).get();
+        node.loop.submit(warmUp::runRound).get();
       }
       LOG.info(
           "warmed_up",
@@ -91,23 +94,23 @@
     }
   }
 
-  /** The same settings with no counter, and a list whose endpoints lead nowhere. */
-  private static NodeConfig isolated(NodeConfig real) {
+  /** The same settings without shared counter and with endpoints that are never connected to. */
+  private static NodeConfig isolatedConfig(NodeConfig nodeConfig) {
     return new NodeConfig(
-        real.listen(),
-        real.discovery(),
+        nodeConfig.listen(),
+        nodeConfig.discovery(),
         null,
         null,
-        real.seed(),
-        real.maxDescriptors(),
-        real.connections(),
+        nodeConfig.seed(),
+        nodeConfig.maxDescriptors(),
+        nodeConfig.connections(),
         null,
         null,
-        new EndpointList(0, true, readyEntries(real)),
-        real.connectTimeoutNanos(),
-        real.keepAliveNanos(),
-        real.names(),
-        withoutCounter(real.settings()));
+        new EndpointList(0, true, readyEntries(nodeConfig)),
+        nodeConfig.connectTimeoutNanos(),
+        nodeConfig.keepAliveNanos(),
+        nodeConfig.names(),
+        withoutCounter(nodeConfig.settings()));
   }
 
   private static PolicySettings withoutCounter(PolicySettings settings) {
@@ -127,10 +130,10 @@
         settings.rules());
   }
 
-  /** All endpoints, each ready and started long ago, at the clients' address. */
-  private static List<EndpointEntry> readyEntries(NodeConfig real) {
+  /** All known endpoints as ready and past their slow start, with this node's own address. */
+  private static List<EndpointEntry> readyEntries(NodeConfig nodeConfig) {
     List<EndpointEntry> entries = new ArrayList<>();
-    for (EndpointEntry entry : real.knownEndpoints().entries()) {
+    for (EndpointEntry entry : nodeConfig.knownEndpoints().entries()) {
       Endpoint endpoint = entry.endpoint();
       Endpoint ready =
           new Endpoint(
@@ -141,31 +144,31 @@
               endpoint.machineType(),
               EndpointState.READY,
               0);
-      entries.add(new EndpointEntry(ready, real.listen()));
+      entries.add(new EndpointEntry(ready, nodeConfig.listen()));
     }
     return entries;
   }
 
   private void connect() {
     client = new EmbeddedChannel(node.clients.handlers());
-    for (EndpointEntry member : config.knownEndpoints().entries()) {
+    for (EndpointEntry entry : config.knownEndpoints().entries()) {
       EmbeddedChannel server = new EmbeddedChannel(node.upstreamPool.handlers());
-      node.upstreamPool.adopt(member.endpoint().id(), server);
+      node.upstreamPool.adopt(entry.endpoint().id(), server);
       servers.add(server);
     }
   }
 
-  /** Some requests, each answered before the next, so that the open connections do. */
-  private void round() {
+  /** Sends requests one after the other, so that no connection beyond the open ones is needed. */
+  private void runRound() {
     for (int i = 0; i < REQUESTS_PER_ROUND; i++) {
       if (!inProgress) {
         inProgress = true;
-        client.writeInbound(bytes(request(sent++)));
+        client.writeInbound(toBuffer(request(sent++)));
       }
       for (EmbeddedChannel server : servers) {
         if (!server.outboundMessages().isEmpty()) {
           server.releaseOutbound();
-          server.writeInbound(bytes(RESPONSE));
+          server.writeInbound(toBuffer(RESPONSE));
           served++;
         }
       }
@@ -175,22 +178,22 @@
   }
 
   private String request(int number) {
-    int requestClass = number % config.names().classes().size();
-    RequestClass terms = config.settings().requestClasses().get(requestClass);
+    int classIndex = number % config.names().classes().size();
+    RequestClass classSettings = config.settings().requestClasses().get(classIndex);
     List<String> plans = config.names().plans();
-    boolean idempotent = terms.idempotency() == Idempotency.IDEMPOTENT;
+    boolean idempotent = classSettings.idempotency() == Idempotency.IDEMPOTENT;
     String id = "warm-up-" + number;
     return (idempotent ? "GET" : "POST")
         + " /api HTTP/1.1\r\nHost: app.svc\r\nX-Trace-Id: "
         + id
         + "\r\nX-Qos: "
-        + config.names().classes().get(requestClass)
+        + config.names().classes().get(classIndex)
         + "\r\nX-Plan: "
         + plans.get(number / 2 % plans.size())
         + "\r\nCookie: customer=00000000000000"
         + (FIRST_CUSTOMER + number % CUSTOMERS)
         + "\r\nX-Expires-In-Ms: "
-        + TimeUnit.NANOSECONDS.toMillis(terms.clientTimeoutNanos())
+        + TimeUnit.NANOSECONDS.toMillis(classSettings.clientTimeoutNanos())
         + "\r\nX-Quota: units=1,spread="
         + config.settings().nodeCount()
         + ",first=0"
@@ -204,7 +207,7 @@
                 + BODY);
   }
 
-  private static ByteBuf bytes(String text) {
+  private static ByteBuf toBuffer(String text) {
     return Unpooled.copiedBuffer(text, StandardCharsets.US_ASCII);
   }
 }
