--- a/edge/src/main/java/edgegateway/node/ConfigurationReloader.java
+++ b/edge/src/main/java/edgegateway/node/ConfigurationReloader.java
@@ -11,11 +11,11 @@
 import sun.misc.Signal;
 
 /**
- * Has a node follow its configuration file: on SIGHUP, or by polling the file where that signal
- * cannot come. A configuration that cannot be used leaves all as it is.
+ * Applies changes of the configuration file to a running node: on SIGHUP, or by poller the file if
+ * the process ignores that signal. An invalid configuration is logged and changes nothing.
  */
 final class ConfigurationReloader {
-  /** How often, and how soon again, a configuration that cannot be used is read. */
+  /** How often the file is read until it holds a valid configuration. */
   private static final int MAX_READS = 20;
 
   private static final int READ_INTERVAL_MILLIS = 100;
@@ -31,11 +31,11 @@
   }
 
   /**
-   * Begins to follow the file; any thread.
+   * Begins to watch for changes. May be called on any thread.
    *
-   * @param text what the node goes by now
+   * @param currentText text of the configuration that the node was started with
    */
-  void follow(String text) {
+  void start(String currentText) {
     SignalDispositions signals = SignalDispositions.current();
     if (signals.isIgnored(SignalDispositions.SIGTERM)) {
       log.info(
@@ -49,10 +49,10 @@
         "signal_ignored",
         field("signal", "SIGHUP"),
         field("config_poll_ms", ConfigFileWatcher.POLL_INTERVAL_MILLIS));
-    ConfigFileWatcher watcher = new ConfigFileWatcher(file, text);
-    Thread polling = new Thread(() -> poll(watcher), "configuration");
-    polling.setDaemon(true);
-    polling.start();
+    ConfigFileWatcher watcher = new ConfigFileWatcher(file, currentText);
+    Thread poller = new Thread(() -> poll(watcher), "configuration");
+    poller.setDaemon(true);
+    poller.start();
   }
 
   private void poll(ConfigFileWatcher watcher) {
@@ -69,9 +69,10 @@
   }
 
   /**
-   * Reads the file until it can be used, {@link #MAX_READS} times at most: it may still be being
-   * written, and no second signal comes for it. One signal at a time: the file as read last is the
-   * one to follow. Tested by {@code EdgeNodeTest#aConfigurationThatIsHalfWrittenIsReadAgain}.
+   * Reads the file until it holds a valid configuration, at most {@link #MAX_READS} times, and
+   * applies it. The file may still be being written when the signal arrives, and no second signal
+   * follows. Synchronized, so that of several signals the one that reads the file last decides.
+   * Tested by {@code EdgeNodeTest#aConfigurationThatIsHalfWrittenIsReadAgain}.
    */
   synchronized void reload() {
     for (int read = 1; read <= MAX_READS; read++) {
--- a/edge/src/main/java/edgegateway/node/DescriptorBudgetService.java
+++ b/edge/src/main/java/edgegateway/node/DescriptorBudgetService.java
@@ -9,8 +9,8 @@
 import java.util.function.Supplier;
 
 /**
- * Keeps to this process's part of the file descriptors, which all processes of this node hold
- * together. It is shared out on the event loop's thread only.
+ * Divides the node's file descriptors among its processes, and this process's share among clients,
+ * upstream connections and buffered bodies. Allocation runs on the event loop's thread only.
  */
 final class DescriptorBudgetService {
   private static final int PROCESSES_IN_UPGRADE = 2;
@@ -35,21 +35,24 @@
     this.bufferedBodies = bufferedBodies;
   }
 
-  /** Shares the descriptors out as if no other process of this node lived. */
+  /** Allocates all descriptors to this process, as if it were the only one of this node. */
   DescriptorBudget allocateForSingleProcess() {
     return allocate(1);
   }
 
-  /** Shares the descriptors out among the processes of this node that live now. */
+  /** Allocates the descriptors according to the number of running processes of this node. */
   void allocate() {
     allocate(slots.otherLives() ? PROCESSES_IN_UPGRADE : 1);
   }
 
   private DescriptorBudget allocate(int processes) {
-    NodeConfig now = config.get();
+    NodeConfig currentConfig = config.get();
     DescriptorBudget budget =
         DescriptorBudget.of(
-            now.connections(), now.maxDescriptors(), processes, upstreamPool.endpointCount());
+            currentConfig.connections(),
+            currentConfig.maxDescriptors(),
+            processes,
+            upstreamPool.endpointCount());
     current = budget;
     clients.applyBudget(budget);
     upstreamPool.applyBudget(budget);
@@ -57,7 +60,7 @@
     return budget;
   }
 
-  /** How the descriptors are shared out now; any thread. */
+  /** The budget in effect. May be called on any thread. */
   DescriptorBudget current() {
     return current;
   }
--- a/edge/src/main/java/edgegateway/node/EndpointListUpdater.java
+++ b/edge/src/main/java/edgegateway/node/EndpointListUpdater.java
@@ -7,7 +7,7 @@
 import edgegateway.protocol.EndpointEntry;
 import edgegateway.protocol.EndpointList;
 
-/** Tells the upstream side and the policy of each endpoint list; for the event loop's thread. */
+/** Applies each endpoint list to the upstream pool and the policy, on the event loop's thread. */
 final class EndpointListUpdater implements EndpointListListener {
   private final PolicyEventLoop policyEvents;
   private final UpstreamPool upstreamPool;
@@ -25,14 +25,17 @@
     this.onDescriptorsExhausted = onDescriptorsExhausted;
   }
 
-  /** Addresses first: the policy may send at once to an endpoint that it hears of. */
+  /**
+   * Updates the addresses before the policy, because the policy may at once send an attempt to a
+   * new endpoint.
+   */
   @Override
   public void endpointListReceived(EndpointList list, EndpointListKind kind) {
-    long readNanos = System.nanoTime();
+    long receivedNanos = System.nanoTime();
     upstreamPool.updateEndpoints(list, kind != EndpointListKind.DELTA);
     policyEvents.run(
         (policy, now) -> {
-          metrics.discoveryMessageApplied(System.nanoTime() - readNanos);
+          metrics.discoveryMessageApplied(System.nanoTime() - receivedNanos);
           policy.endpointsUpdated(
               now, kind, list.entries().stream().map(EndpointEntry::endpoint).toList());
         });
--- a/edge/src/main/java/edgegateway/node/Main.java
+++ b/edge/src/main/java/edgegateway/node/Main.java
@@ -13,19 +13,19 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * The program: {@code serve} runs a real edge node, {@code drill} the decisions on the simulator's
- * wire.
+ * Entry point of the program: {@code serve} runs an edge node, {@code drill} runs the policy alone
+ * over the simulator's protocol.
  */
 public final class Main {
   private static final EventLog LOG = EventLog.console();
 
-  private static final int EXIT_FAILED = 1;
+  private static final int EXIT_FAILURE = 1;
   private static final int EXIT_USAGE = 2;
   private static final long DRAIN_TIMEOUT_MINUTES = 1;
 
   private Main() {}
 
-  /** Runs the command that is the one argument. */
+  /** Runs the command that the single argument names. */
   public static void main(String[] args) {
     switch (args.length == 1 ? args[0] : "") {
       case "serve" -> serve(System.getenv("GW_CONFIG"));
@@ -42,9 +42,9 @@
     try {
       serve(Path.of(file));
     } catch (InvalidConfigException e) {
-      exit(EXIT_FAILED, e.getMessage());
+      exit(EXIT_FAILURE, e.getMessage());
     } catch (Exception e) {
-      exit(EXIT_FAILED, "cannot start: " + e.getMessage());
+      exit(EXIT_FAILURE, "cannot start: " + e.getMessage());
     }
   }
 
@@ -58,7 +58,7 @@
       LOG.info("operators_listening", field("address", operators.address()));
     }
     Runtime.getRuntime().addShutdownHook(new Thread(() -> drain(node), "stop"));
-    new ConfigurationReloader(node, file, LOG).follow(text);
+    new ConfigurationReloader(node, file, LOG).start(text);
     if (upgrade) {
       startInUpgrade(node, config);
     } else {
@@ -66,15 +66,15 @@
     }
   }
 
-  /** Null if nothing outlives the process. */
+  /** The folder that the processes of this node share; null if {@code TMPDIR} is not set. */
   private static Path sharedFolder() {
     String folder = System.getenv("TMPDIR");
     return folder == null || folder.isEmpty() ? null : Path.of(folder);
   }
 
   /**
-   * Whoever still comes after a restart is served while the code warms up; the front sends all
-   * again when that is done.
+   * Starts without another process of this node. The node already serves clients that connect while
+   * the code warms up; the load balancer sends clients again once the warm-up is complete.
    */
   private static void startAlone(EdgeNode node, NodeConfig config) throws Exception {
     node.start();
@@ -85,7 +85,7 @@
     }
   }
 
-  /** The other process serves while the code warms up. */
+  /** Starts as the new process of an upgrade: the old one serves while the code warms up. */
   private static void startInUpgrade(EdgeNode node, NodeConfig config) throws Exception {
     warmUp(config);
     node.startAsSuccessor();
@@ -104,13 +104,14 @@
     try {
       WarmUp.run(config);
     } catch (Exception e) {
-      // A node that starts slowly is still one that serves.
+      // A node without warm-up is slow at first, but it serves.
       LOG.warn("warm_up_failed", field("error", e));
     }
   }
 
   /**
-   * Ends a planned restart with 0: the platform reads any other status as a failure of the node.
+   * Drains the node and ends the process with status 0, because the platform takes any other status
+   * of a planned restart for a failure of the node.
    */
   private static void drain(EdgeNode node) {
     try {
@@ -125,7 +126,10 @@
     }
   }
 
-  /** Ends the process with one plain line, which names the key if it is about the configuration. */
+  /**
+   * Prints a line to standard error and ends the process at once. The line of a configuration error
+   * names the key.
+   */
   private static void exit(int status, String line) {
     System.err.println(line);
     Runtime.getRuntime().halt(status);
--- a/edge/src/main/java/edgegateway/node/NodeHealth.java
+++ b/edge/src/main/java/edgegateway/node/NodeHealth.java
@@ -1,17 +1,18 @@
 package edgegateway.node;
 
-/** Whether this process takes clients. All methods may be called on any thread. */
+/** Readiness and health of this process. All methods may be called on any thread. */
 interface NodeHealth {
   /**
-   * Whether this process takes clients: it was admitted, discovery was heard or silent for so long
-   * that the known list must do, and nothing drains it.
+   * Whether this process takes clients: it was admitted, a first message from discovery has arrived
+   * or the wait for it has timed out so that the cached endpoint list is used, and the process is
+   * not draining.
    */
   boolean ready();
 
   /**
-   * The answer to the load balancer's health check. The load balancer sees one node, be that this
-   * process or its successor in an upgrade: while the successor takes clients, the process that
-   * ends stays healthy.
+   * The result of the load balancer's health check. For the load balancer, this process and its
+   * successor in an upgrade are one node: while the successor takes clients, this process stays
+   * healthy although it is draining.
    */
   boolean healthy();
 }
--- a/edge/src/main/java/edgegateway/node/NodePolicyActions.java
+++ b/edge/src/main/java/edgegateway/node/NodePolicyActions.java
@@ -9,7 +9,7 @@
 import io.netty.channel.EventLoop;
 import java.util.concurrent.TimeUnit;
 
-/** Carries the policy's actions to the sockets and timers; for the event loop's thread. */
+/** Executes the policy's actions on sockets and timers; used on the event loop's thread only. */
 final class NodePolicyActions implements PolicyActions {
   private final EventLoop loop;
   private final PolicyEventLoop policyEvents;
@@ -37,34 +37,34 @@
   }
 
   @Override
-  public void sendAttempt(String id, String server, long timeoutNanos) {
-    InFlightRequest request = requests.beginAttempt(id);
+  public void sendAttempt(String requestId, String endpointId, long timeoutNanos) {
+    InFlightRequest request = requests.beginAttempt(requestId);
     if (request != null) {
-      upstreamPool.send(request, server, timeoutNanos);
+      upstreamPool.send(request, endpointId, timeoutNanos);
     }
   }
 
   @Override
-  public void reject(String id, long retryAfterNanos) {
-    requests.reject(id, retryAfterNanos);
+  public void reject(String requestId, long retryAfterNanos) {
+    requests.reject(requestId, retryAfterNanos);
   }
 
   @Override
-  public void fail(String id) {
-    requests.fail(id);
+  public void fail(String requestId) {
+    requests.fail(requestId);
   }
 
   @Override
-  public void healthCheck(String server) {
-    // The platform allows no health checks; the policy asks only where the settings allow them.
+  public void healthCheck(String endpointId) {
+    // The platform allows no health checks. The policy requests one only if the settings allow it.
   }
 
   @Override
-  public void addToCounter(long name, double amount, long lifetimeNanos) {
-    counter.add(name, amount, lifetimeNanos);
+  public void addToCounter(long key, double amount, long lifetimeNanos) {
+    counter.add(key, amount, lifetimeNanos);
   }
 
-  /** Also tells how late the timer came: for that long the loop was at something else. */
+  /** Also records how late the timer fires, that is for how long the event loop was busy. */
   @Override
   public void scheduleTimer(long token, long delayNanos) {
     long dueNanos = System.nanoTime() + delayNanos;
@@ -81,11 +81,11 @@
 
   @Override
   public void subscribeToEndpoints() {
-    // Discovery is watched from the start and again whenever a watch ends.
+    // DiscoveryClient watches discovery from the start and opens a new watch when one ends.
   }
 
   @Override
-  public void log(String text) {
-    System.out.println(text);
+  public void log(String line) {
+    System.out.println(line);
   }
 }
--- a/edge/src/main/java/edgegateway/node/OperatorCommandService.java
+++ b/edge/src/main/java/edgegateway/node/OperatorCommandService.java
@@ -18,8 +18,8 @@
 import java.util.function.Supplier;
 
 /**
- * Carries out operators' commands on the event loop; what needs no turn of the loop is answered on
- * the caller's thread.
+ * Executes operators' commands on the event loop. Methods that return no future answer on the
+ * caller's thread.
  */
 final class OperatorCommandService implements OperatorCommands {
   private static final EventLog LOG = EventLog.console();
@@ -86,26 +86,26 @@
 
   @Override
   public CompletableFuture<String> drain(boolean on) {
-    return onLoop(() -> clients.drain(on) ? null : "this process ends");
+    return runOnLoop(() -> clients.drain(on) ? null : "this process ends");
   }
 
   @Override
-  public CompletableFuture<String> setEndpointEjected(String server, boolean ejected) {
-    return onLoop(() -> ejectEndpoint(server, ejected));
+  public CompletableFuture<String> setEndpointEjected(String endpointId, boolean ejected) {
+    return runOnLoop(() -> ejectOrReadmitEndpoint(endpointId, ejected));
   }
 
-  /** Null, or why it was not done. */
-  private String ejectEndpoint(String server, boolean ejected) throws IOException {
+  /** Returns null on success, otherwise the reason why the command was not executed. */
+  private String ejectOrReadmitEndpoint(String endpointId, boolean ejected) throws IOException {
     boolean[] listed = new boolean[1];
     if (policyEvents.policy() != null) {
       policyEvents.run(
-          (policy, now) -> listed[0] = policy.setEndpointEjected(now, server, ejected));
+          (policy, now) -> listed[0] = policy.setEndpointEjected(now, endpointId, ejected));
     }
     if (!listed[0]) {
       return "never listed";
     }
     if (ejected) {
-      upstreamPool.endpointEjected(server);
+      upstreamPool.endpointEjected(endpointId);
     }
     ejections.writeEndpoints();
     updateMetrics.run();
@@ -114,11 +114,12 @@
 
   @Override
   public CompletableFuture<String> setZoneEjected(String zone, boolean ejected, long rampSeconds) {
-    return onLoop(() -> ejectZone(zone, ejected, rampSeconds));
+    return runOnLoop(() -> ejectOrReadmitZone(zone, ejected, rampSeconds));
   }
 
-  /** Null, or why it was not done. */
-  private String ejectZone(String zone, boolean ejected, long rampSeconds) throws IOException {
+  /** Returns null on success, otherwise the reason why the command was not executed. */
+  private String ejectOrReadmitZone(String zone, boolean ejected, long rampSeconds)
+      throws IOException {
     int index = config.get().names().zones().indexOf(zone);
     if (index < 0) {
       return "no such zone";
@@ -127,11 +128,11 @@
         rampSeconds > 0
             ? TimeUnit.SECONDS.toNanos(rampSeconds)
             : config.get().settings().rules().slowStartNanos();
-    boolean[] done = new boolean[1];
+    boolean[] applied = new boolean[1];
     policyEvents.run(
         (policy, now) ->
-            done[0] = policy != null && policy.setZoneEjected(now, index, ejected, rampNanos));
-    if (!done[0]) {
+            applied[0] = policy != null && policy.setZoneEjected(now, index, ejected, rampNanos));
+    if (!applied[0]) {
       return "no server of another zone could be sent to";
     }
     ejections.writeZones();
@@ -150,7 +151,7 @@
 
   @Override
   public CompletableFuture<String> zoneReport() {
-    return onLoop(
+    return runOnLoop(
         () -> {
           ZoneReport report = new ZoneReport(policyEvents.nowNanos());
           List<String> names = config.get().names().zones();
@@ -162,17 +163,17 @@
         });
   }
 
-  private CompletableFuture<String> onLoop(Callable<String> command) {
-    CompletableFuture<String> done = new CompletableFuture<>();
+  private CompletableFuture<String> runOnLoop(Callable<String> command) {
+    CompletableFuture<String> result = new CompletableFuture<>();
     loop.execute(
         () -> {
           try {
-            done.complete(command.call());
+            result.complete(command.call());
           } catch (Exception e) {
             LOG.warn("operator_command_failed", field("error", e));
-            done.completeExceptionally(e);
+            result.completeExceptionally(e);
           }
         });
-    return done;
+    return result;
   }
 }
--- a/edge/src/main/java/edgegateway/node/PolicyEventLoop.java
+++ b/edge/src/main/java/edgegateway/node/PolicyEventLoop.java
@@ -9,32 +9,33 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * Runs the policy's events one at a time on the node's event loop, with the policy's clock.
+ * Runs the policy's events one at a time on the node's event loop and provides the policy's clock.
  *
- * <p>The policy must not be entered twice, and sockets may report within an action, that is within
- * an event: such a report waits for the event loop's next turn. An event that throws is logged and
- * ends no process: one request's failure is not the others'.
+ * <p>The policy is not reentrant, but a socket may report an event while the policy executes an
+ * action, that is within another event. Such an event is deferred to the event loop's next
+ * iteration. An exception thrown by an event is logged and does not end the process, so that a
+ * failure of one request does not affect the others.
  *
- * <p>All methods but {@link #nowNanos} are for the event loop's thread.
+ * <p>All methods but {@link #nowNanos} must be called on the event loop's thread.
  */
 final class PolicyEventLoop {
-  /** One event of the policy. */
+  /** An event of the policy. */
   interface PolicyEvent {
     /**
      * Calls the policy.
      *
-     * @param policy null if it was not started yet
+     * @param policy null if the policy has not been started
      * @param nowNanos the time of the event on the policy's clock
      */
     void run(GatewayPolicy policy, long nowNanos);
   }
 
   private static final EventLog LOG = EventLog.console();
-  private static final Runnable NOTHING_TO_DO = () -> {};
+  private static final Runnable NO_OP = () -> {};
 
   private final EventLoop loop;
 
-  /** The wall clock's time at the start, going on by the clock that never jumps. */
+  /** Makes the policy's clock start at the wall clock's time and advance without jumps. */
   private final long clockOffsetNanos =
       TimeUnit.MILLISECONDS.toNanos(System.currentTimeMillis()) - System.nanoTime();
 
@@ -45,27 +46,27 @@
     this.loop = loop;
   }
 
-  /** From now on events go to this policy. */
-  void start(GatewayPolicy started) {
-    policy = started;
+  /** Sets the policy that receives the events from now on. */
+  void start(GatewayPolicy newPolicy) {
+    policy = newPolicy;
   }
 
-  /** The policy, for what it is asked outside of events; null if it was not started yet. */
+  /** The policy, for queries outside of events; null if it has not been started. */
   GatewayPolicy policy() {
     return policy;
   }
 
-  /** The time on the policy's clock, in nanoseconds since the epoch; any thread. */
+  /** The time on the policy's clock, in nanoseconds since the epoch. For any thread. */
   long nowNanos() {
     return System.nanoTime() + clockOffsetNanos;
   }
 
-  /** Runs an event now, or in the loop's next turn if one is running. */
+  /** Runs an event now, or in the event loop's next iteration if another event is running. */
   void run(PolicyEvent event) {
-    run(event, NOTHING_TO_DO);
+    run(event, NO_OP);
   }
 
-  /** As {@link #run(PolicyEvent)}; {@code onFailure} is run if the event throws. */
+  /** Like {@link #run(PolicyEvent)}; runs {@code onFailure} if the event throws an exception. */
   void run(PolicyEvent event, Runnable onFailure) {
     if (inEvent) {
       loop.execute(() -> run(event, onFailure));
@@ -82,7 +83,7 @@
     }
   }
 
-  /** Runs a task at a time on the policy's clock; at once if that has passed. */
+  /** Schedules a task for a time on the policy's clock; a time in the past means now. */
   Future<?> scheduleAt(long timeNanos, Runnable task) {
     return loop.schedule(task, Math.max(0, timeNanos - nowNanos()), TimeUnit.NANOSECONDS);
   }
--- a/edge/src/main/java/edgegateway/node/ZoneEjectionService.java
+++ b/edge/src/main/java/edgegateway/node/ZoneEjectionService.java
@@ -11,19 +11,21 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * The ejection of zones by the fleet within this node: its timer, its replies of the counter and
- * its metrics. Does nothing where the configuration leaves zones to operators alone. For the event
- * loop's thread.
+ * Runs this node's part in the fleet's ejection of zones: the periodic tick, replies of the shared
+ * counter to votes, and metrics. If, by the configuration, only operators eject zones, it only
+ * passes the counter's replies to the policy. Used on the event loop's thread only.
  */
 final class ZoneEjectionService {
-  /** Discovery sends a line at least each 2 s. */
-  private static final long DISCOVERY_HEARD_MILLIS = 2_500;
+  /**
+   * Discovery sends a line at least every 2 s; after this time without one its list may be stale.
+   */
+  private static final long MAX_DISCOVERY_MESSAGE_AGE_MILLIS = 2_500;
 
   private final EventLoop loop;
   private final PolicyEventLoop policyEvents;
   private final NodeMetrics metrics;
 
-  /** Null before {@link #start}, and where zones are ejected by operators alone. */
+  /** Null before {@link #start}, and if only operators eject zones. */
   private ZoneEjectionController controller;
 
   ZoneEjectionService(EventLoop loop, PolicyEventLoop policyEvents, NodeMetrics metrics) {
@@ -32,7 +34,7 @@
     this.metrics = metrics;
   }
 
-  /** Begins if the configuration has the object {@code zones}. */
+  /** Starts the periodic tick if the configuration has the object {@code zones}. */
   void start(NodeConfig config, GatewayPolicy policy, PolicyActions actions) {
     if (config.zones() == null) {
       return;
@@ -56,36 +58,36 @@
   private void tick() {
     policyEvents.run(
         (policy, now) ->
-            controller.tick(now, metrics.millisSinceDiscoveryMessage() < DISCOVERY_HEARD_MILLIS));
+            controller.tick(
+                now, metrics.millisSinceDiscoveryMessage() < MAX_DISCOVERY_MESSAGE_AGE_MILLIS));
   }
 
-  /** A call to the counter ended; it belongs to the zones' votes or to the policy's quotas. */
-  void counterReplied(long name, Outcome outcome, double total) {
+  /** Passes the end of a counter call to the votes on zones or, for a quota, to the policy. */
+  void counterReplied(long key, Outcome outcome, double total) {
     metrics.counterCallEnded(outcome == Outcome.OK);
-    boolean vote = controller != null && ZoneEjectionController.ownsCounterKey(name);
+    boolean isVote = controller != null && ZoneEjectionController.ownsCounterKey(key);
     policyEvents.run(
         (policy, now) -> {
-          if (vote) {
-            controller.counterReplied(now, name, outcome, total);
+          if (isVote) {
+            controller.counterReplied(now, key, outcome, total);
           } else {
-            policy.counterReplied(now, name, outcome, total);
+            policy.counterReplied(now, key, outcome, total);
           }
         });
   }
 
-  /** This process ends and votes no more. */
+  /** Ends voting, because this process ends. */
   void stopVoting() {
     if (controller != null) {
       controller.consensus().stopVoting();
     }
   }
 
-  /** The fleet's decision on a zone; null where zones are ejected by operators alone. */
+  /** The fleet's decision on a zone; null if only operators eject zones. */
   ZoneEjectionState decision(int zone) {
     return controller == null ? null : controller.consensus().state(zone);
   }
 
-  /** Brings the metrics up to date. */
   void updateMetrics() {
     if (controller != null) {
       metrics.zonesChanged(
--- a/edge/src/main/java/edgegateway/node/ZoneReport.java
+++ b/edge/src/main/java/edgegateway/node/ZoneReport.java
@@ -5,56 +5,56 @@
 import java.util.Locale;
 import java.util.concurrent.TimeUnit;
 
-/** The text that operators get for {@code zones}: a line for each zone. Not thread-safe. */
+/** Builds the reply to the operators' call {@code zones}, one line per zone. Not thread-safe. */
 final class ZoneReport {
   private final StringBuilder text = new StringBuilder();
   private final long nowNanos;
 
-  /** {@code nowNanos} is the time on the policy's clock. */
+  /** Creates an empty report; {@code nowNanos} is the time on the policy's clock. */
   ZoneReport(long nowNanos) {
     this.nowNanos = nowNanos;
   }
 
   /**
-   * Adds a line.
+   * Adds the line of a zone.
    *
-   * @param decision the fleet's decision; null where zones are ejected by operators alone
+   * @param decision the fleet's decision; null if only operators eject zones
    */
   void add(String name, ZoneStatus zone, ZoneEjectionState decision) {
-    // An operator's word goes before the fleet's.
-    ZoneEjectionState fleet = zone.byOperator() ? null : decision;
+    // An operator's decision overrides the fleet's.
+    ZoneEjectionState fleetDecision = zone.byOperator() ? null : decision;
     text.append(
         String.format(
             Locale.ROOT,
             "%s state=%s share=%.2f servers=%d usable=%d",
             name,
-            fleet == null ? trafficLabel(zone) : stateLabel(fleet.state()),
+            fleetDecision == null ? trafficLabel(zone) : stateLabel(fleetDecision.state()),
             zone.trafficFraction(),
             zone.listedEndpoints(),
             zone.usableEndpoints()));
-    long sinceNanos = fleet == null ? zone.sinceNanos() : fleet.sinceNanos();
+    long sinceNanos = fleetDecision == null ? zone.sinceNanos() : fleetDecision.sinceNanos();
     if (sinceNanos != 0) {
       text.append(" since_s=").append(TimeUnit.NANOSECONDS.toSeconds(nowNanos - sinceNanos));
     }
     if (zone.byOperator()) {
       text.append(" why=hand");
-    } else if (fleet != null) {
-      appendReason(fleet);
+    } else if (fleetDecision != null) {
+      appendReason(fleetDecision);
     }
     text.append('\n');
   }
 
-  private void appendReason(ZoneEjectionState fleet) {
+  private void appendReason(ZoneEjectionState decision) {
     String reason =
-        switch (fleet.decidedBy()) {
+        switch (decision.decidedBy()) {
           case NONE -> null;
           case FLEET -> "fleet";
           case ALONE -> "alone";
         };
     if (reason != null) {
       text.append(" why=").append(reason);
-      text.append(" witnesses=").append(fleet.votes());
-      text.append(" relapses=").append(fleet.relapses());
+      text.append(" witnesses=").append(decision.votes());
+      text.append(" relapses=").append(decision.relapses());
     }
   }
 
--- a/edge/src/main/java/edgegateway/node/package-info.java
+++ b/edge/src/main/java/edgegateway/node/package-info.java
@@ -1,2 +1,2 @@
-/** The process: wiring of its parts, start and end. */
+/** The edge node process: wiring of its components, start, upgrade and shutdown. */
 package edgegateway.node;
