--- a/edge/src/main/java/edgegateway/node/ConfigurationReloader.java
+++ b/edge/src/main/java/edgegateway/node/ConfigurationReloader.java
@@ -11,7 +11,7 @@
 import sun.misc.Signal;
 
 /**
- * Applies changes of the configuration file to a running node: on SIGHUP, or by poller the file if
+ * Applies changes of the configuration file to a running node: on SIGHUP, or by polling the file if
  * the process ignores that signal. An invalid configuration is logged and changes nothing.
  */
 final class ConfigurationReloader {
--- a/edge/src/main/java/edgegateway/node/WarmUp.java
+++ b/edge/src/main/java/edgegateway/node/WarmUp.java
@@ -178,16 +178,16 @@
   }
 
   private String request(int number) {
-    int classIndex = number % config.names().classes().size();
+    int classIndex = number % config.names().requestClasses().size();
     RequestClass classSettings = config.settings().requestClasses().get(classIndex);
-    List<String> plans = config.names().plans();
+    List<String> plans = config.names().quotaPlans();
     boolean idempotent = classSettings.idempotency() == Idempotency.IDEMPOTENT;
     String id = "warm-up-" + number;
     return (idempotent ? "GET" : "POST")
         + " /api HTTP/1.1\r\nHost: app.svc\r\nX-Trace-Id: "
         + id
         + "\r\nX-Qos: "
-        + config.names().classes().get(classIndex)
+        + config.names().requestClasses().get(classIndex)
         + "\r\nX-Plan: "
         + plans.get(number / 2 % plans.size())
         + "\r\nCookie: customer=00000000000000"
--- a/edge/src/main/java/edgegateway/node/config/NodeConfigParser.java
+++ b/edge/src/main/java/edgegateway/node/config/NodeConfigParser.java
@@ -84,7 +84,7 @@
   private static NodeConfig config(JsonNode root)
       throws InvalidConfigException, InvalidFieldException {
     JsonNode settings = JsonFields.required(root, "settings");
-    Map<String, String> settingsByPath = SettingsFlattener.of(settings);
+    Map<String, String> settingsByPath = SettingsFlattener.flatten(settings);
     SettingNames names = names(settings);
     checkIdempotencies(settingsByPath, names);
     checkRequired(settingsByPath, names);
@@ -150,7 +150,7 @@
 
   private static void checkIdempotencies(Map<String, String> settingsByPath, SettingNames names)
       throws InvalidConfigException {
-    for (int i = 0; i < names.classes().size(); i++) {
+    for (int i = 0; i < names.requestClasses().size(); i++) {
       String path = "classes." + i + ".idempotency";
       if (!IDEMPOTENCIES.contains(settingsByPath.getOrDefault(path, ""))) {
         String key = "settings." + path;
@@ -164,12 +164,12 @@
     for (String path : REQUIRED_SETTINGS) {
       checkNumber(settingsByPath, path);
     }
-    for (int i = 0; i < names.classes().size(); i++) {
+    for (int i = 0; i < names.requestClasses().size(); i++) {
       for (String name : REQUIRED_CLASS_SETTINGS) {
         checkNumber(settingsByPath, "classes." + i + "." + name);
       }
     }
-    for (int i = 0; i < names.plans().size(); i++) {
+    for (int i = 0; i < names.quotaPlans().size(); i++) {
       for (String name : REQUIRED_PLAN_SETTINGS) {
         checkNumber(settingsByPath, "tariffs." + i + "." + name);
       }
--- a/edge/src/main/java/edgegateway/simulator/MalformedInputException.java
+++ b/edge/src/main/java/edgegateway/simulator/MalformedInputException.java
@@ -1,6 +1,9 @@
 package edgegateway.simulator;
 
-/** Input that is not of the wire; the message gives the line, its number and what is wrong. */
+/**
+ * The simulator sent an invalid line. The message consists of the line's number, the error and the
+ * start of the line.
+ */
 final class MalformedInputException extends Exception {
   private static final long serialVersionUID = 1L;
 
