--- a/edge/src/main/java/edgegateway/node/counter/CounterCall.java
+++ b/edge/src/main/java/edgegateway/node/counter/CounterCall.java
@@ -3,22 +3,22 @@
 import edgegateway.policy.api.Outcome;
 
 /**
- * One call to the shared counter. It ends exactly once, whichever comes first of reply, timeout and
- * loss of its connection. A call that timed out still has its place among those in flight: its
- * reply may be on its way.
+ * One call to the shared counter. It ends exactly once: with a reply, a timeout or the loss of its
+ * connection, whichever comes first. A call that times out in flight stays in its connection's list
+ * of calls in flight, because its reply may still arrive and must not be matched to a later call.
  */
 final class CounterCall {
   private final CounterListener listener;
-  private final long name;
+  private final long counterName;
   private final String uri;
   private final long createdAtNanos = System.nanoTime();
   private boolean written;
   private boolean ended;
 
-  CounterCall(CounterListener listener, long name, double amount, long lifetimeNanos) {
+  CounterCall(CounterListener listener, long counterName, double amount, long lifetimeNanos) {
     this.listener = listener;
-    this.name = name;
-    uri = CounterProtocol.uri(name, amount, lifetimeNanos);
+    this.counterName = counterName;
+    uri = CounterProtocol.uri(counterName, amount, lifetimeNanos);
   }
 
   String uri() {
@@ -33,7 +33,10 @@
     return ended;
   }
 
-  /** Whether the last byte went out: from then on the counter may have added the amount. */
+  /**
+   * Whether the complete request was written to the socket; from then on the counter may have added
+   * the amount.
+   */
   boolean isWritten() {
     return written;
   }
@@ -46,17 +49,20 @@
     end(Outcome.OK, total);
   }
 
-  /** Ends without a total. */
+  /** Ends the call without a total. */
   void fail(Outcome outcome) {
     end(outcome, 0);
   }
 
-  /** No reply came in time. */
+  /** Ends the call because no reply arrived in time. */
   void timeOut() {
     fail(written ? Outcome.TIMEOUT : Outcome.CONNECT_FAILED);
   }
 
-  /** Before its last byte was written nothing was added; after that nobody knows. */
+  /**
+   * Ends the call because its connection was lost. If the request was not written completely, the
+   * amount was not added; otherwise this is unknown.
+   */
   void connectionLost() {
     fail(written ? Outcome.RESET : Outcome.CONNECT_FAILED);
   }
@@ -64,7 +70,7 @@
   private void end(Outcome outcome, double total) {
     if (!ended) {
       ended = true;
-      listener.counterReplied(name, outcome, total);
+      listener.counterCallEnded(counterName, outcome, total);
     }
   }
 }
--- a/edge/src/main/java/edgegateway/node/counter/CounterClient.java
+++ b/edge/src/main/java/edgegateway/node/counter/CounterClient.java
@@ -8,10 +8,11 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * Calls to the shared quota counter, pipelined on a few connections. A name always goes by the same
- * connection, so that the calls of a name are counted, and reported, in their order.
+ * Client of the shared counter service, which holds named counters. Calls are pipelined on a few
+ * connections. All calls to one counter use the same connection, so that they are executed and
+ * reported in order.
  *
- * <p>All methods are for the event loop's thread.
+ * <p>All methods must be called on the event loop.
  */
 public final class CounterClient {
   private static final int CONNECTIONS = 4;
@@ -22,12 +23,12 @@
   private final long timeoutNanos;
   private final Bootstrap bootstrap;
 
-  /** Null where no connection is open or being opened. */
+  /** Null where no connection is open or connecting. */
   private final CounterConnection[] connections = new CounterConnection[CONNECTIONS];
 
   private InetSocketAddress address;
 
-  /** Connects when the first call is made. */
+  /** Opens each connection with the first call that uses it. */
   public CounterClient(CounterListener listener, EventLoop loop, NodeConfig config) {
     this.listener = listener;
     this.loop = loop;
@@ -42,7 +43,8 @@
   }
 
   /**
-   * Later calls go to another address. Those in flight end here, for the old one replies no more.
+   * Sends later calls to a new address. All connections to the old one are closed, which ends their
+   * calls.
    */
   public void changeAddress(InetSocketAddress newAddress) {
     address = newAddress;
@@ -54,21 +56,22 @@
   }
 
   /**
-   * Adds to a named counter; the outcome is reported later, never from within this call.
+   * Adds an amount to a named counter. The outcome is reported to the listener later, never from
+   * within this method.
    *
-   * @param name an unsigned number
-   * @param lifetimeNanos how long the counter keeps the name
+   * @param counterName an unsigned number
+   * @param lifetimeNanos how long the counter service keeps this counter
    */
-  public void add(long name, double amount, long lifetimeNanos) {
-    int slot = (int) Long.remainderUnsigned(name, CONNECTIONS);
+  public void add(long counterName, double amount, long lifetimeNanos) {
+    int slot = (int) Long.remainderUnsigned(counterName, CONNECTIONS);
     if (connections[slot] == null) {
       connections[slot] = new CounterConnection(this, loop, timeoutNanos);
       connections[slot].connect(bootstrap, address);
     }
-    connections[slot].add(new CounterCall(listener, name, amount, lifetimeNanos));
+    connections[slot].add(new CounterCall(listener, counterName, amount, lifetimeNanos));
   }
 
-  /** The next call that would have gone by this connection opens another. */
+  /** The next call that would use the closed connection opens a new one. */
   void connectionClosed(CounterConnection closed) {
     for (int slot = 0; slot < CONNECTIONS; slot++) {
       if (connections[slot] == closed) {
--- a/edge/src/main/java/edgegateway/node/counter/CounterConnection.java
+++ b/edge/src/main/java/edgegateway/node/counter/CounterConnection.java
@@ -28,16 +28,17 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * Last handler of one connection to the counter: pipelines calls and matches replies to them, in
- * order. It connects once and is never reused after {@link #close}. For the event loop's thread.
+ * Last handler in the pipeline of one connection to the counter service. Pipelines calls and
+ * matches the replies to them in order. It connects once and is not reused after {@link #close}.
+ * Not thread-safe: used on the event loop only.
  */
 final class CounterConnection extends SimpleChannelInboundHandler<FullHttpResponse> {
   private static final EventLog LOG = EventLog.console();
 
-  /** Calls that one connection holds, queued and in flight. */
+  /** Maximum number of calls per connection, queued and in flight together. */
   private static final int MAX_CALLS = 256;
 
-  /** After a call has been in flight for so many timeouts its connection is unresponsive. */
+  /** If a call is older than this many timeouts, its connection counts as unresponsive. */
   private static final int UNRESPONSIVE_TIMEOUTS = 10;
 
   private final CounterClient client;
@@ -55,7 +56,7 @@
     this.timeoutNanos = timeoutNanos;
   }
 
-  /** Begins to connect; calls may be added meanwhile. */
+  /** Starts to connect; calls may be added before the connection is established. */
   void connect(Bootstrap bootstrap, InetSocketAddress address) {
     ChannelFuture connecting;
     try {
@@ -91,7 +92,10 @@
     };
   }
 
-  /** Queues a call; it ends later, never from within this call. */
+  /**
+   * Queues a call, or fails it if the connection has {@link #MAX_CALLS} already. The call ends
+   * later, never from within this method.
+   */
   void add(CounterCall call) {
     if (queued.size() + inFlight.size() >= MAX_CALLS) {
       loop.execute(() -> call.fail(Outcome.NOT_SENT));
@@ -100,7 +104,7 @@
     queued.add(call);
     loop.schedule(() -> timeOut(call), timeoutNanos, TimeUnit.NANOSECONDS);
     if (!flushScheduled) {
-      // All calls of one turn of the loop go out together.
+      // All calls added in one iteration of the event loop are flushed together.
       flushScheduled = true;
       loop.execute(
           () -> {
@@ -138,8 +142,9 @@
     }
     boolean wasQueued = queued.remove(call);
     call.timeOut();
-    // A call that is queued is simply not sent. One that is half written must not go out any more,
-    // and silence for long is the connection's: later calls get a new one.
+    // A queued call was removed and is not sent. If a call in flight is not written completely,
+    // closing the connection keeps the rest of it from being sent. If the connection has been
+    // unresponsive for long, closing it makes later calls open a new one.
     if (!wasQueued && (!call.isWritten() || isUnresponsive())) {
       close();
     }
@@ -151,7 +156,7 @@
         && oldest.ageNanos(System.nanoTime()) > UNRESPONSIVE_TIMEOUTS * timeoutNanos;
   }
 
-  /** Ends the connection and its calls, in their order; may be repeated. */
+  /** Closes the connection and ends its calls in order. Has no effect if already closed. */
   void close() {
     if (closed) {
       return;
@@ -175,7 +180,7 @@
     if (!malformed && CounterProtocol.isInformational(response)) {
       return;
     }
-    if (malformed || inFlight.isEmpty() || !endOldest(response)) {
+    if (malformed || inFlight.isEmpty() || !endOldestCall(response)) {
       close();
       return;
     }
@@ -184,15 +189,20 @@
     }
   }
 
-  /** Ends the call that has been in flight longest; false if its connection can't be trusted. */
-  private boolean endOldest(FullHttpResponse response) {
+  /**
+   * Ends the call that has been in flight longest.
+   *
+   * @return false if the response has no valid total, so that the connection must be closed
+   */
+  private boolean endOldestCall(FullHttpResponse response) {
     if (CounterProtocol.isRejection(response)) {
       inFlight.poll().fail(Outcome.REJECTED);
       return true;
     }
     String body = response.content().toString(StandardCharsets.US_ASCII).trim();
     if (!CounterProtocol.hasTotal(response, body)) {
-      // The amount was added, but the total is unknown: the call ends as its connection does.
+      // The amount may have been added, but the total is unknown. The caller closes the connection,
+      // which ends the call.
       return false;
     }
     inFlight.poll().succeed(Double.parseDouble(body));
--- a/edge/src/main/java/edgegateway/node/counter/CounterListener.java
+++ b/edge/src/main/java/edgegateway/node/counter/CounterListener.java
@@ -2,13 +2,16 @@
 
 import edgegateway.policy.api.Outcome;
 
-/** Learns how calls to the shared counter end. All methods are for the event loop's thread. */
+/** Receives the outcomes of calls to the shared counter. Methods are called on the event loop. */
 public interface CounterListener {
   /**
-   * A call ended. Called exactly once for each call, never from within {@link CounterClient#add}.
+   * A call has ended. Called exactly once for each call, never from within {@link
+   * CounterClient#add}.
    *
-   * @param outcome {@link Outcome#OK} if the counter replied; else why there is no total
+   * @param counterName name of the counter, an unsigned number
+   * @param outcome {@link Outcome#OK} if the counter replied with a total, otherwise the reason why
+   *     there is none
    * @param total the named counter's total after the call; 0 unless the outcome is OK
    */
-  void counterReplied(long name, Outcome outcome, double total);
+  void counterCallEnded(long counterName, Outcome outcome, double total);
 }
--- a/edge/src/main/java/edgegateway/node/counter/CounterProtocol.java
+++ b/edge/src/main/java/edgegateway/node/counter/CounterProtocol.java
@@ -4,11 +4,11 @@
 import java.math.BigDecimal;
 import java.util.regex.Pattern;
 
-/** Names and formats of the shared counter's protocol: HTTP/1.1, pipelined. */
+/** Constants and formats of the counter service's protocol, pipelined HTTP/1.1. */
 final class CounterProtocol {
   static final String HOST = "counter";
 
-  /** Large enough for any total with its headers. */
+  /** Maximum length of a response body; any total is shorter. */
   static final int MAX_RESPONSE_BYTES = 1024;
 
   private static final String PATH = "/tally/";
@@ -24,30 +24,30 @@
 
   private CounterProtocol() {}
 
-  /** The URI that adds an amount to a named counter; the lifetime is rounded up to 1 ms. */
-  static String uri(long name, double amount, long lifetimeNanos) {
+  /** The URI of a call that adds an amount; the lifetime is rounded up to whole milliseconds. */
+  static String uri(long counterName, double amount, long lifetimeNanos) {
     long lifetimeMillis = Math.max(1, (lifetimeNanos + NANOS_PER_MILLI - 1) / NANOS_PER_MILLI);
     return PATH
-        + Long.toUnsignedString(name)
+        + Long.toUnsignedString(counterName)
         + AMOUNT_PARAMETER
         + BigDecimal.valueOf(amount).toPlainString()
         + LIFETIME_PARAMETER
         + lifetimeMillis;
   }
 
-  /** Whether a final response follows this one. */
+  /** Whether this is an informational (1xx) response, which a final response follows. */
   static boolean isInformational(HttpResponse response) {
     int status = response.status().code();
     return status >= 100 && status < 200;
   }
 
-  /** Whether the counter refused the call, so that nothing was added. */
+  /** Whether the counter service rejected the call, so that nothing was added. */
   static boolean isRejection(HttpResponse response) {
     int status = response.status().code();
     return status == SERVICE_UNAVAILABLE || status == BAD_REQUEST || status == NOT_FOUND;
   }
 
-  /** Whether the response carries a total that {@link Double#parseDouble} reads. */
+  /** Whether the response has a total that {@link Double#parseDouble} can parse. */
   static boolean hasTotal(HttpResponse response, String body) {
     return response.status().code() == OK && TOTAL.matcher(body).matches();
   }
--- a/edge/src/main/java/edgegateway/node/counter/package-info.java
+++ b/edge/src/main/java/edgegateway/node/counter/package-info.java
@@ -1,2 +1,2 @@
-/** Calls to the shared quota counter. */
+/** Client of the shared counter service that quotas and zone votes use. */
 package edgegateway.node.counter;
--- a/edge/src/main/java/edgegateway/node/discovery/DiscoveryClient.java
+++ b/edge/src/main/java/edgegateway/node/discovery/DiscoveryClient.java
@@ -23,13 +23,13 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * Follows the endpoint list of discovery over HTTP. When discovery is polled, and which watch is
- * followed, is decided by {@link WatchScheduler}; this class owns the connections.
+ * Keeps the node's endpoint list up to date by watching discovery over HTTP. {@link WatchScheduler}
+ * decides when a watch is opened and whose events are accepted; this class owns the connections.
  *
- * <p>Methods are for the event loop's thread unless they say otherwise.
+ * <p>Methods must be called on the event loop unless documented as thread-safe.
  */
 public final class DiscoveryClient
-    implements WatchTransport, WatchEventListener, DiscoverySilenceLog.WatchStatus {
+    implements WatchTransport, WatchEventListener, DiscoveryOutageLog.WatchStatus {
   private static final EventLog LOG = EventLog.console();
 
   /** While discovery is down, the node starts to serve with its cached list after this time. */
@@ -41,12 +41,12 @@
   private final SettingNames names;
   private final Bootstrap bootstrap;
   private final WatchScheduler scheduler;
-  private final DiscoverySilenceLog silenceLog;
+  private final DiscoveryOutageLog outageLog;
   private final Map<WatchScheduler.Watch, Channel> channels = new HashMap<>();
   private final CompletableFuture<Void> initialization = new CompletableFuture<>();
   private InetSocketAddress address;
 
-  /** Connects from {@link #start} on. */
+  /** Opens no connection before {@link #start}. */
   public DiscoveryClient(
       EndpointListListener listener, NodeMetrics metrics, EventLoop loop, NodeConfig config) {
     this.listener = listener;
@@ -55,7 +55,7 @@
     names = config.names();
     address = config.discovery();
     scheduler = new WatchScheduler(this, config.seed());
-    silenceLog = new DiscoverySilenceLog(loop, metrics, this);
+    outageLog = new DiscoveryOutageLog(loop, metrics, this);
     bootstrap =
         new Bootstrap()
             .group(loop)
@@ -64,16 +64,20 @@
                 (int) TimeUnit.NANOSECONDS.toMillis(WatchScheduler.WATCH_RESPONSE_TIMEOUT_NANOS));
   }
 
-  /** Opens the first watch, for what comes after the revision that is held. */
-  public void start(long heldRevision) {
+  /**
+   * Opens the first watch.
+   *
+   * @param currentRevision revision of the node's cached list; the watch reports later changes
+   */
+  public void start(long currentRevision) {
     metrics.discoveryHeard();
     loop.schedule(
         () -> initialization.complete(null), INITIALIZATION_TIMEOUT_MILLIS, TimeUnit.MILLISECONDS);
-    scheduler.start(System.nanoTime(), heldRevision);
+    scheduler.start(System.nanoTime(), currentRevision);
     loop.scheduleAtFixedRate(
-        this::poll,
-        WatchScheduler.POLL_INTERVAL_NANOS,
-        WatchScheduler.POLL_INTERVAL_NANOS,
+        this::checkWatches,
+        WatchScheduler.CHECK_INTERVAL_NANOS,
+        WatchScheduler.CHECK_INTERVAL_NANOS,
         TimeUnit.NANOSECONDS);
   }
 
@@ -87,20 +91,21 @@
     return initialization.isDone();
   }
 
-  /** The revision of the list that is held. */
+  /** Revision of the node's current list. */
   @Override
   public long revision() {
     return scheduler.revision();
   }
 
-  /** Where discovery is watched. */
+  /** Current address of discovery. */
   @Override
   public InetSocketAddress address() {
     return address;
   }
 
   /**
-   * Watches another address at once; events of the old one are accepted until the new one responds.
+   * Opens a watch at the new address at once. Events from the old address are accepted until the
+   * new address responds.
    */
   public void changeAddress(InetSocketAddress newAddress) {
     LOG.info("discovery_address_changed", field("from", address), field("to", newAddress));
@@ -108,14 +113,14 @@
     scheduler.addressChanged(System.nanoTime());
   }
 
-  private void poll() {
+  private void checkWatches() {
     long now = System.nanoTime();
-    long silenceNanos = TimeUnit.MILLISECONDS.toNanos(metrics.discoverySilenceMillis());
-    if (!scheduler.isResponsive(now)
-        && silenceNanos >= WatchScheduler.WATCH_SILENCE_TIMEOUT_NANOS) {
-      silenceLog.watchLost();
+    long nanosSinceLastEvent = TimeUnit.MILLISECONDS.toNanos(metrics.discoverySilenceMillis());
+    if (!scheduler.hasResponsiveWatch(now)
+        && nanosSinceLastEvent >= WatchScheduler.WATCH_IDLE_TIMEOUT_NANOS) {
+      outageLog.watchLost();
     }
-    scheduler.poll(now);
+    scheduler.openWatchIfDue(now);
   }
 
   @Override
@@ -156,8 +161,8 @@
     channels.remove(watch);
     if (watch.isOpen()) {
       scheduler.watchClosed(System.nanoTime(), watch);
-      if (!scheduler.isResponsive(System.nanoTime())) {
-        silenceLog.watchLost();
+      if (!scheduler.hasResponsiveWatch(System.nanoTime())) {
+        outageLog.watchLost();
       }
     }
   }
@@ -183,7 +188,7 @@
   }
 
   private void eventAccepted() {
-    silenceLog.eventReceived();
+    outageLog.eventReceived();
     metrics.discoveryHeard();
   }
 }
--- a/edge/src/main/java/edgegateway/node/discovery/DiscoveryException.java
+++ b/edge/src/main/java/edgegateway/node/discovery/DiscoveryException.java
@@ -2,11 +2,15 @@
 
 import java.net.InetSocketAddress;
 
-/** Discovery sent what cannot be read; names its address. The watch that it came by ends. */
+/** Discovery sent a malformed message; the watch that received it is closed. */
 public final class DiscoveryException extends RuntimeException {
   private static final long serialVersionUID = 1;
 
-  /** What was wrong with what came from this address. */
+  /**
+   * The exception's message names the address and the problem.
+   *
+   * @param address where the malformed message came from
+   */
   public DiscoveryException(InetSocketAddress address, String problem, Throwable cause) {
     super("discovery at " + address + ": " + problem, cause);
   }
--- a/edge/src/main/java/edgegateway/node/discovery/DiscoverySilenceLog.java
+++ b/edge/src/main/java/edgegateway/node/discovery/DiscoveryOutageLog.java
@@ -10,41 +10,44 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * Logs an outage of discovery: its begin once, its length after 6 s and at each doubling, and its
- * end. A discovery that is down is polled over and over, and on-call staff need one line of that.
- * For the event loop's thread.
+ * Logs the start and the end of a discovery outage, and its duration so far after 6 s and each time
+ * that doubles. Failed watches are not logged one by one here, because they are retried many times
+ * during an outage. Not thread-safe: used on the event loop only.
  */
-final class DiscoverySilenceLog {
-  /** What the lines name beside the outage's length. */
+final class DiscoveryOutageLog {
+  /** The values that are logged beside the duration of an outage. */
   interface WatchStatus {
-    /** The address that is watched now. */
+    /** Current address of discovery. */
     InetSocketAddress address();
 
-    /** The revision of the list that is held now. */
+    /** Revision of the node's current list. */
     long revision();
   }
 
   private static final EventLog LOG = EventLog.console();
 
-  /** From this silence on the list may be older than the protocol allows (Figures). */
+  /**
+   * A node must know a change within this time. After as long without an event, its list may be
+   * older than that allows.
+   */
   private static final long MAX_LIST_AGE_MILLIS = 6_000;
 
   private final EventLoop loop;
   private final NodeMetrics metrics;
   private final WatchStatus status;
-  private boolean silent;
+  private boolean outageInProgress;
   private ScheduledFuture<?> nextReport;
 
-  DiscoverySilenceLog(EventLoop loop, NodeMetrics metrics, WatchStatus status) {
+  DiscoveryOutageLog(EventLoop loop, NodeMetrics metrics, WatchStatus status) {
     this.loop = loop;
     this.metrics = metrics;
     this.status = status;
   }
 
-  /** The last responsive watch ended or fell silent; may be repeated. */
+  /** No watch is responsive any more. Has no effect if an outage is in progress already. */
   void watchLost() {
-    if (!silent) {
-      silent = true;
+    if (!outageInProgress) {
+      outageInProgress = true;
       LOG.info(
           "discovery_watch_ended",
           field("address", status.address()),
@@ -53,29 +56,32 @@
     }
   }
 
-  /** An event came; called before the metrics learn of it. */
+  /**
+   * An event was accepted. Must be called before {@link NodeMetrics#discoveryHeard}, because it
+   * logs the time since the event before.
+   */
   void eventReceived() {
-    if (silent) {
-      silent = false;
+    if (outageInProgress) {
+      outageInProgress = false;
       nextReport.cancel(false);
       LOG.info("discovery_recovered", field("silent_ms", metrics.discoverySilenceMillis()));
     }
   }
 
-  private void scheduleReport(long silenceMillis) {
+  private void scheduleReport(long outageMillis) {
     nextReport =
         loop.schedule(
-            () -> report(silenceMillis),
-            silenceMillis - metrics.discoverySilenceMillis(),
+            () -> report(outageMillis),
+            outageMillis - metrics.discoverySilenceMillis(),
             TimeUnit.MILLISECONDS);
   }
 
-  private void report(long silenceMillis) {
+  private void report(long outageMillis) {
     LOG.info(
         "discovery_unreachable",
         field("silent_ms", metrics.discoverySilenceMillis()),
         field("address", status.address()),
         field("revision", status.revision()));
-    scheduleReport(2 * silenceMillis);
+    scheduleReport(2 * outageMillis);
   }
 }
--- a/edge/src/main/java/edgegateway/node/discovery/DiscoveryProtocol.java
+++ b/edge/src/main/java/edgegateway/node/discovery/DiscoveryProtocol.java
@@ -1,15 +1,15 @@
 package edgegateway.node.discovery;
 
-/** Names and bounds of discovery's protocol: a watch is one chunked HTTP/1.1 response. */
+/** Constants of the discovery protocol, in which a watch is one chunked HTTP/1.1 response. */
 final class DiscoveryProtocol {
   static final String HOST = "discovery";
 
-  /** The status of a watch that was opened. */
+  /** Response status of an accepted watch. */
   static final int OK = 200;
 
   /**
-   * A complete list of some 14,000 entries; the heap bears that beside what it holds already
-   * (docs/design/discovery.md).
+   * Allows a complete list of about 14,000 entries, which still fits into the heap beside the
+   * node's other data (docs/design/discovery.md).
    */
   static final int MAX_OBJECT_BYTES = 2 * 1024 * 1024;
 
@@ -17,7 +17,7 @@
 
   private DiscoveryProtocol() {}
 
-  /** The URI of a watch for what comes after a revision. */
+  /** The URI of a watch for the changes after a revision. */
   static String watchUri(long revision) {
     return WATCH_URI + revision;
   }
--- a/edge/src/main/java/edgegateway/node/discovery/EndpointListListener.java
+++ b/edge/src/main/java/edgegateway/node/discovery/EndpointListListener.java
@@ -3,11 +3,14 @@
 import edgegateway.policy.api.EndpointListKind;
 import edgegateway.protocol.EndpointList;
 
-/** What discovery tells the node. All methods are for the event loop's thread. */
+/** Receives endpoint lists from discovery. All methods are called on the event loop. */
 public interface EndpointListListener {
-  /** A list, or changes to it, that is newer than the one held. */
+  /**
+   * A complete list or a set of changes was received. Its revision is not lower than that of the
+   * current list, unless discovery has restarted its revision numbers.
+   */
   void endpointListReceived(EndpointList list, EndpointListKind kind);
 
-  /** No file descriptor was left for a connection to discovery. */
+  /** A connection to discovery could not be opened for lack of a file descriptor. */
   void descriptorsExhausted();
 }
--- a/edge/src/main/java/edgegateway/node/discovery/JsonObjectSplitter.java
+++ b/edge/src/main/java/edgegateway/node/discovery/JsonObjectSplitter.java
@@ -5,28 +5,28 @@
 import java.util.function.Consumer;
 
 /**
- * Splits a stream of bytes into JSON objects, however they are laid out: one a line, over several
- * lines, or one after the other. Empty lines between objects are reported too. The content of an
- * object is not checked: that is for a parser.
+ * Splits a byte stream into JSON objects, which may be one per line, span several lines or follow
+ * each other on a line. Empty lines between objects are reported too. Only braces and strings are
+ * tracked; the content of an object is not validated.
  */
 public final class JsonObjectSplitter {
   private final int maxObjectBytes;
   private final Consumer<String> onObject;
   private final Runnable onEmptyLine;
 
-  /** The begin of an object whose rest has not come yet. */
+  /** The bytes received so far of an incomplete object. */
   private final ByteArrayOutputStream partial = new ByteArrayOutputStream();
 
-  /** Braces that are open; 0 between objects. */
+  /** Number of open braces; 0 between objects. */
   private int depth;
 
   private boolean inString;
   private boolean escaped;
 
-  /** Whether an object began on the present line. */
+  /** Whether an object began since the last line break outside objects. */
   private boolean lineHasObject;
 
-  /** Both callbacks are run from within {@link #append}. */
+  /** Both callbacks are called from within {@link #append}. */
   public JsonObjectSplitter(int maxObjectBytes, Consumer<String> onObject, Runnable onEmptyLine) {
     this.maxObjectBytes = maxObjectBytes;
     this.onObject = onObject;
@@ -34,10 +34,11 @@
   }
 
   /**
-   * Takes the next bytes of the stream. This is one flat loop because a list is long, and a node
-   * that has just started runs the loop interpreted.
+   * Processes the next bytes of the stream. This is a single flat loop because lists are long and
+   * the JVM of a node that has just started still interprets this code.
    *
-   * @throws IllegalArgumentException if a byte can't begin an object, or if an object is too long
+   * @throws IllegalArgumentException if a byte between objects is neither white space nor an
+   *     opening brace, or if an object is too long
    */
   public void append(byte[] bytes) {
     int objectStart = 0;
@@ -54,14 +55,14 @@
       } else if (next == '{') {
         depth++;
       } else if (next == '}' && --depth == 0) {
-        keep(bytes, objectStart, i + 1);
+        bufferObject(bytes, objectStart, i + 1);
         String object = partial.toString(StandardCharsets.UTF_8);
         partial.reset();
         onObject.accept(object);
       }
     }
     if (depth > 0) {
-      keep(bytes, objectStart, bytes.length);
+      bufferObject(bytes, objectStart, bytes.length);
     }
   }
 
@@ -75,13 +76,13 @@
       }
       lineHasObject = false;
     } else if (next != ' ' && next != '\t' && next != '\r') {
-      throw new IllegalArgumentException("no JSON object begins with the byte " + next);
+      throw new IllegalArgumentException("expected a JSON object, found byte " + next);
     }
   }
 
-  private void keep(byte[] bytes, int from, int to) {
+  private void bufferObject(byte[] bytes, int from, int to) {
     if (partial.size() + to - from > maxObjectBytes) {
-      throw new IllegalArgumentException("an object of more than " + maxObjectBytes + " bytes");
+      throw new IllegalArgumentException("JSON object is longer than " + maxObjectBytes + " bytes");
     }
     partial.write(bytes, from, to - from);
   }
--- a/edge/src/main/java/edgegateway/node/discovery/WatchEventListener.java
+++ b/edge/src/main/java/edgegateway/node/discovery/WatchEventListener.java
@@ -2,14 +2,14 @@
 
 import edgegateway.protocol.EndpointList;
 
-/** Receives the events of watches. All methods are for the event loop's thread. */
+/** Receives the events of watches. All methods are called on the event loop. */
 interface WatchEventListener {
-  /** The revision to watch from. */
+  /** Revision of the current list; a new watch reports the changes after it. */
   long revision();
 
-  /** An empty line: discovery has no change to report. */
+  /** An empty line was received: discovery is alive and has no change to report. */
   void keepAliveReceived(WatchScheduler.Watch watch);
 
-  /** A complete list, or changes. */
+  /** A complete list or a set of changes was received. */
   void listReceived(WatchScheduler.Watch watch, EndpointList list);
 }
--- a/edge/src/main/java/edgegateway/node/discovery/WatchHandler.java
+++ b/edge/src/main/java/edgegateway/node/discovery/WatchHandler.java
@@ -21,9 +21,9 @@
 import java.net.InetSocketAddress;
 
 /**
- * Last handler of a watch's connection: sends the request and turns the response, JSON objects with
- * an empty line each 2 s, into events. It closes the connection at the response's end and at what
- * it can't read.
+ * Last handler in the pipeline of a watch's connection. Sends the request and turns the response
+ * into events: it consists of JSON objects, with an empty line every 2 s as a keep-alive. Closes
+ * the connection when the response ends, is an error or is malformed.
  */
 final class WatchHandler extends SimpleChannelInboundHandler<HttpObject> {
   private static final EventLog LOG = EventLog.console();
@@ -59,7 +59,9 @@
 
   @Override
   protected void channelRead0(ChannelHandlerContext context, HttpObject part) {
-    // The rest of a read still arrives after a close: the body of an error response is no list.
+    // After a close, the remaining parts of the same read still arrive. They are dropped: the body
+    // of
+    // an error response is not a list.
     ended |= !watch.isOpen() || part.decoderResult().isFailure() || isErrorResponse(part);
     if (!ended && part instanceof HttpContent content) {
       objects.append(ByteBufUtil.getBytes(content.content()));
--- a/edge/src/main/java/edgegateway/node/discovery/WatchScheduler.java
+++ b/edge/src/main/java/edgegateway/node/discovery/WatchScheduler.java
@@ -5,46 +5,52 @@
 import java.util.SplittableRandom;
 
 /**
- * Decides when discovery is polled with a new watch, and which watch is followed. It does no I/O;
- * its clock is given to it, in nanoseconds. For one thread.
+ * Decides when a new watch is opened and which watch's events are accepted. It does no I/O, and the
+ * current time is passed in, in nanoseconds. Not thread-safe.
  *
- * <p>A change must be known 6 s after discovery had it and could be reached, whatever failed
- * before. So no wait is longer than {@link #WATCH_RESPONSE_TIMEOUT_NANOS} while discovery is
- * silent: a watch without a response is not waited for, another is opened beside it, and the first
- * that responds is followed. A watch that falls silent is replaced after {@link
- * #WATCH_SILENCE_TIMEOUT_NANOS}. Both together, and a second for an event-loop stall, stay below
- * the 6 s.
+ * <p>A node must know a change within 6 s after discovery has it and is reachable, whatever failed
+ * before. Therefore, while no watch is responsive, no wait is longer than {@link
+ * #WATCH_RESPONSE_TIMEOUT_NANOS}: if a watch has no response by then, another is opened beside it,
+ * and the first one to respond is kept. A watch without events is replaced after {@link
+ * #WATCH_IDLE_TIMEOUT_NANOS}. The sum of both timeouts, plus 1 s for an event-loop stall, is below
+ * 6 s.
  */
 public final class WatchScheduler {
   private static final long NANOS_PER_MILLI = 1_000_000L;
 
-  /** A responsive watch has an event each 2 s. */
-  public static final long WATCH_SILENCE_TIMEOUT_NANOS = 3_000 * NANOS_PER_MILLI;
+  /** A watch without an event for this time is unresponsive; discovery sends one every 2 s. */
+  public static final long WATCH_IDLE_TIMEOUT_NANOS = 3_000 * NANOS_PER_MILLI;
 
-  /** After this time without a response another watch is opened beside the first. */
+  /** After this time without a response, another watch is opened beside the first. */
   public static final long WATCH_RESPONSE_TIMEOUT_NANOS = 1_000 * NANOS_PER_MILLI;
 
-  /** How often {@link #poll} is to be called. */
-  public static final long POLL_INTERVAL_NANOS = 50 * NANOS_PER_MILLI;
+  /** Interval at which {@link #openWatchIfDue} must be called. */
+  public static final long CHECK_INTERVAL_NANOS = 50 * NANOS_PER_MILLI;
 
-  /** Open at once at most; each takes a file descriptor. */
+  /** Maximum number of open watches; each uses a file descriptor. */
   public static final int MAX_OPEN_WATCHES = 3;
 
-  /** Wait after a watch ended, doubled by each further one and half of it random. */
+  /**
+   * Backoff after the first watch that ends; doubled for each further one until an event arrives or
+   * the address changes. Half of each backoff is random.
+   */
   static final long INITIAL_BACKOFF_NANOS = 100 * NANOS_PER_MILLI;
 
   static final long MAX_BACKOFF_NANOS = WATCH_RESPONSE_TIMEOUT_NANOS;
 
   /**
-   * After this time with nothing but lists older than the one held, an older list is accepted:
-   * discovery has lost its revisions and numbers them anew.
+   * If only lists older than the current one were received for this time, an older complete list is
+   * accepted: discovery has lost its revision number and has restarted the numbering.
    */
   static final long STALE_LIST_TIMEOUT_NANOS = 30_000 * NANOS_PER_MILLI;
 
-  /** The part of the response timeout that is random, so that nodes don't poll together. */
+  /**
+   * The response timeout is shortened by a random part of up to 1/4, so that nodes that lost
+   * discovery at the same time don't keep opening watches at the same time.
+   */
   private static final int RESPONSE_JITTER_DIVISOR = 4;
 
-  /** One request for changes: open until either side closes it, and never reopened. */
+  /** One request for changes. Once closed, by either side, it is never reopened. */
   public static final class Watch {
     private final int addressGeneration;
     private boolean open = true;
@@ -55,18 +61,18 @@
       this.addressGeneration = addressGeneration;
     }
 
-    /** Whether its events are still accepted. */
+    /** Whether events of this watch are still accepted. */
     public boolean isOpen() {
       return open;
     }
 
-    private void eventReceived(long nowNanos) {
+    private void recordEvent(long nowNanos) {
       responded = true;
       lastEventAtNanos = nowNanos;
     }
 
     private boolean isResponsive(long nowNanos) {
-      return responded && nowNanos - lastEventAtNanos < WATCH_SILENCE_TIMEOUT_NANOS;
+      return responded && nowNanos - lastEventAtNanos < WATCH_IDLE_TIMEOUT_NANOS;
     }
 
     private void markClosed() {
@@ -77,39 +83,46 @@
   private final WatchTransport transport;
   private final SplittableRandom random;
 
-  /** Oldest first. */
+  /** In the order in which they were opened. */
   private final List<Watch> openWatches = new ArrayList<>();
 
-  /** How often discovery's address has changed. */
+  /** Incremented by each change of discovery's address. */
   private int addressGeneration;
 
   private long revision;
   private long backoffNanos = INITIAL_BACKOFF_NANOS;
   private long nextWatchAtNanos;
 
-  /** Since when nothing but older lists came; {@link Long#MAX_VALUE} if that is not so. */
+  /**
+   * When the first list older than the current one was received, if nothing else was received
+   * since; otherwise {@link Long#MAX_VALUE}.
+   */
   private long staleSinceNanos = Long.MAX_VALUE;
 
-  /** No watch is open yet; {@code seed} is the only source of randomness. */
+  /** Opens no watch before {@link #start}. All randomness derives from the seed. */
   public WatchScheduler(WatchTransport transport, long seed) {
     this.transport = transport;
     random = new SplittableRandom(seed);
   }
 
-  /** Opens the first watch; a list of this revision is held already. */
-  public void start(long nowNanos, long heldRevision) {
-    revision = heldRevision;
+  /**
+   * Opens the first watch.
+   *
+   * @param currentRevision revision of the list that the node has already
+   */
+  public void start(long nowNanos, long currentRevision) {
+    revision = currentRevision;
     nextWatchAtNanos = nowNanos;
-    poll(nowNanos);
+    openWatchIfDue(nowNanos);
   }
 
-  /** The revision of the list that is held. */
+  /** Revision of the node's current list. */
   public long revision() {
     return revision;
   }
 
-  /** Whether a watch at the present address had an event lately. */
-  public boolean isResponsive(long nowNanos) {
+  /** Whether a watch at the current address had an event within the idle timeout. */
+  public boolean hasResponsiveWatch(long nowNanos) {
     for (Watch watch : openWatches) {
       if (watch.addressGeneration == addressGeneration && watch.isResponsive(nowNanos)) {
         return true;
@@ -118,9 +131,12 @@
     return false;
   }
 
-  /** Opens a watch if one is due. */
-  public void poll(long nowNanos) {
-    if (nowNanos < nextWatchAtNanos || isResponsive(nowNanos)) {
+  /**
+   * Opens a watch if none is responsive and the wait after the last one is over. If {@link
+   * #MAX_OPEN_WATCHES} are open already, the oldest is closed.
+   */
+  public void openWatchIfDue(long nowNanos) {
+    if (nowNanos < nextWatchAtNanos || hasResponsiveWatch(nowNanos)) {
       return;
     }
     if (openWatches.size() >= MAX_OPEN_WATCHES) {
@@ -128,48 +144,48 @@
     }
     Watch watch = new Watch(addressGeneration);
     openWatches.add(watch);
-    // Nodes that lost discovery together must not poll together for ever.
     long jitterNanos = random.nextLong(WATCH_RESPONSE_TIMEOUT_NANOS / RESPONSE_JITTER_DIVISOR);
     nextWatchAtNanos = nowNanos + WATCH_RESPONSE_TIMEOUT_NANOS - jitterNanos;
     transport.open(watch);
   }
 
   /**
-   * Discovery has another address now; watches at the old one are accepted until the new one
-   * responds.
+   * Discovery's address has changed: opens a watch at the new address. Events of watches at the old
+   * address are accepted until the new address responds.
    */
   public void addressChanged(long nowNanos) {
     addressGeneration++;
     backoffNanos = INITIAL_BACKOFF_NANOS;
     nextWatchAtNanos = nowNanos;
-    poll(nowNanos);
+    openWatchIfDue(nowNanos);
   }
 
   /**
-   * A watch had an event, if only a keep-alive. At the present address it is followed from now on,
-   * and all others are closed.
+   * A watch had an event, which may be a keep-alive. If the watch is at the current address, all
+   * others are closed.
    *
-   * @return false if the watch is closed and its event must be ignored
+   * @return false if the watch is closed, so that its event must be ignored
    */
   public boolean eventReceived(long nowNanos, Watch watch) {
     if (!watch.isOpen()) {
       return false;
     }
-    watch.eventReceived(nowNanos);
+    watch.recordEvent(nowNanos);
     staleSinceNanos = Long.MAX_VALUE;
     if (watch.addressGeneration == addressGeneration) {
       backoffNanos = INITIAL_BACKOFF_NANOS;
-      closeAllBut(watch);
+      closeAllExcept(watch);
     }
     return true;
   }
 
   /**
-   * A watch delivered a list, or changes. What is older than the list that is held would bring back
-   * endpoints that leave: a watch that begins so is closed, for an agent that knows more.
+   * A watch delivered a list or changes. Those with a lower revision than the current list are not
+   * applied, because they would bring back departed endpoints. A watch whose first event is such a
+   * list is closed, since the next watch may reach a discovery instance with a newer list.
    *
-   * @param complete whether it is a complete list
-   * @return whether it is to be applied
+   * @param complete whether it is a complete list rather than changes
+   * @return whether the list or changes must be applied
    */
   public boolean listReceived(long nowNanos, Watch watch, long listRevision, boolean complete) {
     if (!watch.isOpen()) {
@@ -190,7 +206,7 @@
     return !stale;
   }
 
-  /** A watch's connection ended, or could not be opened. */
+  /** A watch's connection was closed or could not be opened. */
   public void watchClosed(long nowNanos, Watch watch) {
     if (watch.isOpen()) {
       watch.markClosed();
@@ -200,16 +216,16 @@
   }
 
   private void backOff(long nowNanos) {
-    long half = backoffNanos / 2;
-    long retryAtNanos = nowNanos + half + random.nextLong(half);
-    boolean alreadyWaiting = nextWatchAtNanos > nowNanos;
-    nextWatchAtNanos = alreadyWaiting ? Math.min(nextWatchAtNanos, retryAtNanos) : retryAtNanos;
+    long halfBackoffNanos = backoffNanos / 2;
+    long retryAtNanos = nowNanos + halfBackoffNanos + random.nextLong(halfBackoffNanos);
+    boolean alreadyScheduled = nextWatchAtNanos > nowNanos;
+    nextWatchAtNanos = alreadyScheduled ? Math.min(nextWatchAtNanos, retryAtNanos) : retryAtNanos;
     backoffNanos = Math.min(MAX_BACKOFF_NANOS, 2 * backoffNanos);
   }
 
-  private void closeAllBut(Watch followed) {
+  private void closeAllExcept(Watch kept) {
     for (Watch other : List.copyOf(openWatches)) {
-      if (other != followed) {
+      if (other != kept) {
         close(other);
       }
     }
--- a/edge/src/main/java/edgegateway/node/discovery/WatchTransport.java
+++ b/edge/src/main/java/edgegateway/node/discovery/WatchTransport.java
@@ -1,10 +1,13 @@
 package edgegateway.node.discovery;
 
-/** Opens and closes what {@link WatchScheduler} asks for. */
+/** Opens and closes the connections of watches for {@link WatchScheduler}. */
 public interface WatchTransport {
-  /** Opens a watch; what becomes of it is reported later, never from within this call. */
+  /**
+   * Opens a connection for the watch. Its events and its end are reported to the scheduler later,
+   * never from within this call.
+   */
   void open(WatchScheduler.Watch watch);
 
-  /** Closes a watch: no further event of it is accepted. */
+  /** Closes the connection of a watch, whose events are no longer accepted. */
   void close(WatchScheduler.Watch watch);
 }
--- a/edge/src/main/java/edgegateway/node/discovery/package-info.java
+++ b/edge/src/main/java/edgegateway/node/discovery/package-info.java
@@ -1,2 +1,2 @@
-/** Follows discovery's list of archive servers. */
+/** Receives the list of archive servers from discovery. */
 package edgegateway.node.discovery;
--- a/edge/src/test/java/edgegateway/node/discovery/WatchSchedulerTest.java
+++ b/edge/src/test/java/edgegateway/node/discovery/WatchSchedulerTest.java
@@ -49,8 +49,8 @@
 
   private void pass(WatchScheduler scheduler, long span) {
     for (long until = now + span; now < until; ) {
-      now += Math.min(WatchScheduler.POLL_INTERVAL_NANOS, until - now);
-      scheduler.poll(now);
+      now += Math.min(WatchScheduler.CHECK_INTERVAL_NANOS, until - now);
+      scheduler.openWatchIfDue(now);
     }
   }
 
@@ -79,13 +79,12 @@
       worstNanos = Math.max(worstNanos, now - reachableAt);
     }
     assertTrue(
-        worstNanos
-            <= WatchScheduler.WATCH_SILENCE_TIMEOUT_NANOS + WatchScheduler.POLL_INTERVAL_NANOS,
+        worstNanos <= WatchScheduler.WATCH_IDLE_TIMEOUT_NANOS + WatchScheduler.CHECK_INTERVAL_NANOS,
         "polled after " + worstNanos / MS + " ms");
     assertTrue(
-        WatchScheduler.WATCH_SILENCE_TIMEOUT_NANOS
+        WatchScheduler.WATCH_IDLE_TIMEOUT_NANOS
                 + WatchScheduler.WATCH_RESPONSE_TIMEOUT_NANOS
-                + WatchScheduler.POLL_INTERVAL_NANOS
+                + WatchScheduler.CHECK_INTERVAL_NANOS
                 + 1_500 * MS
             < MAX_LIST_AGE,
         "no room for an event-loop stall");
@@ -123,7 +122,7 @@
         assertTrue(opened >= call, "seed " + seed);
         pass(
             scheduler,
-            WatchScheduler.WATCH_RESPONSE_TIMEOUT_NANOS + WatchScheduler.POLL_INTERVAL_NANOS);
+            WatchScheduler.WATCH_RESPONSE_TIMEOUT_NANOS + WatchScheduler.CHECK_INTERVAL_NANOS);
       }
       // Whichever speaks first is followed, were it the first of them.
       WatchScheduler.Watch first = open.get(0);
@@ -137,17 +136,16 @@
     WatchScheduler scheduler = started(3);
     WatchScheduler.Watch old = last();
     assertTrue(scheduler.eventReceived(now, old));
-    pass(scheduler, WatchScheduler.WATCH_SILENCE_TIMEOUT_NANOS - 1);
+    pass(scheduler, WatchScheduler.WATCH_IDLE_TIMEOUT_NANOS - 1);
     assertEquals(1, opened);
-    pass(scheduler, WatchScheduler.POLL_INTERVAL_NANOS + 1);
+    pass(scheduler, WatchScheduler.CHECK_INTERVAL_NANOS + 1);
     assertEquals(2, opened);
     WatchScheduler.Watch next = last();
     // The old one was only slow: then it is as good as any.
     assertTrue(scheduler.listReceived(now, old, 6, false));
     assertEquals(List.of(old), open);
     assertFalse(scheduler.eventReceived(now, next), "what was closed says nothing any more");
-    pass(
-        scheduler, WatchScheduler.WATCH_SILENCE_TIMEOUT_NANOS + WatchScheduler.POLL_INTERVAL_NANOS);
+    pass(scheduler, WatchScheduler.WATCH_IDLE_TIMEOUT_NANOS + WatchScheduler.CHECK_INTERVAL_NANOS);
     next = last();
     assertTrue(scheduler.listReceived(now, next, 7, false));
     assertFalse(
@@ -169,7 +167,7 @@
       if (oldFirst) {
         assertTrue(scheduler.listReceived(now, old, 7, false));
         assertTrue(open.contains(next), "the old address is no reason to leave the new one");
-        assertFalse(scheduler.isResponsive(now));
+        assertFalse(scheduler.hasResponsiveWatch(now));
       }
       assertTrue(scheduler.listReceived(now, next, 8, true));
       assertFalse(scheduler.listReceived(now, old, 9, false));
