--- a/edge/src/main/java/edgegateway/node/discovery/DiscoveryClient.java
+++ b/edge/src/main/java/edgegateway/node/discovery/DiscoveryClient.java
@@ -70,7 +70,7 @@
    * @param currentRevision revision of the node's cached list; the watch reports later changes
    */
   public void start(long currentRevision) {
-    metrics.discoveryHeard();
+    metrics.discoveryMessageReceived();
     loop.schedule(
         () -> initialization.complete(null), INITIALIZATION_TIMEOUT_MILLIS, TimeUnit.MILLISECONDS);
     scheduler.start(System.nanoTime(), currentRevision);
@@ -115,7 +115,7 @@
 
   private void checkWatches() {
     long now = System.nanoTime();
-    long nanosSinceLastEvent = TimeUnit.MILLISECONDS.toNanos(metrics.discoverySilenceMillis());
+    long nanosSinceLastEvent = TimeUnit.MILLISECONDS.toNanos(metrics.millisSinceDiscoveryMessage());
     if (!scheduler.hasResponsiveWatch(now)
         && nanosSinceLastEvent >= WatchScheduler.WATCH_IDLE_TIMEOUT_NANOS) {
       outageLog.watchLost();
@@ -189,6 +189,6 @@
 
   private void eventAccepted() {
     outageLog.eventReceived();
-    metrics.discoveryHeard();
+    metrics.discoveryMessageReceived();
   }
 }
--- a/edge/src/main/java/edgegateway/node/discovery/DiscoveryOutageLog.java
+++ b/edge/src/main/java/edgegateway/node/discovery/DiscoveryOutageLog.java
@@ -57,14 +57,14 @@
   }
 
   /**
-   * An event was accepted. Must be called before {@link NodeMetrics#discoveryHeard}, because it
-   * logs the time since the event before.
+   * An event was accepted. Must be called before {@link NodeMetrics#discoveryMessageReceived},
+   * because it logs the time since the event before.
    */
   void eventReceived() {
     if (outageInProgress) {
       outageInProgress = false;
       nextReport.cancel(false);
-      LOG.info("discovery_recovered", field("silent_ms", metrics.discoverySilenceMillis()));
+      LOG.info("discovery_recovered", field("silent_ms", metrics.millisSinceDiscoveryMessage()));
     }
   }
 
@@ -72,14 +72,14 @@
     nextReport =
         loop.schedule(
             () -> report(outageMillis),
-            outageMillis - metrics.discoverySilenceMillis(),
+            outageMillis - metrics.millisSinceDiscoveryMessage(),
             TimeUnit.MILLISECONDS);
   }
 
   private void report(long outageMillis) {
     LOG.info(
         "discovery_unreachable",
-        field("silent_ms", metrics.discoverySilenceMillis()),
+        field("silent_ms", metrics.millisSinceDiscoveryMessage()),
         field("address", status.address()),
         field("revision", status.revision()));
     scheduleReport(2 * outageMillis);
