--- a/edge/src/test/java/edgegateway/node/counter/CounterCallTest.java
+++ b/edge/src/test/java/edgegateway/node/counter/CounterCallTest.java
@@ -7,57 +7,62 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
-/** How one call ends, without a connection. */
+/** Tests how a single call ends and the URI that it sends, without a connection. */
 class CounterCallTest {
-  private static final long MINUS_ONE_UNSIGNED = -1;
-  private final List<String> ends = new ArrayList<>();
+  private static final long MAX_UNSIGNED_NAME = -1;
+  private final List<String> reportedOutcomes = new ArrayList<>();
 
-  private CounterCall call() {
+  /** A call that adds 1.5 to the counter 4. */
+  private CounterCall newCall() {
     return new CounterCall(
-        (name, outcome, total) -> ends.add(name + " " + outcome + " " + total), 4, 1.5, 1);
+        (counterName, outcome, total) ->
+            reportedOutcomes.add(counterName + " " + outcome + " " + total),
+        4,
+        1.5,
+        1);
   }
 
   @Test
-  void aCallThatTimedOutIgnoresItsLateReply() {
-    CounterCall call = call();
+  void aLateReplyToATimedOutCallIsIgnored() {
+    CounterCall call = newCall();
     call.writeCompleted(true);
     call.timeOut();
     call.succeed(7);
     call.connectionLost();
-    assertEquals(List.of("4 TIMEOUT 0.0"), ends);
+    assertEquals(List.of("4 TIMEOUT 0.0"), reportedOutcomes);
     assertTrue(call.hasEnded());
   }
 
   @Test
-  void aReplyEndsTheCallWithItsTotal() {
-    CounterCall call = call();
+  void aReplyEndsTheCallWithTheTotal() {
+    CounterCall call = newCall();
     call.writeCompleted(true);
     call.succeed(7);
-    assertEquals(List.of("4 OK 7.0"), ends);
+    assertEquals(List.of("4 OK 7.0"), reportedOutcomes);
   }
 
   @Test
-  void beforeItsLastByteIsWrittenNothingWasAdded() {
-    call().timeOut();
-    CounterCall lost = call();
-    lost.writeCompleted(false);
-    lost.connectionLost();
-    assertEquals(List.of("4 CONNECT_FAILED 0.0", "4 CONNECT_FAILED 0.0"), ends);
+  void aCallNotWrittenCompletelyEndsAsConnectFailed() {
+    newCall().timeOut();
+    CounterCall failedWrite = newCall();
+    failedWrite.writeCompleted(false);
+    failedWrite.connectionLost();
+    assertEquals(List.of("4 CONNECT_FAILED 0.0", "4 CONNECT_FAILED 0.0"), reportedOutcomes);
   }
 
   @Test
-  void afterItsLastByteIsWrittenALossIsAReset() {
-    CounterCall call = call();
+  void aConnectionLostAfterTheCallWasWrittenIsAReset() {
+    CounterCall call = newCall();
     call.writeCompleted(true);
     call.connectionLost();
-    assertEquals(List.of("4 RESET 0.0"), ends);
+    assertEquals(List.of("4 RESET 0.0"), reportedOutcomes);
   }
 
   @Test
-  void namesAreUnsignedAndLifetimesAreRoundedUpToMilliseconds() {
+  void uriHasAnUnsignedNameAndTheLifetimeRoundedUpToMilliseconds() {
     assertEquals(
         "/tally/18446744073709551615?n=-2.25&keep_ms=1",
-        CounterProtocol.uri(MINUS_ONE_UNSIGNED, -2.25, 0));
+        CounterProtocol.uri(MAX_UNSIGNED_NAME, -2.25, 0));
     assertEquals("/tally/4?n=1.5&keep_ms=2", CounterProtocol.uri(4, 1.5, 1_000_001));
   }
 }
--- a/edge/src/test/java/edgegateway/node/discovery/WatchHandlerTest.java
+++ b/edge/src/test/java/edgegateway/node/discovery/WatchHandlerTest.java
@@ -17,17 +17,19 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
-/** What the handler makes of discovery's bytes, without a socket. */
+/** Tests the request and the events of a watch on an embedded channel, without a socket. */
 class WatchHandlerTest implements WatchTransport, WatchEventListener {
-  private static final String HEAD = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n";
+  private static final String RESPONSE_HEAD =
+      "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n";
   private static final String EMPTY_LIST = "{\"revision\":6,\"complete\":true,\"members\":[]}\n";
+
   private final List<String> events = new ArrayList<>();
   private final WatchScheduler scheduler = new WatchScheduler(this, 1);
   private WatchScheduler.Watch watch;
 
   @Override
-  public void open(WatchScheduler.Watch opened) {
-    watch = opened;
+  public void open(WatchScheduler.Watch newWatch) {
+    watch = newWatch;
   }
 
   @Override
@@ -39,16 +41,16 @@
   }
 
   @Override
-  public void keepAliveReceived(WatchScheduler.Watch by) {
+  public void keepAliveReceived(WatchScheduler.Watch source) {
     events.add("keep-alive");
   }
 
   @Override
-  public void listReceived(WatchScheduler.Watch by, EndpointList list) {
+  public void listReceived(WatchScheduler.Watch source, EndpointList list) {
     events.add("list " + list.revision());
   }
 
-  private EmbeddedChannel opened() {
+  private EmbeddedChannel openChannel() {
     scheduler.start(0, 5);
     SettingNames names = new SettingNames(List.of(), List.of(), List.of(), List.of());
     return new EmbeddedChannel(
@@ -56,7 +58,7 @@
         new WatchHandler(watch, new InetSocketAddress("127.0.0.1", 1), names, this));
   }
 
-  private static void read(EmbeddedChannel channel, String text) {
+  private static void receive(EmbeddedChannel channel, String text) {
     channel.writeInbound(Unpooled.copiedBuffer(text, StandardCharsets.US_ASCII));
   }
 
@@ -65,8 +67,8 @@
   }
 
   @Test
-  void theRequestAsksForWhatComesAfterTheHeldRevision() {
-    EmbeddedChannel channel = opened();
+  void theRequestNamesTheCurrentRevision() {
+    EmbeddedChannel channel = openChannel();
     StringBuilder sent = new StringBuilder();
     for (Object part = channel.readOutbound(); part != null; part = channel.readOutbound()) {
       sent.append(((ByteBuf) part).toString(StandardCharsets.US_ASCII));
@@ -79,39 +81,39 @@
   }
 
   @Test
-  void objectsAndEmptyLinesBecomeEvents() {
-    EmbeddedChannel channel = opened();
-    read(channel, HEAD + chunk("\n") + chunk(EMPTY_LIST));
+  void objectsAndEmptyLinesAreReportedAndTheEndOfTheResponseClosesTheChannel() {
+    EmbeddedChannel channel = openChannel();
+    receive(channel, RESPONSE_HEAD + chunk("\n") + chunk(EMPTY_LIST));
     assertEquals(List.of("keep-alive", "list 6"), events);
     assertTrue(channel.isActive());
-    read(channel, "0\r\n\r\n");
-    assertFalse(channel.isActive(), "the response has ended");
+    receive(channel, "0\r\n\r\n");
+    assertFalse(channel.isActive(), "the channel is open after the response has ended");
   }
 
   @Test
-  void anErrorResponseIsNoList() {
-    EmbeddedChannel channel = opened();
+  void theBodyOfAnErrorResponseIsNotReadAsAList() {
+    EmbeddedChannel channel = openChannel();
     String body = EMPTY_LIST;
-    read(channel, "HTTP/1.1 500 No\r\nContent-Length: " + body.length() + "\r\n\r\n" + body);
+    receive(channel, "HTTP/1.1 500 No\r\nContent-Length: " + body.length() + "\r\n\r\n" + body);
     assertEquals(List.of(), events);
     assertFalse(channel.isActive());
   }
 
   @Test
-  void whatCannotBeReadEndsTheWatch() {
+  void aMalformedObjectClosesTheChannel() {
     for (String text : List.of("x", "{\"revision\":\"no\"}")) {
-      EmbeddedChannel channel = opened();
-      read(channel, HEAD + chunk(text));
+      EmbeddedChannel channel = openChannel();
+      receive(channel, RESPONSE_HEAD + chunk(text));
       assertEquals(List.of(), events, text);
       assertFalse(channel.isActive(), text);
     }
   }
 
   @Test
-  void nothingOfAClosedWatchIsReported() {
-    EmbeddedChannel channel = opened();
+  void eventsOfAClosedWatchAreNotReported() {
+    EmbeddedChannel channel = openChannel();
     scheduler.watchClosed(0, watch);
-    read(channel, HEAD + chunk(EMPTY_LIST));
+    receive(channel, RESPONSE_HEAD + chunk(EMPTY_LIST));
     assertEquals(List.of(), events);
     assertFalse(channel.isActive());
   }
--- a/edge/src/test/java/edgegateway/node/discovery/WatchSchedulerTest.java
+++ b/edge/src/test/java/edgegateway/node/discovery/WatchSchedulerTest.java
@@ -9,52 +9,53 @@
 import java.util.SplittableRandom;
 import org.junit.jupiter.api.Test;
 
-/** When discovery is polled, on a fake clock. */
+/** Tests when watches are opened and which events are accepted, on a fake clock. */
 class WatchSchedulerTest implements WatchTransport {
-  private static final long MS = 1_000_000L;
-  private static final long MAX_LIST_AGE = 6_000 * MS;
-  private final List<WatchScheduler.Watch> open = new ArrayList<>();
-  private int opened;
-  private long now;
+  private static final long NANOS_PER_MILLI = 1_000_000L;
+  private static final long MAX_LIST_AGE_NANOS = 6_000 * NANOS_PER_MILLI;
+  private final List<WatchScheduler.Watch> openWatches = new ArrayList<>();
+  private int openedCount;
+  private long nowNanos;
 
   @Override
   public void open(WatchScheduler.Watch watch) {
-    open.add(watch);
-    opened++;
-    assertTrue(open.size() <= WatchScheduler.MAX_OPEN_WATCHES, "descriptors are bounded");
+    openWatches.add(watch);
+    openedCount++;
+    assertTrue(openWatches.size() <= WatchScheduler.MAX_OPEN_WATCHES, "too many open watches");
   }
 
   @Override
   public void close(WatchScheduler.Watch watch) {
-    assertTrue(open.remove(watch));
+    assertTrue(openWatches.remove(watch));
   }
 
-  private WatchScheduler started(long seed) {
-    open.clear();
-    opened = 0;
-    now = 0;
+  private WatchScheduler startScheduler(long seed) {
+    openWatches.clear();
+    openedCount = 0;
+    nowNanos = 0;
     WatchScheduler scheduler = new WatchScheduler(this, seed);
     scheduler.start(0, 5);
     return scheduler;
   }
 
-  private WatchScheduler.Watch last() {
-    return open.get(open.size() - 1);
+  private WatchScheduler.Watch lastOpened() {
+    return openWatches.get(openWatches.size() - 1);
   }
 
-  private void end(WatchScheduler scheduler, WatchScheduler.Watch watch) {
-    open.remove(watch);
-    scheduler.watchClosed(now, watch);
+  /** Reports to the scheduler that the connection of the watch was closed. */
+  private void endWatch(WatchScheduler scheduler, WatchScheduler.Watch watch) {
+    openWatches.remove(watch);
+    scheduler.watchClosed(nowNanos, watch);
   }
 
-  private void pass(WatchScheduler scheduler, long span) {
-    for (long until = now + span; now < until; ) {
-      now += Math.min(WatchScheduler.CHECK_INTERVAL_NANOS, until - now);
-      scheduler.openWatchIfDue(now);
+  private void advance(WatchScheduler scheduler, long durationNanos) {
+    for (long endNanos = nowNanos + durationNanos; nowNanos < endNanos; ) {
+      nowNanos += Math.min(WatchScheduler.CHECK_INTERVAL_NANOS, endNanos - nowNanos);
+      scheduler.openWatchIfDue(nowNanos);
     }
   }
 
-  /** What discovery that can't be reached does with a watch. */
+  /** How a watch fails while discovery is unreachable. */
   private enum Fault {
     HANGS,
     REFUSES,
@@ -62,184 +63,199 @@
     RESPONDS_ONCE
   }
 
-  /** Once reachable, discovery responds at once, but scheduler opened before may hang for ever. */
+  /**
+   * Once reachable, discovery responds to new watches at once, but watches opened earlier may hang
+   * for ever and must not delay the next one.
+   */
   @Test
-  void discoveryIsPolledSoonAfterItIsReachableAgainWhateverFailedBefore() {
+  void aWatchIsOpenedWithinTheIdleTimeoutOnceDiscoveryIsReachable() {
     long worstNanos = 0;
     for (long seed = 1; seed <= 400; seed++) {
       SplittableRandom random = new SplittableRandom(seed);
-      WatchScheduler scheduler = started(seed);
-      long reachableAt = (1 + random.nextInt(200)) * 100 * MS;
-      failUntil(reachableAt, scheduler, random);
-      int before = opened;
-      while (opened == before) {
-        pass(scheduler, 10 * MS);
-        assertTrue(now - reachableAt < MAX_LIST_AGE, "seed " + seed + ": nobody was asked");
+      WatchScheduler scheduler = startScheduler(seed);
+      long reachableAtNanos = (1 + random.nextInt(200)) * 100 * NANOS_PER_MILLI;
+      failUntil(reachableAtNanos, scheduler, random);
+      int countBefore = openedCount;
+      while (openedCount == countBefore) {
+        advance(scheduler, 10 * NANOS_PER_MILLI);
+        assertTrue(
+            nowNanos - reachableAtNanos < MAX_LIST_AGE_NANOS,
+            "seed " + seed + ": no watch was opened");
       }
-      worstNanos = Math.max(worstNanos, now - reachableAt);
+      worstNanos = Math.max(worstNanos, nowNanos - reachableAtNanos);
     }
     assertTrue(
         worstNanos <= WatchScheduler.WATCH_IDLE_TIMEOUT_NANOS + WatchScheduler.CHECK_INTERVAL_NANOS,
-        "polled after " + worstNanos / MS + " ms");
+        "a watch was opened only after " + worstNanos / NANOS_PER_MILLI + " ms");
     assertTrue(
         WatchScheduler.WATCH_IDLE_TIMEOUT_NANOS
                 + WatchScheduler.WATCH_RESPONSE_TIMEOUT_NANOS
                 + WatchScheduler.CHECK_INTERVAL_NANOS
-                + 1_500 * MS
-            < MAX_LIST_AGE,
-        "no room for an event-loop stall");
+                + 1_500 * NANOS_PER_MILLI
+            < MAX_LIST_AGE_NANOS,
+        "the timeouts leave no time for an event-loop stall");
   }
 
-  private void failUntil(long reachableAt, WatchScheduler scheduler, SplittableRandom random) {
-    int seen = 0;
-    while (now < reachableAt) {
-      if (opened > seen) {
-        seen = opened;
-        WatchScheduler.Watch watch = last();
+  private void failUntil(long reachableAtNanos, WatchScheduler scheduler, SplittableRandom random) {
+    int handledCount = 0;
+    while (nowNanos < reachableAtNanos) {
+      if (openedCount > handledCount) {
+        handledCount = openedCount;
+        WatchScheduler.Watch watch = lastOpened();
         Fault fault = Fault.values()[random.nextInt(4)];
         if (fault == Fault.REFUSES) {
-          end(scheduler, watch);
+          endWatch(scheduler, watch);
         } else if (fault == Fault.RESPONDS_ONCE) {
-          scheduler.eventReceived(now, watch);
+          scheduler.eventReceived(nowNanos, watch);
         }
       }
-      if (!open.isEmpty() && random.nextInt(20) == 0) {
-        end(scheduler, open.get(random.nextInt(open.size())));
+      if (!openWatches.isEmpty() && random.nextInt(20) == 0) {
+        endWatch(scheduler, openWatches.get(random.nextInt(openWatches.size())));
       }
-      pass(scheduler, 50 * MS);
+      advance(scheduler, 50 * NANOS_PER_MILLI);
     }
   }
 
   /**
-   * A watch that hung was once waited for to the end of its 5 s, with up to 2 s more before the
-   * next.
+   * Guards against waiting for a watch that hangs: an earlier version waited for 5 s, and up to 2 s
+   * more before it opened the next watch.
    */
   @Test
-  void aWatchWithoutAResponseIsNotWaitedFor() {
+  void anotherWatchIsOpenedBesideOneWithoutAResponse() {
     for (long seed = 1; seed <= 100; seed++) {
-      WatchScheduler scheduler = started(seed);
-      for (int call = 1; call < 20; call++) {
-        assertTrue(opened >= call, "seed " + seed);
-        pass(
+      WatchScheduler scheduler = startScheduler(seed);
+      for (int watchCount = 1; watchCount < 20; watchCount++) {
+        assertTrue(openedCount >= watchCount, "seed " + seed);
+        advance(
             scheduler,
             WatchScheduler.WATCH_RESPONSE_TIMEOUT_NANOS + WatchScheduler.CHECK_INTERVAL_NANOS);
       }
-      // Whichever speaks first is followed, were it the first of them.
-      WatchScheduler.Watch first = open.get(0);
-      assertTrue(scheduler.eventReceived(now, first));
-      assertEquals(List.of(first), open);
+      // The first watch to respond is kept, even if it is the oldest.
+      WatchScheduler.Watch oldest = openWatches.get(0);
+      assertTrue(scheduler.eventReceived(nowNanos, oldest));
+      assertEquals(List.of(oldest), openWatches);
     }
   }
 
   @Test
-  void aSilentWatchIsReplacedAndItsEventsAcceptedUntilThen() {
-    WatchScheduler scheduler = started(3);
-    WatchScheduler.Watch old = last();
-    assertTrue(scheduler.eventReceived(now, old));
-    pass(scheduler, WatchScheduler.WATCH_IDLE_TIMEOUT_NANOS - 1);
-    assertEquals(1, opened);
-    pass(scheduler, WatchScheduler.CHECK_INTERVAL_NANOS + 1);
-    assertEquals(2, opened);
-    WatchScheduler.Watch next = last();
-    // The old one was only slow: then it is as good as any.
-    assertTrue(scheduler.listReceived(now, old, 6, false));
-    assertEquals(List.of(old), open);
-    assertFalse(scheduler.eventReceived(now, next), "what was closed says nothing any more");
-    pass(scheduler, WatchScheduler.WATCH_IDLE_TIMEOUT_NANOS + WatchScheduler.CHECK_INTERVAL_NANOS);
-    next = last();
-    assertTrue(scheduler.listReceived(now, next, 7, false));
+  void anIdleWatchIsReplacedAndEventsAcceptedUntilTheNewWatchResponds() {
+    WatchScheduler scheduler = startScheduler(3);
+    WatchScheduler.Watch old = lastOpened();
+    assertTrue(scheduler.eventReceived(nowNanos, old));
+    advance(scheduler, WatchScheduler.WATCH_IDLE_TIMEOUT_NANOS - 1);
+    assertEquals(1, openedCount);
+    advance(scheduler, WatchScheduler.CHECK_INTERVAL_NANOS + 1);
+    assertEquals(2, openedCount);
+    WatchScheduler.Watch next = lastOpened();
+    // The old watch was only slow: its event is accepted, and the new watch is closed.
+    assertTrue(scheduler.listReceived(nowNanos, old, 6, false));
+    assertEquals(List.of(old), openWatches);
+    assertFalse(scheduler.eventReceived(nowNanos, next), "an event of a closed watch was accepted");
+    advance(
+        scheduler, WatchScheduler.WATCH_IDLE_TIMEOUT_NANOS + WatchScheduler.CHECK_INTERVAL_NANOS);
+    next = lastOpened();
+    assertTrue(scheduler.listReceived(nowNanos, next, 7, false));
     assertFalse(
-        scheduler.listReceived(now, old, 6, false),
-        "a late line of the old watch would bring back an older list");
+        scheduler.listReceived(nowNanos, old, 6, false),
+        "a late event of the closed watch would restore an older list");
     assertEquals(7, scheduler.revision());
   }
 
-  /** Both orders of a late line of the old address and the first one of the new. */
+  /** With and without an event of the old address before the first event of the new address. */
   @Test
-  void afterAChangeOfAddressTheOldOneIsAcceptedUntilTheNewOneResponds() {
-    for (boolean oldFirst : new boolean[] {true, false}) {
-      WatchScheduler scheduler = started(4);
-      WatchScheduler.Watch old = last();
-      assertTrue(scheduler.listReceived(now, old, 6, true));
-      scheduler.addressChanged(now);
-      assertEquals(2, opened, "at once");
-      WatchScheduler.Watch next = last();
-      if (oldFirst) {
-        assertTrue(scheduler.listReceived(now, old, 7, false));
-        assertTrue(open.contains(next), "the old address is no reason to leave the new one");
-        assertFalse(scheduler.hasResponsiveWatch(now));
+  void afterAnAddressChangeEventsOfTheOldAddressAreAcceptedUntilTheNewResponds() {
+    for (boolean oldAddressFirst : new boolean[] {true, false}) {
+      WatchScheduler scheduler = startScheduler(4);
+      WatchScheduler.Watch old = lastOpened();
+      assertTrue(scheduler.listReceived(nowNanos, old, 6, true));
+      scheduler.addressChanged(nowNanos);
+      assertEquals(2, openedCount, "no watch was opened at the new address at once");
+      WatchScheduler.Watch next = lastOpened();
+      if (oldAddressFirst) {
+        assertTrue(scheduler.listReceived(nowNanos, old, 7, false));
+        assertTrue(
+            openWatches.contains(next),
+            "an event of the old address closed the watch at the new one");
+        assertFalse(scheduler.hasResponsiveWatch(nowNanos));
       }
-      assertTrue(scheduler.listReceived(now, next, 8, true));
-      assertFalse(scheduler.listReceived(now, old, 9, false));
-      assertEquals(List.of(next), open);
+      assertTrue(scheduler.listReceived(nowNanos, next, 8, true));
+      assertFalse(scheduler.listReceived(nowNanos, old, 9, false));
+      assertEquals(List.of(next), openWatches);
       assertEquals(8, scheduler.revision());
     }
   }
 
   @Test
-  void aStaleListIsNotAppliedAndPolledForAgain() {
-    WatchScheduler scheduler = started(5);
-    WatchScheduler.Watch stale = last();
-    assertFalse(scheduler.listReceived(now, stale, 4, true));
+  void aStaleListIsNotAppliedAndClosesANewWatch() {
+    WatchScheduler scheduler = startScheduler(5);
+    WatchScheduler.Watch stale = lastOpened();
+    assertFalse(scheduler.listReceived(nowNanos, stale, 4, true));
     assertFalse(stale.isOpen());
-    pass(scheduler, 200 * MS);
-    assertEquals(2, opened);
+    advance(scheduler, 200 * NANOS_PER_MILLI);
+    assertEquals(2, openedCount);
     assertTrue(
-        scheduler.listReceived(now, last(), 5, true),
-        "the same again tells nothing new, and that the watch is sound");
-    assertFalse(scheduler.listReceived(now, last(), 4, false), "nor in the midst of a watch");
-    assertTrue(last().isOpen());
+        scheduler.listReceived(nowNanos, lastOpened(), 5, true),
+        "a list of the current revision was rejected");
+    assertFalse(
+        scheduler.listReceived(nowNanos, lastOpened(), 4, false),
+        "a stale list was applied in a watch that had responded");
+    assertTrue(lastOpened().isOpen());
     assertEquals(5, scheduler.revision());
-    // Quiet for however long: what is older is older.
+    // A long time with nothing but keep-alives does not make an older list acceptable.
     for (int i = 0; i < 100; i++) {
-      pass(scheduler, 1_000 * MS);
-      scheduler.eventReceived(now, last());
+      advance(scheduler, 1_000 * NANOS_PER_MILLI);
+      scheduler.eventReceived(nowNanos, lastOpened());
     }
-    end(scheduler, last());
-    pass(scheduler, 200 * MS);
-    assertFalse(scheduler.listReceived(now, last(), 4, true));
+    endWatch(scheduler, lastOpened());
+    advance(scheduler, 200 * NANOS_PER_MILLI);
+    assertFalse(scheduler.listReceived(nowNanos, lastOpened(), 4, true));
   }
 
-  /** Else a discovery that lost its revisions would never be heard again. */
+  /** Otherwise no list of a discovery that lost its revision number would ever be accepted. */
   @Test
-  void aDiscoveryThatRestartedItsRevisionsIsFollowedInTheEnd() {
-    WatchScheduler scheduler = started(6);
-    long since = now;
-    while (!scheduler.listReceived(now, last(), 1, true)) {
-      int before = opened;
-      while (opened == before) {
-        pass(scheduler, 10 * MS);
+  void restartedRevisionsAreAcceptedAfterTheStaleListTimeout() {
+    WatchScheduler scheduler = startScheduler(6);
+    long sinceNanos = nowNanos;
+    while (!scheduler.listReceived(nowNanos, lastOpened(), 1, true)) {
+      int countBefore = openedCount;
+      while (openedCount == countBefore) {
+        advance(scheduler, 10 * NANOS_PER_MILLI);
       }
     }
     assertEquals(1, scheduler.revision());
     assertTrue(
-        now - since >= WatchScheduler.STALE_LIST_TIMEOUT_NANOS
-            && now - since < WatchScheduler.STALE_LIST_TIMEOUT_NANOS + 2_000 * MS);
+        nowNanos - sinceNanos >= WatchScheduler.STALE_LIST_TIMEOUT_NANOS
+            && nowNanos - sinceNanos
+                < WatchScheduler.STALE_LIST_TIMEOUT_NANOS + 2_000 * NANOS_PER_MILLI);
   }
 
   @Test
-  void aKeepAliveResetsTheBackoffAndNodesDoNotPollTogether() {
-    List<Long> spans = new ArrayList<>();
+  void aKeepAliveResetsTheBackoffAndBackoffsDifferBetweenNodes() {
+    List<Long> backoffsNanos = new ArrayList<>();
     for (long seed = 1; seed <= 20; seed++) {
-      WatchScheduler scheduler = started(seed);
+      WatchScheduler scheduler = startScheduler(seed);
       for (int i = 0; i < 10; i++) {
-        int before = opened;
-        end(scheduler, last());
-        while (opened == before) {
-          pass(scheduler, MS);
+        int countBefore = openedCount;
+        endWatch(scheduler, lastOpened());
+        while (openedCount == countBefore) {
+          advance(scheduler, NANOS_PER_MILLI);
         }
       }
-      scheduler.eventReceived(now, last());
-      long since = now;
-      end(scheduler, last());
-      while (open.isEmpty()) {
-        pass(scheduler, MS);
+      scheduler.eventReceived(nowNanos, lastOpened());
+      long sinceNanos = nowNanos;
+      endWatch(scheduler, lastOpened());
+      while (openWatches.isEmpty()) {
+        advance(scheduler, NANOS_PER_MILLI);
       }
       assertTrue(
-          now - since <= WatchScheduler.INITIAL_BACKOFF_NANOS,
-          "waited " + (now - since) / MS + " ms after a sound watch");
-      spans.add(now - since);
+          nowNanos - sinceNanos <= WatchScheduler.INITIAL_BACKOFF_NANOS,
+          "waited "
+              + (nowNanos - sinceNanos) / NANOS_PER_MILLI
+              + " ms after a watch that had responded");
+      backoffsNanos.add(nowNanos - sinceNanos);
     }
-    assertTrue(spans.stream().distinct().count() > 10, "all asked after the same span: " + spans);
+    assertTrue(
+        backoffsNanos.stream().distinct().count() > 10,
+        "too few distinct backoffs, in ns: " + backoffsNanos);
   }
 }
