--- a/edge/src/test/java/edgegateway/node/zones/FakeZoneFleet.java
+++ b/edge/src/test/java/edgegateway/node/zones/FakeZoneFleet.java
@@ -10,25 +10,30 @@
 import java.util.SplittableRandom;
 
 /**
- * A fleet of {@link ZoneConsensus} on one clock, with a counter between them and made-up health.
+ * A simulated fleet: one {@link ZoneConsensus} for each node, on a common simulated clock, with a
+ * fake counter and fake results of attempts.
  */
 final class FakeZoneFleet {
-  static final long MS = 1_000_000L;
-  static final long SECOND = 1_000 * MS;
+  static final long MILLISECOND_NANOS = 1_000_000L;
+  static final long SECOND_NANOS = 1_000 * MILLISECOND_NANOS;
   static final List<String> ZONES = List.of("a", "b", "c");
-  static final long RAMP = 6 * SECOND;
-  static final double BEGIN = 0.24;
+  static final long RETURN_RAMP_NANOS = 6 * SECOND_NANOS;
+  static final double INITIAL_FRACTION = 0.24;
+
+  /** Number of archive servers in each zone. */
   private static final int SERVERS = 4;
+
+  /** Time constant of the decay of recent attempts and failures. */
   private static final double HEALTH_DECAY_NANOS = 1e9;
 
-  /** How likely an attempt fails. */
-  interface Health {
+  /** Probability of failure of an attempt. */
+  interface FailureModel {
     double failureProbability(int node, int zone);
   }
 
-  private record ScheduledTask(long at, Runnable task) {}
+  private record ScheduledTask(long timeNanos, Runnable task) {}
 
-  /** A node: its consensus, and how its attempts fared. */
+  /** A node with its consensus and the results of its attempts. */
   final class Node implements ZoneConsensus.Actions {
     final int index;
     final SplittableRandom nodeRandom = random.split();
@@ -42,58 +47,67 @@
     final boolean[] probing = new boolean[ZONES.size()];
     final List<String> log = new ArrayList<>();
 
-    /** Difference of its clock from the true one. */
+    /** Difference between the node's clock and the simulated clock. */
     long clockOffsetNanos;
 
-    /** What a vote of this node adds to the counter. */
+    /** Amount that a vote of this node adds to the counter; 1 for a correct node. */
     double votesPerCast = 1;
 
-    /** Whether it finds a zone failing whatever it sees. */
+    /** Whether the node falsely reports a zone as failing, whatever its attempts' results. */
     boolean alwaysSuspects;
 
     boolean stopped;
     ZoneConsensus consensus;
 
-    Node(int me) {
-      this.index = me;
+    Node(int index) {
+      this.index = index;
       start();
     }
 
+    /** Starts the node, or restarts it with a new consensus. */
     void start() {
       java.util.Arrays.fill(ramps, null);
       consensus =
           new ZoneConsensus(
-              new ZoneConsensus.FleetSettings(settings, index, size, ZONES, BEGIN, RAMP, 2 * RAMP),
+              new ZoneConsensus.FleetSettings(
+                  settings,
+                  index,
+                  size,
+                  ZONES,
+                  INITIAL_FRACTION,
+                  RETURN_RAMP_NANOS,
+                  2 * RETURN_RAMP_NANOS),
               this::requestVoteCount,
               nodeRandom.nextLong(),
-              now + clockOffsetNanos,
+              nowNanos + clockOffsetNanos,
               this);
     }
 
-    private void requestVoteCount(long at, ZoneVote vote, boolean castsVote) {
+    private void requestVoteCount(long nodeNowNanos, ZoneVote vote, boolean castsVote) {
       voteCalls++;
-      long asked = now;
-      ZoneConsensus of = consensus;
-      boolean reaches = !counterDown && nodeRandom.nextDouble() >= callLoss;
-      if (reaches) {
-        totals.merge(vote, castsVote ? votesPerCast : 0, Double::sum);
+      long calledNanos = nowNanos;
+      ZoneConsensus caller = consensus;
+      boolean reachedCounter =
+          !counterUnreachable && nodeRandom.nextDouble() >= messageLossProbability;
+      if (reachedCounter) {
+        votesBySubject.merge(vote, castsVote ? votesPerCast : 0, Double::sum);
       }
-      double total = totals.getOrDefault(vote, 0.0);
-      boolean answered = reaches && nodeRandom.nextDouble() >= callLoss;
+      double total = votesBySubject.getOrDefault(vote, 0.0);
+      boolean answered = reachedCounter && nodeRandom.nextDouble() >= messageLossProbability;
       scheduled.add(
           new ScheduledTask(
-              asked + (answered ? 2 : 250) * MS,
+              calledNanos + (answered ? 2 : 250) * MILLISECOND_NANOS,
               () -> {
-                if (of == consensus && answered) {
-                  consensus.votesCounted(now + clockOffsetNanos, vote, total);
-                } else if (of == consensus) {
+                if (caller == consensus && answered) {
+                  consensus.votesCounted(nowNanos + clockOffsetNanos, vote, total);
+                } else if (caller == consensus) {
                   consensus.voteUnanswered();
                 }
               }));
     }
 
     double trafficFraction(int zone) {
-      return ramps[zone] == null ? 1 : ramps[zone].fractionAt(now + clockOffsetNanos);
+      return ramps[zone] == null ? 1 : ramps[zone].fractionAt(nowNanos + clockOffsetNanos);
     }
 
     ZoneEjectionState.State state(int zone) {
@@ -101,24 +115,24 @@
     }
 
     private void attempt(int zone) {
-      boolean failed = nodeRandom.nextDouble() < health.failureProbability(index, zone);
+      boolean failed = nodeRandom.nextDouble() < failureModel.failureProbability(index, zone);
       recentAttempts[zone]++;
       attempts[zone]++;
       recentFailures[zone] += failed ? 1 : 0;
       failures[zone] += failed ? 1 : 0;
       failureExcess[zone] = Math.max(0, failureExcess[zone] + (failed ? 1 : -1));
-      lastAnswerNanos[zone] = failed ? lastAnswerNanos[zone] : now + clockOffsetNanos;
-      sent[zone]++;
+      lastAnswerNanos[zone] = failed ? lastAnswerNanos[zone] : nowNanos + clockOffsetNanos;
+      attemptsByZone[zone]++;
     }
 
-    private void tick(long span) {
+    private void tick(long stepNanos) {
       List<ZoneHealth> all = new ArrayList<>();
       for (int zone = 0; zone < ZONES.size(); zone++) {
-        double kept = Math.exp(-span / HEALTH_DECAY_NANOS);
-        recentAttempts[zone] *= kept;
-        recentFailures[zone] *= kept;
-        failureExcess[zone] *= Math.pow(kept, 0.2);
-        if (nodeRandom.nextDouble() < rate * trafficFraction(zone) * span / SECOND) {
+        double decay = Math.exp(-stepNanos / HEALTH_DECAY_NANOS);
+        recentAttempts[zone] *= decay;
+        recentFailures[zone] *= decay;
+        failureExcess[zone] *= Math.pow(decay, 0.2);
+        if (nodeRandom.nextDouble() < rate * trafficFraction(zone) * stepNanos / SECOND_NANOS) {
           attempt(zone);
         }
         if (probing[zone]) {
@@ -145,54 +159,59 @@
                     failures[zone],
                     lastAnswerNanos[zone]));
       }
-      consensus.tick(now + clockOffsetNanos, all, discoveryCurrent);
+      consensus.tick(nowNanos + clockOffsetNanos, all, discoveryCurrent);
     }
 
     @Override
-    public void setRamp(int zone, TrafficRamp course) {
-      ramps[zone] = course;
+    public void setRamp(int zone, TrafficRamp ramp) {
+      ramps[zone] = ramp;
     }
 
     @Override
     public void probe(int zone) {
       probing[zone] = true;
-      probes++;
+      probeCount++;
     }
 
     @Override
-    public void log(String text) {
-      log.add(now / MS + " " + text);
+    public void log(String message) {
+      log.add(nowNanos / MILLISECOND_NANOS + " " + message);
     }
   }
 
   final SplittableRandom random;
   final int size;
   final List<Node> nodes = new ArrayList<>();
-  final Map<ZoneVote, Double> totals = new HashMap<>();
-  final long[] sent = new long[ZONES.size()];
+
+  /** Totals of the fake counter. */
+  final Map<ZoneVote, Double> votesBySubject = new HashMap<>();
+
+  /** Number of attempts of all nodes by zone. */
+  final long[] attemptsByZone = new long[ZONES.size()];
+
   final ZoneEjectionSettings settings;
   private final PriorityQueue<ScheduledTask> scheduled =
-      new PriorityQueue<>(java.util.Comparator.comparingLong(ScheduledTask::at));
-  Health health = (node, zone) -> 0.01;
+      new PriorityQueue<>(java.util.Comparator.comparingLong(ScheduledTask::timeNanos));
+  FailureModel failureModel = (node, zone) -> 0.01;
 
-  /** Fraction of calls lost on the way to the counter, and of answers on the way back. */
-  double callLoss;
+  /** Probability that a call to the counter is lost, and that its answer is lost. */
+  double messageLossProbability;
 
-  /** Attempts per second of a node in a zone. */
+  /** Attempts per second of each node in each zone at full traffic. */
   double rate = 8;
 
-  boolean counterDown;
+  boolean counterUnreachable;
   boolean discoveryCurrent = true;
-  long now = 1_000 * SECOND;
+  long nowNanos = 1_000 * SECOND_NANOS;
   long voteCalls;
-  long probes;
+  long probeCount;
 
-  FakeZoneFleet(int size, long seed, ZoneEjectionSettings.DecisionMode verdicts) {
+  FakeZoneFleet(int size, long seed, ZoneEjectionSettings.DecisionMode decisionMode) {
     this.size = size;
     random = new SplittableRandom(seed);
     settings =
         new ZoneEjectionSettings(
-            verdicts,
+            decisionMode,
             ZoneEjectionSettings.DEFAULT_MAX_EJECTED_FRACTION,
             ZoneEjectionSettings.DEFAULT_LOCAL_DECISION_AFTER_NANOS);
     for (int i = 0; i < size; i++) {
@@ -200,46 +219,47 @@
     }
   }
 
-  /** Runs for a time; {@code check} is run after each step. */
-  void run(long span, Runnable check) {
-    long step = ZoneEjectionController.TICK_INTERVAL_NANOS;
-    long until = now + span;
-    while (now < until) {
-      now += step;
-      while (!scheduled.isEmpty() && scheduled.peek().at() <= now) {
+  /** Advances the clock by a duration and runs {@code check} after each step. */
+  void run(long durationNanos, Runnable check) {
+    long stepNanos = ZoneEjectionController.TICK_INTERVAL_NANOS;
+    long endNanos = nowNanos + durationNanos;
+    while (nowNanos < endNanos) {
+      nowNanos += stepNanos;
+      while (!scheduled.isEmpty() && scheduled.peek().timeNanos() <= nowNanos) {
         scheduled.poll().task().run();
       }
-      nodes.stream().filter(node -> !node.stopped).forEach(node -> node.tick(step));
+      nodes.stream().filter(node -> !node.stopped).forEach(node -> node.tick(stepNanos));
       check.run();
     }
   }
 
-  void run(long span) {
-    run(span, () -> {});
+  void run(long durationNanos) {
+    run(durationNanos, () -> {});
   }
 
-  long running() {
+  long runningNodes() {
     return nodes.stream().filter(node -> !node.stopped).count();
   }
 
-  /** How many running nodes have a zone in this state. */
-  long in(int zone, ZoneEjectionState.State state) {
+  /** Number of running nodes at which a zone is in a state. */
+  long countInState(int zone, ZoneEjectionState.State state) {
     return nodes.stream().filter(node -> !node.stopped && node.state(zone) == state).count();
   }
 
-  /** How many running nodes use a zone in full, though some may suspect it. */
+  /** Number of running nodes that fully use a zone, including those that suspect it. */
   long inUse(int zone) {
-    return in(zone, ZoneEjectionState.State.IN) + in(zone, ZoneEjectionState.State.SUSPECT);
+    return countInState(zone, ZoneEjectionState.State.IN)
+        + countInState(zone, ZoneEjectionState.State.SUSPECT);
   }
 
-  /** For how many running nodes the state of a zone was decided so. */
-  long decidedBy(int zone, ZoneEjectionState.DecidedBy why) {
+  /** Number of running nodes at which a zone's state was decided in a given way. */
+  long decidedBy(int zone, ZoneEjectionState.DecidedBy decider) {
     return nodes.stream()
-        .filter(node -> !node.stopped && node.consensus.state(zone).decidedBy() == why)
+        .filter(node -> !node.stopped && node.consensus.state(zone).decidedBy() == decider)
         .count();
   }
 
-  /** Mean fraction of its usual traffic that running nodes send to a zone. */
+  /** Mean fraction of its usual traffic that a zone receives from the running nodes. */
   double trafficFraction(int zone) {
     return nodes.stream()
         .filter(node -> !node.stopped)
--- a/edge/src/test/java/edgegateway/node/zones/ZoneConsensusTest.java
+++ b/edge/src/test/java/edgegateway/node/zones/ZoneConsensusTest.java
@@ -1,9 +1,10 @@
 package edgegateway.node.zones;
 
-import static edgegateway.node.zones.FakeZoneFleet.BEGIN;
-import static edgegateway.node.zones.FakeZoneFleet.MS;
-import static edgegateway.node.zones.FakeZoneFleet.RAMP;
-import static edgegateway.node.zones.FakeZoneFleet.SECOND;
+import static edgegateway.node.zones.FakeZoneFleet.INITIAL_FRACTION;
+import static edgegateway.node.zones.FakeZoneFleet.MILLISECOND_NANOS;
+import static edgegateway.node.zones.FakeZoneFleet.RETURN_RAMP_NANOS;
+import static edgegateway.node.zones.FakeZoneFleet.SECOND_NANOS;
+import static edgegateway.node.zones.ZoneEjectionController.TICK_INTERVAL_NANOS;
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
 import static org.junit.jupiter.api.Assertions.assertTrue;
@@ -21,195 +22,203 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** Whole fleets on a given clock, over many seeds; a failure names its seed. */
+/**
+ * Simulates complete fleets on a simulated clock, with many seeds. The message of a failure
+ * contains its seed.
+ */
 class ZoneConsensusTest {
-  private static final int SEEDS = 30;
+  private static final int SEED_COUNT = 30;
   private static final int A = 0;
   private static final int B = 1;
   private static final int C = 2;
 
-  private static void seeds(LongConsumer play) {
-    for (long seed = 1; seed <= SEEDS; seed++) {
+  private static void forEachSeed(LongConsumer test) {
+    for (long seed = 1; seed <= SEED_COUNT; seed++) {
       try {
-        play.accept(seed);
+        test.accept(seed);
       } catch (AssertionError e) {
         throw new AssertionError("seed " + seed + ": " + e.getMessage(), e);
       }
     }
   }
 
+  /** Creates a fleet that votes and has run without failures for 10 s. */
   private static FakeZoneFleet fleet(int size, long seed) {
     FakeZoneFleet fleet = new FakeZoneFleet(size, seed, DecisionMode.COUNTER);
-    fleet.run(10 * SECOND);
+    fleet.run(10 * SECOND_NANOS);
     return fleet;
   }
 
-  private static void fail(FakeZoneFleet fleet, int zone) {
-    fleet.health = (node, other) -> other == zone ? 1 : 0.01;
+  private static void failZone(FakeZoneFleet fleet, int zone) {
+    fleet.failureModel = (node, other) -> other == zone ? 1 : 0.01;
   }
 
-  private static void mend(FakeZoneFleet fleet) {
-    fleet.health = (node, zone) -> 0.01;
+  private static void restoreHealth(FakeZoneFleet fleet) {
+    fleet.failureModel = (node, zone) -> 0.01;
   }
 
-  /** No node ever has more zones ejected than the settings allow. */
-  private static void bounded(FakeZoneFleet fleet) {
+  /** Checks that no node has more zones ejected than the settings allow. */
+  private static void assertMaxOneZoneEjected(FakeZoneFleet fleet) {
     for (FakeZoneFleet.Node node : fleet.nodes) {
-      long away = 0;
+      long ejectedZones = 0;
       for (int zone = 0; zone < FakeZoneFleet.ZONES.size(); zone++) {
         State state = node.state(zone);
-        away += state == State.IN || state == State.SUSPECT ? 0 : 1;
+        ejectedZones += state == State.IN || state == State.SUSPECT ? 0 : 1;
       }
-      assertTrue(away <= 1, "node " + node.index + " has " + away + " zones away: " + node.log);
+      assertTrue(
+          ejectedZones <= 1,
+          "node " + node.index + " has " + ejectedZones + " ejected zones: " + node.log);
     }
   }
 
   @ParameterizedTest
   @ValueSource(ints = {3, 12, 100})
-  void aLostZoneIsEjectedByAllWithinThreeSecondsAndReturns(int size) {
-    seeds(
+  void allNodesEjectAFailedZoneWithinThreeSecondsAndReadmitIt(int size) {
+    forEachSeed(
         seed -> {
           FakeZoneFleet fleet = fleet(size, seed);
-          assertTrue(fleet.voteCalls <= 1 + size, "calls on a calm day: " + fleet.voteCalls);
-          fail(fleet, B);
-          fleet.run(3 * SECOND, () -> bounded(fleet));
+          assertTrue(fleet.voteCalls <= 1 + size, "calls while healthy: " + fleet.voteCalls);
+          failZone(fleet, B);
+          fleet.run(3 * SECOND_NANOS, () -> assertMaxOneZoneEjected(fleet));
           assertEquals(
               size,
-              fleet.in(B, State.OUT) + fleet.in(B, State.LEAVING),
-              "left: " + fleet.nodes.get(0).log);
+              fleet.countInState(B, State.OUT) + fleet.countInState(B, State.LEAVING),
+              "nodes that ejected the failed zone; log of node 0: " + fleet.nodes.get(0).log);
           assertTrue(
               fleet.decidedBy(B, DecidedBy.FLEET) > size * 0.9,
-              "by the fleet: " + fleet.decidedBy(B, DecidedBy.FLEET));
-          fleet.run(10 * SECOND, () -> bounded(fleet));
+              "followed the fleet: " + fleet.decidedBy(B, DecidedBy.FLEET));
+          fleet.run(10 * SECOND_NANOS, () -> assertMaxOneZoneEjected(fleet));
           assertEquals(
-              size,
-              fleet.in(B, State.OUT),
-              "it came back though it is bad: " + fleet.nodes.get(0).log);
-          mend(fleet);
-          double[] first = {Double.NaN};
+              size, fleet.countInState(B, State.OUT), "readmitted: " + fleet.nodes.get(0).log);
+          restoreHealth(fleet);
+          double[] rampStartNanos = {Double.NaN};
           fleet.run(
-              30 * SECOND,
+              30 * SECOND_NANOS,
               () -> {
-                double part = fleet.trafficFraction(B);
-                if (part > 0 && Double.isNaN(first[0])) {
-                  first[0] = fleet.now;
+                double trafficFraction = fleet.trafficFraction(B);
+                if (trafficFraction > 0 && Double.isNaN(rampStartNanos[0])) {
+                  rampStartNanos[0] = fleet.nowNanos;
                 }
-                // The ramp from the moment at which the first node began it bounds what all send
-                // together.
-                double grown =
-                    (fleet.now - first[0] + ZoneEjectionController.TICK_INTERVAL_NANOS) / RAMP;
+                // The ramp of the first node that readmits the zone bounds the mean of all nodes.
+                double rampProgress =
+                    (fleet.nowNanos - rampStartNanos[0] + TICK_INTERVAL_NANOS) / RETURN_RAMP_NANOS;
                 assertTrue(
-                    part <= (Double.isNaN(first[0]) ? 0 : BEGIN + (1 - BEGIN) * grown) + 0.01,
-                    "part " + part + " too early");
+                    trafficFraction
+                        <= (Double.isNaN(rampStartNanos[0])
+                                ? 0
+                                : INITIAL_FRACTION + (1 - INITIAL_FRACTION) * rampProgress)
+                            + 0.01,
+                    "traffic fraction " + trafficFraction + " exceeds the ramp");
               });
-          assertEquals(size, fleet.inUse(B), "not back: " + fleet.nodes.get(0).log);
-          assertEquals(0, fleet.in(A, State.OUT) + fleet.in(C, State.OUT));
+          assertEquals(size, fleet.inUse(B), "not readmitted: " + fleet.nodes.get(0).log);
+          assertEquals(0, fleet.countInState(A, State.OUT) + fleet.countInState(C, State.OUT));
         });
   }
 
   @Test
-  void nodesThatDecideAloneEjectLaterAndReturnByThemselves() {
-    seeds(
+  void nodesInLocalModeEjectLaterAndReadmitOnTheirOwn() {
+    forEachSeed(
         seed -> {
           FakeZoneFleet fleet = new FakeZoneFleet(12, seed, DecisionMode.ALONE);
-          fleet.run(5 * SECOND);
-          fail(fleet, B);
-          fleet.run(2 * SECOND);
-          assertEquals(12, fleet.in(B, State.SUSPECT) + fleet.in(B, State.IN), "left too early");
-          fleet.run(6 * SECOND, () -> bounded(fleet));
-          assertTrue(fleet.in(B, State.OUT) >= 11, "left: " + fleet.in(B, State.OUT));
+          fleet.run(5 * SECOND_NANOS);
+          failZone(fleet, B);
+          fleet.run(2 * SECOND_NANOS);
+          assertEquals(
+              12,
+              fleet.countInState(B, State.SUSPECT) + fleet.countInState(B, State.IN),
+              "nodes that did not eject the zone yet");
+          fleet.run(6 * SECOND_NANOS, () -> assertMaxOneZoneEjected(fleet));
+          assertTrue(
+              fleet.countInState(B, State.OUT) >= 11,
+              "nodes that ejected the zone: " + fleet.countInState(B, State.OUT));
           assertEquals(0, fleet.voteCalls);
-          mend(fleet);
-          fleet.run(30 * SECOND);
+          restoreHealth(fleet);
+          fleet.run(30 * SECOND_NANOS);
           assertEquals(12, fleet.inUse(B), fleet.nodes.get(0).log.toString());
         });
   }
 
-  /**
-   * A counter that does not answer: each node decides by itself, more slowly; when it answers
-   * again, the fleet does.
-   */
+  /** Nodes decide later than the fleet would; the zone returns after the counter responds again. */
   @Test
-  void withoutACounterEachNodeDecidesByItself() {
-    seeds(
+  void nodesDecideOnTheirOwnIfTheCounterIsUnreachable() {
+    forEachSeed(
         seed -> {
           FakeZoneFleet fleet = fleet(12, seed);
-          fleet.counterDown = true;
-          fail(fleet, B);
-          fleet.run(8 * SECOND);
+          fleet.counterUnreachable = true;
+          failZone(fleet, B);
+          fleet.run(8 * SECOND_NANOS);
           assertTrue(
               fleet.decidedBy(B, DecidedBy.ALONE) >= 11,
               "alone: " + fleet.decidedBy(B, DecidedBy.ALONE));
-          fleet.counterDown = false;
-          mend(fleet);
-          fleet.run(30 * SECOND);
+          fleet.counterUnreachable = false;
+          restoreHealth(fleet);
+          fleet.run(30 * SECOND_NANOS);
           assertEquals(12, fleet.inUse(B), fleet.nodes.get(0).log.toString());
         });
   }
 
   @Test
-  void lostCallsAndAnswersOnlyDelay() {
-    seeds(
+  void lostCallsAndAnswersOnlyDelayDecisions() {
+    forEachSeed(
         seed -> {
           FakeZoneFleet fleet = fleet(30, seed);
-          fleet.callLoss = 0.3;
-          fail(fleet, B);
-          fleet.run(9 * SECOND, () -> bounded(fleet));
+          fleet.messageLossProbability = 0.3;
+          failZone(fleet, B);
+          fleet.run(9 * SECOND_NANOS, () -> assertMaxOneZoneEjected(fleet));
           assertEquals(
               30,
-              fleet.in(B, State.OUT) + fleet.in(B, State.LEAVING),
+              fleet.countInState(B, State.OUT) + fleet.countInState(B, State.LEAVING),
               fleet.nodes.get(0).log.toString());
-          mend(fleet);
-          fleet.run(45 * SECOND);
+          restoreHealth(fleet);
+          fleet.run(45 * SECOND_NANOS);
           assertEquals(30, fleet.inUse(B), fleet.nodes.get(0).log.toString());
         });
   }
 
   /**
-   * The counter loses its totals ten times a second: no decision of the fleet, and nothing worse
-   * than each node's own.
+   * The counter loses its totals ten times a second. This may prevent a decision of the fleet, but
+   * not the nodes' own decisions.
    */
   @Test
-  void aTotalThatIsFlushedAgainAndAgainOnlyDelays() {
-    seeds(
+  void nodesEjectOnTheirOwnIfTheCounterKeepsLosingTotals() {
+    forEachSeed(
         seed -> {
           FakeZoneFleet fleet = fleet(12, seed);
-          fail(fleet, B);
-          fleet.run(8 * SECOND, fleet.totals::clear);
-          assertEquals(12, fleet.in(B, State.OUT), fleet.nodes.get(0).log.toString());
+          failZone(fleet, B);
+          fleet.run(8 * SECOND_NANOS, fleet.votesBySubject::clear);
+          assertEquals(12, fleet.countInState(B, State.OUT), fleet.nodes.get(0).log.toString());
           assertTrue(
               fleet.decidedBy(B, DecidedBy.ALONE) >= 6,
               "alone: " + fleet.decidedBy(B, DecidedBy.ALONE));
         });
   }
 
-  /**
-   * The network is cut, not the zone: nodes that are cut off eject it by themselves, others not.
-   */
+  /** The network fails, not the zone: only the nodes that cannot reach the zone eject it. */
   @Test
-  void aZoneCutFromHalfOfTheNodesIsNotEjectedByTheFleet() {
-    seeds(
+  void fleetDoesNotEjectAZoneUnreachableFromHalfOfTheNodes() {
+    forEachSeed(
         seed -> {
           FakeZoneFleet fleet = fleet(12, seed);
-          fleet.health = (node, zone) -> zone == B && node < 6 ? 1 : 0.01;
-          fleet.run(12 * SECOND, () -> assertEquals(0, fleet.decidedBy(B, DecidedBy.FLEET)));
+          fleet.failureModel = (node, zone) -> zone == B && node < 6 ? 1 : 0.01;
+          fleet.run(12 * SECOND_NANOS, () -> assertEquals(0, fleet.decidedBy(B, DecidedBy.FLEET)));
           for (FakeZoneFleet.Node node : fleet.nodes) {
             assertEquals(node.index < 6, node.state(B) == State.OUT, node.index + ": " + node.log);
           }
-          mend(fleet);
-          fleet.run(30 * SECOND);
+          restoreHealth(fleet);
+          fleet.run(30 * SECOND_NANOS);
           assertEquals(12, fleet.inUse(B));
         });
   }
 
   @Test
-  void aNodeThatReachesNoZoneSuspectsNone() {
-    seeds(
+  void aNodeThatReachesNoZoneEjectsNone() {
+    forEachSeed(
         seed -> {
           FakeZoneFleet fleet = fleet(12, seed);
-          fleet.health = (node, zone) -> node == 0 ? 1 : 0.01;
-          fleet.run(10 * SECOND);
-          assertEquals(0, fleet.nodes.get(0).consensus.voteCalls() / 20, "it asks and asks");
+          fleet.failureModel = (node, zone) -> node == 0 ? 1 : 0.01;
+          fleet.run(10 * SECOND_NANOS);
+          assertEquals(
+              0, fleet.nodes.get(0).consensus.voteCalls() / 20, "vote calls, in units of 20");
           for (int zone = 0; zone < 3; zone++) {
             assertEquals(12, fleet.inUse(zone));
           }
@@ -217,181 +226,190 @@
   }
 
   /**
-   * Overload: some attempts fail in all zones; and two of three zones are never ejected, whatever
-   * the evidence.
+   * Overload makes attempts fail in all zones. Then two of three zones fail completely, which
+   * exceeds the limit of ejected endpoints.
    */
   @Test
   void overloadEjectsNoZoneAndTwoOfThreeZonesAreNeverEjected() {
-    seeds(
+    forEachSeed(
         seed -> {
           FakeZoneFleet fleet = fleet(12, seed);
-          fleet.health = (node, zone) -> 0.6;
-          fleet.run(8 * SECOND);
+          fleet.failureModel = (node, zone) -> 0.6;
+          fleet.run(8 * SECOND_NANOS);
           for (int zone = 0; zone < 3; zone++) {
-            assertEquals(0, fleet.in(zone, State.OUT));
+            assertEquals(0, fleet.countInState(zone, State.OUT));
           }
-          mend(fleet);
-          fleet.run(10 * SECOND);
-          fleet.health = (node, zone) -> zone == A ? 0.01 : 1;
-          fleet.run(10 * SECOND, () -> bounded(fleet));
-          assertTrue(fleet.in(B, State.OUT) + fleet.in(C, State.OUT) <= 12);
+          restoreHealth(fleet);
+          fleet.run(10 * SECOND_NANOS);
+          fleet.failureModel = (node, zone) -> zone == A ? 0.01 : 1;
+          fleet.run(10 * SECOND_NANOS, () -> assertMaxOneZoneEjected(fleet));
+          assertTrue(fleet.countInState(B, State.OUT) + fleet.countInState(C, State.OUT) <= 12);
         });
   }
 
   /**
-   * A tenth of the nodes vote against a healthy zone, twice each, all the time; then one of them
-   * adds a thousand votes.
+   * A tenth of the nodes always vote against a healthy zone, and each vote adds 2 to the counter.
+   * Then each vote of one of them adds 1,000.
    */
   @Test
-  void falseVotesOfATenthEjectNoZone() {
-    seeds(
+  void falseVotesOfATenthOfTheNodesEjectNoZone() {
+    forEachSeed(
         seed -> {
           FakeZoneFleet fleet = fleet(100, seed);
           for (int i = 0; i < 10; i++) {
             fleet.nodes.get(i * 7).alwaysSuspects = true;
             fleet.nodes.get(i * 7).votesPerCast = 2;
           }
-          fleet.run(12 * SECOND);
+          fleet.run(12 * SECOND_NANOS);
           for (int zone = 0; zone < 3; zone++) {
             assertEquals(0, fleet.decidedBy(zone, DecidedBy.FLEET));
-            assertTrue(fleet.in(zone, State.OUT) <= 10, "only by the liars themselves");
+            assertTrue(
+                fleet.countInState(zone, State.OUT) <= 10,
+                "only the nodes with false evidence may eject the zone");
           }
           fleet.nodes.get(0).votesPerCast = 1_000;
-          fleet.run(12 * SECOND);
+          fleet.run(12 * SECOND_NANOS);
           assertEquals(
               0,
               fleet.decidedBy(A, DecidedBy.FLEET)
                   + fleet.decidedBy(B, DecidedBy.FLEET)
                   + fleet.decidedBy(C, DecidedBy.FLEET),
-              "more votes than nodes");
+              "more votes than nodes must be ignored");
         });
   }
 
   /**
-   * Clocks wrong by ten windows: their votes have other keys; the majority with right clocks
-   * decides.
+   * Four of twelve clocks are ten voting windows behind, so the votes of these nodes have other
+   * keys.
    */
   @Test
-  void nodesWithAWrongClockAreOutvoted() {
-    seeds(
+  void aMajorityWithCorrectClocksDecides() {
+    forEachSeed(
         seed -> {
           FakeZoneFleet fleet = new FakeZoneFleet(12, seed, DecisionMode.COUNTER);
           for (int i = 0; i < 4; i++) {
-            fleet.nodes.get(i).clockOffsetNanos = -40 * SECOND;
+            fleet.nodes.get(i).clockOffsetNanos = -40 * SECOND_NANOS;
             fleet.nodes.get(i).start();
           }
-          fleet.run(10 * SECOND);
-          fail(fleet, B);
-          fleet.run(9 * SECOND);
-          assertEquals(8, fleet.decidedBy(B, DecidedBy.FLEET), "the eight with a right clock");
-          assertEquals(12, fleet.in(B, State.OUT), "the four by themselves");
+          fleet.run(10 * SECOND_NANOS);
+          failZone(fleet, B);
+          fleet.run(9 * SECOND_NANOS);
+          assertEquals(
+              8,
+              fleet.decidedBy(B, DecidedBy.FLEET),
+              "nodes with a correct clock follow the fleet");
+          assertEquals(
+              12, fleet.countInState(B, State.OUT), "nodes with a wrong clock decide on their own");
         });
   }
 
-  /** A node votes once in a window, however often it is restarted in it. */
+  /** A restarted process must not vote again in a window in which its predecessor may have. */
   @Test
-  void aRestartGivesNoSecondVote() {
-    seeds(
+  void restartedNodesVoteOnlyOncePerWindow() {
+    forEachSeed(
         seed -> {
           FakeZoneFleet fleet = fleet(12, seed);
-          fleet.health = (node, zone) -> zone == B && node < 4 ? 1 : 0.01;
+          fleet.failureModel = (node, zone) -> zone == B && node < 4 ? 1 : 0.01;
           fleet.run(
-              3_900 * MS,
+              3_900 * MILLISECOND_NANOS,
               () ->
                   fleet.nodes.stream()
-                      .filter(node -> node.index < 4 && fleet.now / (500 * MS) % 2 == 0)
+                      .filter(
+                          node ->
+                              node.index < 4 && fleet.nowNanos / (500 * MILLISECOND_NANOS) % 2 == 0)
                       .forEach(FakeZoneFleet.Node::start));
           assertTrue(
-              fleet.totals.values().stream().allMatch(total -> total <= 4),
-              "votes: " + fleet.totals);
+              fleet.votesBySubject.values().stream().allMatch(total -> total <= 4),
+              "votes by subject: " + fleet.votesBySubject);
         });
   }
 
-  /** It fails whenever it is back: each time it is ejected for longer, and the others never are. */
+  /** The zone fails whenever it receives regular traffic; no other zone may be ejected. */
   @Test
   void aZoneThatRelapsesIsEjectedForLongerEachTime() {
-    seeds(
+    forEachSeed(
         seed -> {
           FakeZoneFleet fleet = fleet(12, seed);
-          // Trials pass, load does not.
-          fleet.health = (node, zone) -> zone == B && fleet.trafficFraction(B) > 0.1 ? 1 : 0.01;
-          fleet.run(120 * SECOND, () -> bounded(fleet));
-          List<Long> left =
+          // Half-open attempts succeed, but attempts fail with more than 10 % of the traffic.
+          fleet.failureModel =
+              (node, zone) -> zone == B && fleet.trafficFraction(B) > 0.1 ? 1 : 0.01;
+          fleet.run(120 * SECOND_NANOS, () -> assertMaxOneZoneEjected(fleet));
+          List<Long> ejectedAtMillis =
               fleet.nodes.get(0).log.stream()
                   .filter(
                       line ->
                           line.contains(" zone_ejected ") || line.contains(" zone_return_aborted "))
                   .map(line -> Long.parseLong(line.substring(0, line.indexOf(' '))))
                   .toList();
-          assertTrue(left.size() >= 4, left.toString());
+          assertTrue(ejectedAtMillis.size() >= 4, ejectedAtMillis.toString());
           assertTrue(
-              left.get(left.size() - 1) - left.get(left.size() - 2)
-                  > 2 * (left.get(1) - left.get(0)),
-              left.toString());
+              ejectedAtMillis.get(ejectedAtMillis.size() - 1)
+                      - ejectedAtMillis.get(ejectedAtMillis.size() - 2)
+                  > 2 * (ejectedAtMillis.get(1) - ejectedAtMillis.get(0)),
+              ejectedAtMillis.toString());
         });
   }
 
-  /**
-   * Half of the nodes restart during the ramp: they use all zones of the list, and the others' ramp
-   * goes on.
-   */
+  /** Restarted nodes use all listed zones; the others continue their ramps. */
   @Test
-  void halfOfTheNodesRestartDuringTheRampAndTheCounterIsLost() {
-    seeds(
+  void theReturnCompletesIfHalfOfTheNodesRestartAndTheCounterIsLost() {
+    forEachSeed(
         seed -> {
           FakeZoneFleet fleet = fleet(12, seed);
-          fail(fleet, B);
-          fleet.run(5 * SECOND);
-          mend(fleet);
-          while (fleet.in(B, State.RETURNING) < 12) {
-            fleet.run(100 * MS);
+          failZone(fleet, B);
+          fleet.run(5 * SECOND_NANOS);
+          restoreHealth(fleet);
+          while (fleet.countInState(B, State.RETURNING) < 12) {
+            fleet.run(100 * MILLISECOND_NANOS);
             assertTrue(
-                fleet.now < 1_100 * SECOND, "it does not come back: " + fleet.nodes.get(0).log);
+                fleet.nowNanos < 1_100 * SECOND_NANOS,
+                "not all nodes readmit the zone; log of node 0: " + fleet.nodes.get(0).log);
           }
-          fleet.counterDown = true;
+          fleet.counterUnreachable = true;
           fleet.nodes.stream()
               .filter(node -> node.index % 2 == 0)
               .forEach(FakeZoneFleet.Node::start);
-          fleet.run(RAMP + SECOND);
+          fleet.run(RETURN_RAMP_NANOS + SECOND_NANOS);
           assertEquals(12, fleet.inUse(B));
         });
   }
 
   @Test
-  void halfOpenAttemptsAreFew() {
-    seeds(
+  void theFleetSendsFewHalfOpenAttempts() {
+    forEachSeed(
         seed -> {
           FakeZoneFleet fleet = fleet(100, seed);
-          fail(fleet, B);
-          fleet.run(5 * SECOND);
-          long before = fleet.probes;
-          long sent = fleet.sent[B];
-          fleet.run(20 * SECOND);
-          long trials = fleet.probes - before;
+          failZone(fleet, B);
+          fleet.run(5 * SECOND_NANOS);
+          long probesBefore = fleet.probeCount;
+          long attemptsBefore = fleet.attemptsByZone[B];
+          fleet.run(20 * SECOND_NANOS);
+          long probes = fleet.probeCount - probesBefore;
           assertTrue(
-              trials > 0 && trials <= 6 * 24, "trials of a hundred nodes in 20 s: " + trials);
+              probes > 0 && probes <= 6 * 24, "half-open attempts of 100 nodes in 20 s: " + probes);
           assertTrue(
-              fleet.sent[B] - sent <= trials + 1,
-              "more than trials went there: " + (fleet.sent[B] - sent));
+              fleet.attemptsByZone[B] - attemptsBefore <= probes + 1,
+              "attempts in the ejected zone, including half-open ones: "
+                  + (fleet.attemptsByZone[B] - attemptsBefore));
         });
   }
 
   @Test
-  void keysOfVotesAreUniqueAndNotThoseOfQuotas() {
-    Set<Long> names = new HashSet<>();
-    CounterVoteTransport ballots =
+  void voteKeysAreUniqueAndDifferFromQuotaKeys() {
+    Set<Long> keys = new HashSet<>();
+    CounterVoteTransport transport =
         new CounterVoteTransport(
             (name, amount, lifetime) -> {}, List.of("a", "b"), ZoneConsensus.VOTE_WINDOW_NANOS);
-    CounterVoteTransport same =
+    CounterVoteTransport otherTransport =
         new CounterVoteTransport(
             (name, amount, lifetime) -> {}, List.of("a", "b"), ZoneConsensus.VOTE_WINDOW_NANOS);
     for (int zone = 0; zone < 2; zone++) {
       for (ZoneVote.Question question : ZoneVote.Question.values()) {
         for (long window = 100; window < 200; window++) {
-          ZoneVote ballot = new ZoneVote(zone, question, window);
+          ZoneVote vote = new ZoneVote(zone, question, window);
           assertTrue(
-              CounterVoteTransport.ownsKey(ballots.key(ballot)) && names.add(ballots.key(ballot)));
-          assertEquals(ballots.key(ballot), same.key(ballot));
+              CounterVoteTransport.ownsKey(transport.key(vote)) && keys.add(transport.key(vote)));
+          assertEquals(transport.key(vote), otherTransport.key(vote));
         }
       }
     }
@@ -399,22 +417,36 @@
   }
 
   /**
-   * Over the whole ramp a zone's traffic stays below what overloads endpoints that all restarted
-   * when it began, unknown to the nodes.
+   * If all endpoints of a zone restart at the start of its ramp, unknown to the nodes, the traffic
+   * of the zone must stay below what overloads them during the whole ramp.
    */
   @Test
-  void theSlowStartRampOverloadsNoEndpointsThatRestartedUnknown() {
-    for (double from = 0.05; from < 1; from += 0.05) {
-      for (double times = 1.1; times < 4; times += 0.3) {
-        PlatformRules rules = new PlatformRules(0, from, 17 * SECOND, times, SECOND);
-        TrafficRamp course =
+  void theSlowStartRampDoesNotOverloadEndpointsWhoseRestartIsUnknown() {
+    for (double initialFraction = 0.05; initialFraction < 1; initialFraction += 0.05) {
+      for (double overloadFactor = 1.1; overloadFactor < 4; overloadFactor += 0.3) {
+        PlatformRules rules =
+            new PlatformRules(0, initialFraction, 17 * SECOND_NANOS, overloadFactor, SECOND_NANOS);
+        TrafficRamp ramp =
             new TrafficRamp(
-                from, 1, 0, Math.max(1, ZoneEjectionController.slowStartRampNanos(rules)));
-        for (long at = 0; at < 17 * SECOND; at += 100 * MS) {
-          double able = from + (1 - from) * Math.min(1, at / (17.0 * SECOND));
+                initialFraction,
+                1,
+                0,
+                Math.max(1, ZoneEjectionController.slowStartRampNanos(rules)));
+        for (long elapsedNanos = 0;
+            elapsedNanos < 17 * SECOND_NANOS;
+            elapsedNanos += 100 * MILLISECOND_NANOS) {
+          double capacity =
+              initialFraction
+                  + (1 - initialFraction) * Math.min(1, elapsedNanos / (17.0 * SECOND_NANOS));
           assertTrue(
-              course.fractionAt(at) <= Math.max(able, times * able) + 1e-6,
-              from + " " + times + " at " + at + ": " + course.fractionAt(at));
+              ramp.fractionAt(elapsedNanos) <= Math.max(capacity, overloadFactor * capacity) + 1e-6,
+              initialFraction
+                  + " "
+                  + overloadFactor
+                  + " after (ns) "
+                  + elapsedNanos
+                  + ": "
+                  + ramp.fractionAt(elapsedNanos));
         }
       }
     }
