--- a/edge/src/main/java/edgegateway/node/discovery/DiscoveryClient.java
+++ b/edge/src/main/java/edgegateway/node/discovery/DiscoveryClient.java
@@ -32,7 +32,7 @@
     implements WatchTransport, WatchEventListener, DiscoveryOutageLog.WatchStatus {
   private static final EventLog LOG = EventLog.console();
 
-  /** While discovery is down, the node starts to serve with its cached list after this time. */
+  /** Bounds the wait for a first list: without discovery, a node serves with its cached list. */
   private static final long INITIALIZATION_TIMEOUT_MILLIS = 1_000;
 
   private final EndpointListListener listener;
