--- a/edge/src/main/java/edgegateway/node/zones/CounterVoteTransport.java
+++ b/edge/src/main/java/edgegateway/node/zones/CounterVoteTransport.java
@@ -75,7 +75,7 @@
   @Override
   public void requestVoteCount(long nowNanos, ZoneVote vote, boolean castsVote) {
     long key = key(vote);
-    pending.computeIfAbsent(key, any -> new ArrayDeque<>()).add(vote);
+    pending.computeIfAbsent(key, ignored -> new ArrayDeque<>()).add(vote);
     counter.add(key, castsVote ? 1 : 0, keyLifetimeNanos);
   }
 
--- a/edge/src/main/java/edgegateway/node/zones/ZoneConsensus.java
+++ b/edge/src/main/java/edgegateway/node/zones/ZoneConsensus.java
@@ -227,7 +227,7 @@
 
   private ZoneStateMachine machine(int zone) {
     return machinesByZone.computeIfAbsent(
-        zone, any -> new ZoneStateMachine(zone, this, fleet, actions, random.split()));
+        zone, ignored -> new ZoneStateMachine(zone, this, fleet, actions, random.split()));
   }
 
   /**
--- a/edge/src/main/java/edgegateway/node/zones/ZoneStateMachine.java
+++ b/edge/src/main/java/edgegateway/node/zones/ZoneStateMachine.java
@@ -32,7 +32,7 @@
 
   private static final int MAX_EJECTION_DOUBLINGS = 5;
 
-  /** The time of an ejection is multiplied by a random factor from this to this plus 0.5. */
+  /** The time of an ejection is multiplied by a pseudo-random factor from this to this plus 0.5. */
   private static final double MIN_EJECTION_JITTER = 0.75;
 
   private static final long SEED_MULTIPLIER = 31;
@@ -47,7 +47,7 @@
   private static final int PROBING_NODES_PER_WINDOW = 6;
 
   /** Votes required to readmit a zone; a majority if that is less. */
-  private static final int RETURN_VOTES = 3;
+  private static final int MIN_RETURN_VOTES = 3;
 
   /** Successful half-open attempts that a node needs to vote for a zone's return. */
   private static final int REQUIRED_ANSWERS = 1;
@@ -215,7 +215,7 @@
     } else if (vote.question() == Question.HEALTHY
         && state == State.OUT
         && decidedBy == DecidedBy.FLEET
-        && count >= Math.min(RETURN_VOTES, fleet.majority())) {
+        && count >= Math.min(MIN_RETURN_VOTES, fleet.majority())) {
       beginReturn(nowNanos, DecidedBy.FLEET, count);
     }
   }
