--- a/edge/src/main/java/edgegateway/node/EdgeNode.java
+++ b/edge/src/main/java/edgegateway/node/EdgeNode.java
@@ -245,7 +245,7 @@
   public void admit() {
     loop.submit(
             () -> {
-              if (!clients.stopping()) {
+              if (!clients.isStopping()) {
                 slots.take(true);
                 admitted = true;
                 takingClients = true;
@@ -279,7 +279,7 @@
 
   /** Whether the process ends; any thread. */
   boolean stopping() {
-    return clients.stopping();
+    return clients.isStopping();
   }
 
   /**
@@ -307,12 +307,12 @@
 
   @Override
   public boolean ready() {
-    return takingClients && discovery.hasStarted() && !clients.draining();
+    return takingClients && discovery.hasStarted() && !clients.isDraining();
   }
 
   @Override
   public boolean healthy() {
-    return admitted && discovery.hasStarted() && (!clients.draining() || clients.isSuperseded());
+    return admitted && discovery.hasStarted() && (!clients.isDraining() || clients.isSuperseded());
   }
 
   /** What operators can ask of this node; any thread. */
--- a/edge/src/main/java/edgegateway/node/InFlightRequestTable.java
+++ b/edge/src/main/java/edgegateway/node/InFlightRequestTable.java
@@ -59,8 +59,8 @@
   }
 
   @Override
-  public long policyDeadlineNanos(long nowNanos, long waitNanos) {
-    return nowNanos + Math.max(MIN_WAIT_NANOS, waitNanos - ANSWER_MARGIN_NANOS);
+  public long policyDeadlineNanos(long nowNanos, long clientTimeoutNanos) {
+    return nowNanos + Math.max(MIN_WAIT_NANOS, clientTimeoutNanos - ANSWER_MARGIN_NANOS);
   }
 
   @Override
@@ -104,9 +104,9 @@
   }
 
   @Override
-  public void uploadCompleted(InFlightRequest request, long waitNanos) {
-    if (!request.answered) {
-      scheduleDeadline(request, nowNanos() + waitNanos);
+  public void uploadCompleted(InFlightRequest request, long clientTimeoutNanos) {
+    if (!request.responseClaimed) {
+      scheduleDeadline(request, nowNanos() + clientTimeoutNanos);
       runEvent(request, (policy, now) -> policy.uploadCompleted(now, request.request.id()));
     }
   }
@@ -175,7 +175,7 @@
       long length,
       long durationNanos,
       String server,
-      Runnable onClientGone) {
+      Runnable onClientDisconnect) {
     // Counted when the long response ends, not here.
     InFlightRequest.ResponseWriter response = request.claimResponse();
     if (response == null) {
@@ -185,7 +185,7 @@
     reportAttemptEnd(request, Outcome.OK, durationNanos, server, 0);
     request.attemptInFlight = false;
     forgetIfSettled(request);
-    Channel client = response.startStream(length, onClientGone);
+    Channel client = response.startStream(length, onClientDisconnect);
     request.clientDeadlineTimer =
         policyEvents.scheduleAt(
             request.clientDeadlineNanos - FINAL_MARGIN_NANOS, response::abortUnfinishedResponse);
@@ -195,7 +195,7 @@
   private void reportAttemptEnd(
       InFlightRequest request, Outcome outcome, long durationNanos, String server, double units) {
     // Read now: the event may run in a later turn of the loop.
-    boolean complete = request.answered;
+    boolean complete = request.responseClaimed;
     int attempt = request.attempts - 1;
     runEvent(
         request,
@@ -225,7 +225,7 @@
     if (request == null) {
       return null;
     }
-    if (request.answered || request.attemptInFlight) {
+    if (request.responseClaimed || request.attemptInFlight) {
       LOG.warn("attempt_not_allowed", field("error", new IllegalStateException(id)));
       return null;
     }
@@ -284,7 +284,7 @@
 
   /** Forgets a request once it is answered and no attempt of it is out. */
   private void forgetIfSettled(InFlightRequest request) {
-    if (request.answered
+    if (request.responseClaimed
         && !request.attemptInFlight
         && inFlight.remove(request.request.id(), request)) {
       cancelDeadline(request);
@@ -309,7 +309,7 @@
   }
 
   private void deadlineReached(InFlightRequest request) {
-    if (!request.answered) {
+    if (!request.responseClaimed) {
       fail(request);
       policyEvents.run((policy, now) -> policy.clientDisconnected(now, request.request.id()));
       request.cancelUnsentAttempt();
--- a/edge/src/main/java/edgegateway/node/OperatorCommandService.java
+++ b/edge/src/main/java/edgegateway/node/OperatorCommandService.java
@@ -86,7 +86,7 @@
 
   @Override
   public CompletableFuture<String> drain(boolean on) {
-    return onLoop(() -> clients.drain(on) ? null : "this process ends");
+    return onLoop(() -> clients.setDraining(on) ? null : "this process ends");
   }
 
   @Override
--- a/edge/src/main/java/edgegateway/node/WarmUp.java
+++ b/edge/src/main/java/edgegateway/node/WarmUp.java
@@ -147,7 +147,7 @@
   }
 
   private void connect() {
-    client = new EmbeddedChannel(node.clients.handlers());
+    client = new EmbeddedChannel(node.clients.newHandlers());
     for (EndpointEntry member : config.knownEndpoints().entries()) {
       EmbeddedChannel server = new EmbeddedChannel(node.upstreamPool.handlers());
       node.upstreamPool.adopt(member.endpoint().id(), server);
--- a/edge/src/main/java/edgegateway/node/clients/ClientHttpServer.java
+++ b/edge/src/main/java/edgegateway/node/clients/ClientHttpServer.java
@@ -143,7 +143,7 @@
   }
 
   /** New handlers of a connection, for one that is no socket. */
-  public ChannelHandler[] handlers() {
+  public ChannelHandler[] newHandlers() {
     StrictRequestDecoder decoder = newDecoder();
     ClientSession session = new ClientSession(sessionContext, decoder);
     return new ChannelHandler[] {decoder, new HttpResponseEncoder(), session};
@@ -166,12 +166,12 @@
   }
 
   /** Whether the health check turns clients away; any thread. */
-  public boolean draining() {
+  public boolean isDraining() {
     return draining;
   }
 
   /** Whether the server was stopped; any thread. */
-  public boolean stopping() {
+  public boolean isStopping() {
     return drained != null;
   }
 
@@ -186,7 +186,7 @@
    *
    * @return false if the server was stopped and cannot accept clients again
    */
-  public boolean drain(boolean on) {
+  public boolean setDraining(boolean on) {
     if (drained != null) {
       return on;
     }
@@ -210,7 +210,7 @@
    */
   public void stop(CompletableFuture<Void> done, boolean bySuccessor) {
     superseded = bySuccessor;
-    drain(true);
+    setDraining(true);
     drained = done;
     if (binding == null) {
       // Stopped during the start, before it listened: shown by
--- a/edge/src/main/java/edgegateway/node/clients/ClientResponseWriter.java
+++ b/edge/src/main/java/edgegateway/node/clients/ClientResponseWriter.java
@@ -71,9 +71,9 @@
   }
 
   @Override
-  public Channel startStream(long length, Runnable onClientGone) {
+  public Channel startStream(long length, Runnable onClientDisconnect) {
     streamedRequest = session.currentRequest();
-    session.streamStarted(onClientGone);
+    session.streamStarted(onClientDisconnect);
     closeDelimited = responses.startStream(length);
     return channel;
   }
@@ -84,7 +84,7 @@
       return;
     }
     InFlightRequest request = streamedRequest;
-    session.takeOnClientGone();
+    session.endStreaming();
     if (complete) {
       lastWrite = responses.endStream();
       lastWrite.addListener(
@@ -115,11 +115,11 @@
   @Override
   public void abortUnfinishedResponse() {
     if (isStreaming()) {
-      Runnable onClientGone = session.takeOnClientGone();
+      Runnable onClientDisconnect = session.endStreaming();
       session.requestAbandoned();
       handler.responseEnded(streamedRequest, RequestEnd.BAD_GATEWAY);
       ConnectionCloser.reset(channel);
-      onClientGone.run();
+      onClientDisconnect.run();
     } else if (lastWrite != null && !lastWrite.isDone() && session.isWithoutRequest()) {
       // The response is complete here, but its client reads it too slowly. A further request behind
       // it would be lost with the connection. Shown by
--- a/edge/src/main/java/edgegateway/node/clients/ClientSession.java
+++ b/edge/src/main/java/edgegateway/node/clients/ClientSession.java
@@ -59,7 +59,7 @@
   private RequestBodyUpload upload;
 
   /** Run if the client disconnects while its response is streamed; null otherwise. */
-  private Runnable onClientGone;
+  private Runnable onClientDisconnect;
 
   /** Whether nothing that arrives is accepted any more. */
   private boolean closing;
@@ -312,12 +312,12 @@
 
   /** Whether a request is in flight whose response has not begun. */
   boolean awaitsResponse() {
-    return current != null && onClientGone == null;
+    return current != null && onClientDisconnect == null;
   }
 
   /** Whether a response is being streamed. */
   boolean isStreaming() {
-    return onClientGone != null;
+    return onClientDisconnect != null;
   }
 
   /** Whether a request's body is being received that is not in flight yet. */
@@ -342,14 +342,14 @@
   }
 
   /** The response to the request in flight is streamed from now on. */
-  void streamStarted(Runnable onGone) {
-    onClientGone = onGone;
+  void streamStarted(Runnable onDisconnect) {
+    onClientDisconnect = onDisconnect;
   }
 
   /** Ends the streaming; what would have been run had the client disconnected. */
-  Runnable takeOnClientGone() {
-    Runnable taken = onClientGone;
-    onClientGone = null;
+  Runnable endStreaming() {
+    Runnable taken = onClientDisconnect;
+    onClientDisconnect = null;
     return taken;
   }
 
@@ -366,7 +366,7 @@
         persistence.isCloseAnnounced() || context.server().isDraining() && pipelined.isEmpty();
     current = null;
     upload = null;
-    onClientGone = null;
+    onClientDisconnect = null;
     presence.requestEnded();
     incoming.release();
     if (closing) {
@@ -422,13 +422,13 @@
   private void reportDisconnect() {
     InFlightRequest request = current;
     RequestBodyUpload openUpload = upload;
-    Runnable onGone = takeOnClientGone();
+    Runnable onDisconnect = endStreaming();
     current = null;
     upload = null;
     closing = true;
-    if (onGone != null) {
+    if (onDisconnect != null) {
       context.handler().responseEnded(request, null);
-      onGone.run();
+      onDisconnect.run();
     } else if (request != null) {
       context.handler().clientDisconnected(request);
     }
--- a/edge/src/main/java/edgegateway/node/clients/RequestBodyUpload.java
+++ b/edge/src/main/java/edgegateway/node/clients/RequestBodyUpload.java
@@ -27,7 +27,7 @@
   private InFlightRequest request;
 
   /** How long the client waits for its response, counted from the end of the body. */
-  private long waitNanos;
+  private long clientTimeoutNanos;
 
   /** Null while nothing is forwarded. */
   private BodyRelay relay;
@@ -57,7 +57,7 @@
   /** Its request was accepted. */
   void requestAccepted(InFlightRequest accepted) {
     request = accepted;
-    waitNanos = accepted.request.deadlineNanos() - handler.nowNanos();
+    clientTimeoutNanos = accepted.request.deadlineNanos() - handler.nowNanos();
   }
 
   @Override
@@ -126,7 +126,7 @@
   private void completed() {
     complete = true;
     stopForwarding();
-    handler.uploadCompleted(request, waitNanos);
+    handler.uploadCompleted(request, clientTimeoutNanos);
     Runnable written = onWritten;
     Runnable aborted = onAborted;
     upstream
--- a/edge/src/main/java/edgegateway/node/clients/RequestParser.java
+++ b/edge/src/main/java/edgegateway/node/clients/RequestParser.java
@@ -80,7 +80,7 @@
         idempotency == Idempotency.KEYED
             ? required(headers, IDEMPOTENCY_KEY)
             : headers.get(IDEMPOTENCY_KEY);
-    long waitNanos = waitNanos(headers);
+    long clientTimeoutNanos = clientTimeoutNanos(headers);
     Map<String, String> quota = quotaParts(required(headers, QUOTA));
     int nodeCount = config.settings().nodeCount();
     Request request =
@@ -89,7 +89,7 @@
             requestClass,
             plan,
             customer(headers),
-            handler.policyDeadlineNanos(handler.nowNanos(), waitNanos),
+            handler.policyDeadlineNanos(handler.nowNanos(), clientTimeoutNanos),
             units(quota.get("units")),
             (int) wholeNumber(quota.get("spread"), "X-Quota spread", 1, nodeCount),
             (int) wholeNumber(quota.get("first"), "X-Quota first", 0, nodeCount - 1L),
@@ -129,7 +129,7 @@
     return method;
   }
 
-  private static long waitNanos(HttpHeaders headers) throws BadRequestException {
+  private static long clientTimeoutNanos(HttpHeaders headers) throws BadRequestException {
     String text = required(headers, EXPIRES_IN_MILLIS);
     long waitMillis = wholeNumber(text, EXPIRES_IN_MILLIS, 1, MAX_EXPIRES_IN_MILLIS);
     return waitMillis * NANOS_PER_MILLI;
--- a/edge/src/main/java/edgegateway/node/requests/AttemptListener.java
+++ b/edge/src/main/java/edgegateway/node/requests/AttemptListener.java
@@ -28,7 +28,7 @@
    * A response too long to be buffered started: for the policy the attempt has succeeded.
    *
    * @param length its length in bytes; -1 if the server named none
-   * @param onClientGone run if the client disconnects before the response ended
+   * @param onClientDisconnect run if the client disconnects before the response ended
    * @return the client's channel, which takes the pieces; null if nobody waits for them
    */
   Channel responseStarted(
@@ -36,5 +36,5 @@
       long length,
       long durationNanos,
       String server,
-      Runnable onClientGone);
+      Runnable onClientDisconnect);
 }
--- a/edge/src/main/java/edgegateway/node/requests/ClientRequestHandler.java
+++ b/edge/src/main/java/edgegateway/node/requests/ClientRequestHandler.java
@@ -11,10 +11,10 @@
   long nowNanos();
 
   /**
-   * The deadline to give the policy for a client that waits {@code waitNanos} from {@code
+   * The deadline to give the policy for a client that waits {@code clientTimeoutNanos} from {@code
    * nowNanos}: early enough for the last answer to be written before the client leaves.
    */
-  long policyDeadlineNanos(long nowNanos, long waitNanos);
+  long policyDeadlineNanos(long nowNanos, long clientTimeoutNanos);
 
   /** Whether the front may send clients here. */
   boolean healthy();
@@ -31,8 +31,10 @@
   /** A part of a long body was forwarded and is no longer buffered: no retry can follow. */
   void bodyForwarded(InFlightRequest request);
 
-  /** The last byte of a long body arrived; the client waits {@code waitNanos} from now on. */
-  void uploadCompleted(InFlightRequest request, long waitNanos);
+  /**
+   * The last byte of a long body arrived; the client waits {@code clientTimeoutNanos} from now on.
+   */
+  void uploadCompleted(InFlightRequest request, long clientTimeoutNanos);
 
   /** A long response has ended; {@code end} is null if its client disconnected. */
   void responseEnded(InFlightRequest request, RequestEnd end);
--- a/edge/src/main/java/edgegateway/node/requests/InFlightRequest.java
+++ b/edge/src/main/java/edgegateway/node/requests/InFlightRequest.java
@@ -34,10 +34,10 @@
      * Begins a response whose body follows in pieces, until {@link #endStream}.
      *
      * @param length of the body in bytes; -1 if it is not known
-     * @param onClientGone run if the client disconnects before the end
+     * @param onClientDisconnect run if the client disconnects before the end
      * @return the client's channel, which takes the pieces
      */
-    Channel startStream(long length, Runnable onClientGone);
+    Channel startStream(long length, Runnable onClientDisconnect);
 
     /** Ends the body: all pieces are written, or, if it is not complete, no more can follow. */
     void endStream(boolean complete);
@@ -107,7 +107,7 @@
   public boolean lastAttempt;
 
   /** Whether the response was claimed. */
-  public boolean answered;
+  public boolean responseClaimed;
 
   /** When the client stops waiting, on the node's clock; not known until its body is complete. */
   public long clientDeadlineNanos;
@@ -173,10 +173,10 @@
 
   /** The writer of the one response, for the first caller; null for any further one. */
   public ResponseWriter claimResponse() {
-    if (answered) {
+    if (responseClaimed) {
       return null;
     }
-    answered = true;
+    responseClaimed = true;
     return responseWriter;
   }
 }
--- a/edge/src/main/java/edgegateway/node/upstream/UpstreamAttempt.java
+++ b/edge/src/main/java/edgegateway/node/upstream/UpstreamAttempt.java
@@ -187,7 +187,7 @@
 
   /** The rest of the body can't come: its client is gone, or was answered already. */
   void uploadFailed() {
-    if (request.answered) {
+    if (request.responseClaimed) {
       end(Outcome.CANCELLED, 0, null);
     }
   }
--- a/edge/src/test/java/edgegateway/node/LongBodyTest.java
+++ b/edge/src/test/java/edgegateway/node/LongBodyTest.java
@@ -359,7 +359,7 @@
                   () -> {
                     EmbeddedChannel server = new EmbeddedChannel(node.upstreamPool.handlers());
                     node.upstreamPool.adopt("s-0", server);
-                    EmbeddedChannel made = new EmbeddedChannel(node.clients.handlers());
+                    EmbeddedChannel made = new EmbeddedChannel(node.clients.newHandlers());
                     made.pipeline()
                         .addFirst(
                             new ChannelOutboundHandlerAdapter() {
--- a/edge/src/test/java/edgegateway/node/RaceConditionsTest.java
+++ b/edge/src/test/java/edgegateway/node/RaceConditionsTest.java
@@ -260,7 +260,7 @@
               }
               node.upstreamPool.adopt("s-0", servers[0]);
               node.upstreamPool.adopt("s-1", servers[1]);
-              EmbeddedChannel client = new EmbeddedChannel(node.clients.handlers());
+              EmbeddedChannel client = new EmbeddedChannel(node.clients.newHandlers());
               StringBuilder text = new StringBuilder("GET /api HTTP/1.1\r\n");
               headers("t-1", "lookup", "20000")
                   .forEach(
--- a/edge/src/test/java/edgegateway/node/clients/FakeRequestHandler.java
+++ b/edge/src/test/java/edgegateway/node/clients/FakeRequestHandler.java
@@ -24,8 +24,8 @@
   }
 
   @Override
-  public long policyDeadlineNanos(long now, long waitNanos) {
-    return now + waitNanos;
+  public long policyDeadlineNanos(long now, long clientTimeoutNanos) {
+    return now + clientTimeoutNanos;
   }
 
   @Override
@@ -52,7 +52,7 @@
   public void bodyForwarded(InFlightRequest request) {}
 
   @Override
-  public void uploadCompleted(InFlightRequest request, long waitNanos) {}
+  public void uploadCompleted(InFlightRequest request, long clientTimeoutNanos) {}
 
   @Override
   public void responseEnded(InFlightRequest request, RequestEnd end) {}
--- a/edge/src/test/java/edgegateway/node/upstream/UpstreamConnectionHandlerTest.java
+++ b/edge/src/test/java/edgegateway/node/upstream/UpstreamConnectionHandlerTest.java
@@ -93,7 +93,7 @@
       long length,
       long durationNanos,
       String server,
-      Runnable onClientGone) {
+      Runnable onClientDisconnect) {
     ends.add(request.request.id() + " forwarded " + length);
     return null;
   }
@@ -248,7 +248,7 @@
     public void sendFailure() {}
 
     @Override
-    public Channel startStream(long length, Runnable onClientGone) {
+    public Channel startStream(long length, Runnable onClientDisconnect) {
       return null;
     }
 
