--- a/edge/src/main/java/edgegateway/node/requests/InFlightRequest.java
+++ b/edge/src/main/java/edgegateway/node/requests/InFlightRequest.java
@@ -98,7 +98,7 @@
   public boolean attemptInFlight;
 
   /** Cancels the attempt in flight unless it is being written; null if there is none. */
-  public Runnable cancelUnsentAttempt;
+  public Runnable unsentAttemptCancellation;
 
   /** When the first attempt was sent that may have executed; {@link Long#MIN_VALUE} for none. */
   public long firstPossibleExecutionNanos = Long.MIN_VALUE;
@@ -145,8 +145,8 @@
 
   /** Cancels an attempt that still waits for its connection. */
   public void cancelUnsentAttempt() {
-    if (cancelUnsentAttempt != null) {
-      cancelUnsentAttempt.run();
+    if (unsentAttemptCancellation != null) {
+      unsentAttemptCancellation.run();
     }
   }
 
--- a/edge/src/main/java/edgegateway/node/upstream/UpstreamAttempt.java
+++ b/edge/src/main/java/edgegateway/node/upstream/UpstreamAttempt.java
@@ -91,7 +91,7 @@
 
   /** Begins to wait for a connection; its end is reported later, never from within this call. */
   void start() {
-    request.cancelUnsentAttempt = this::withdraw;
+    request.unsentAttemptCancellation = this::withdraw;
     if (upstream == null) {
       noConnection(true);
       return;
@@ -235,7 +235,7 @@
       return;
     }
     ended = true;
-    request.cancelUnsentAttempt = null;
+    request.unsentAttemptCancellation = null;
     if (!outcome.provesNotExecuted() && request.firstPossibleExecutionNanos == Long.MIN_VALUE) {
       request.firstPossibleExecutionNanos = sentAtNanos;
     }
--- a/edge/src/test/java/edgegateway/node/upstream/UpstreamConnectionHandlerTest.java
+++ b/edge/src/test/java/edgegateway/node/upstream/UpstreamConnectionHandlerTest.java
@@ -225,7 +225,7 @@
     assertEquals(List.of("t-2 NOT_SENT 0.0"), ends);
     read(ok("body"));
     assertEquals("", written());
-    assertNull(waiting.cancelUnsentAttempt);
+    assertNull(waiting.unsentAttemptCancellation);
   }
 
   @Test
