--- a/edge/src/main/java/edgegateway/node/requests/AttemptListener.java
+++ b/edge/src/main/java/edgegateway/node/requests/AttemptListener.java
@@ -4,17 +4,24 @@
 import io.netty.buffer.ByteBuf;
 import io.netty.channel.Channel;
 
-/** What the upstream side tells of its attempts. All methods are for the event loop's thread. */
+/**
+ * Receives the results of attempts from the upstream side. All methods are called on the event
+ * loop's thread.
+ */
 public interface AttemptListener {
-  /** The time on the node's clock, in nanoseconds since the epoch; it never runs backwards. */
+  /** The node's clock: nanoseconds since the epoch, monotonic. */
   long nowNanos();
 
   /**
-   * An attempt ended. Called once for each attempt, unless {@link #responseStarted} was.
+   * Called when an attempt ended; exactly once per attempt, unless {@link #responseStarted} was
+   * called for it.
    *
    * @param durationNanos time since the attempt was sent
-   * @param actualUnits the units charged in place of the estimate; 0 if the server named none
-   * @param body the complete body of a successful response, which stays the caller's; else null
+   * @param server the endpoint's id
+   * @param actualUnits the quota units that the server charged, which replace the estimate; 0 if
+   *     the response does not name them
+   * @param body the complete body of a successful response, otherwise null; the caller keeps
+   *     ownership
    */
   void attemptEnded(
       InFlightRequest request,
@@ -25,11 +32,15 @@
       ByteBuf body);
 
   /**
-   * A response too long to be buffered started: for the policy the attempt has succeeded.
+   * Called when a response that is too long to be buffered begins; the policy counts the attempt as
+   * successful.
    *
-   * @param length its length in bytes; -1 if the server named none
-   * @param onClientDisconnect run if the client disconnects before the response ended
-   * @return the client's channel, which takes the pieces; null if nobody waits for them
+   * @param length the body's length in bytes; -1 if the response does not declare one
+   * @param durationNanos time since the attempt was sent
+   * @param server the endpoint's id
+   * @param onClientDisconnect run if the client disconnects before the response has ended
+   * @return the client's channel, to which the body is written; null if the request already has a
+   *     response
    */
   Channel responseStarted(
       InFlightRequest request,
--- a/edge/src/main/java/edgegateway/node/requests/BodyRelay.java
+++ b/edge/src/main/java/edgegateway/node/requests/BodyRelay.java
@@ -11,20 +11,23 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * Forwards the pieces of one long body from its source to its sink. The source is read only while
- * few bytes are in flight to the sink (backpressure). All relays of a node share a bound on these
- * bytes evenly, so that a slow peer holds up nobody else. For the event loop's thread.
+ * Forwards one long body from a source channel to a sink channel. To apply backpressure, the source
+ * is read only while the bytes in flight to the sink stay below a limit. The relays of a node share
+ * a total limit evenly, so that a slow peer does not block the relays of others. Not thread-safe:
+ * used on the event loop's thread only.
  */
 public final class BodyRelay {
-  /** The memory that a piece takes beside its bytes. */
-  private static final int PIECE_OVERHEAD_BYTES = 256;
+  /** Memory that each chunk of a body takes in addition to its content. */
+  private static final int CHUNK_OVERHEAD_BYTES = 256;
 
   private final Group group;
   private final Channel source;
   private final Channel sink;
   private int bytesInFlight;
 
-  /** Whether a read of the source has not completed yet; a relay is started within one. */
+  /**
+   * Whether a read of the source is in progress; initially true, since a relay starts within one.
+   */
   private boolean reading = true;
 
   private boolean ended;
@@ -36,39 +39,45 @@
     this.sink = sink;
   }
 
-  /** Writes a piece to the sink, and takes it over; it is flushed by {@link #readComplete}. */
-  public void forward(ByteBuf piece) {
-    if (ended || !piece.isReadable()) {
-      piece.release();
+  /**
+   * Writes a chunk of the body to the sink, which {@link #readComplete} flushes. Takes ownership of
+   * the chunk.
+   */
+  public void forward(ByteBuf chunk) {
+    if (ended || !chunk.isReadable()) {
+      chunk.release();
       return;
     }
-    int pieceBytes = piece.readableBytes() + PIECE_OVERHEAD_BYTES;
-    bytesInFlight += pieceBytes;
+    int chunkBytes = chunk.readableBytes() + CHUNK_OVERHEAD_BYTES;
+    bytesInFlight += chunkBytes;
     lastProgressNanos = System.nanoTime();
-    sink.write(new DefaultHttpContent(piece)).addListener(done -> written(pieceBytes));
+    sink.write(new DefaultHttpContent(chunk)).addListener(done -> chunkWritten(chunkBytes));
   }
 
-  private void written(int pieceBytes) {
-    bytesInFlight -= pieceBytes;
+  private void chunkWritten(int chunkBytes) {
+    bytesInFlight -= chunkBytes;
     lastProgressNanos = System.nanoTime();
-    readIfRoom();
+    readIfBelowLimit();
   }
 
-  /** A read of the source is complete: flushes the sink, and reads on if there is room. */
+  /**
+   * Flushes the sink when a read of the source is complete, and starts the next read if the bytes
+   * in flight are below the limit.
+   */
   public void readComplete() {
     reading = false;
     sink.flush();
-    readIfRoom();
+    readIfBelowLimit();
   }
 
-  private void readIfRoom() {
-    if (!ended && !reading && bytesInFlight < group.bytesPerRelay()) {
+  private void readIfBelowLimit() {
+    if (!ended && !reading && bytesInFlight < group.maxBytesPerRelay()) {
       reading = true;
       source.read();
     }
   }
 
-  /** The body is complete, or its source or sink is gone. May be repeated. */
+  /** Ends the relay: the body is complete, or its source or sink is closed. Idempotent. */
   public void end() {
     ended = true;
     group.ended(this);
@@ -79,17 +88,20 @@
   }
 
   /**
-   * Closes the peer that makes no progress: the sink while something is in flight to it, else the
-   * source. As an error, for a close would be the proper end of a body without a length.
+   * Closes the peer that makes no progress: the sink if bytes are in flight to it, otherwise the
+   * source. Fires an exception instead of closing the channel, because a body without a declared
+   * length is complete when its connection closes.
    */
   private void abortStalled() {
     Channel stalled = bytesInFlight > 0 ? sink : source;
-    stalled.pipeline().fireExceptionCaught(new IOException("a body that goes on no more"));
+    stalled.pipeline().fireExceptionCaught(new IOException("no progress in forwarding the body"));
   }
 
-  /** All relays of a node. */
+  /** The running relays of a node, which share one limit on the bytes in flight. */
   public static final class Group {
-    /** Of the 32 MB of buffers; the rest is for bodies that are buffered whole, and for reads. */
+    /**
+     * Part of the 32 MB of buffer memory; the rest is for completely buffered bodies and for reads.
+     */
     private static final int MAX_BYTES_IN_FLIGHT = 8 << 20;
 
     private static final int MIN_BYTES_PER_RELAY = 8 << 10;
@@ -99,7 +111,7 @@
 
     private final Set<BodyRelay> running = new LinkedHashSet<>();
 
-    /** Begins to look for stalled relays. */
+    /** Starts the periodic check for stalled relays. */
     public Group(EventLoop loop) {
       loop.scheduleAtFixedRate(
           this::abortStalled,
@@ -108,7 +120,10 @@
           TimeUnit.MILLISECONDS);
     }
 
-    /** Starts a relay, within a read of the source; from now on it reads the source on demand. */
+    /**
+     * Starts a relay. Must be called during a read of the source, whose automatic reading it turns
+     * off: the relay requests each further read.
+     */
     public BodyRelay start(Channel source, Channel sink) {
       BodyRelay relay = new BodyRelay(this, source, sink);
       running.add(relay);
@@ -120,9 +135,9 @@
       running.remove(relay);
     }
 
-    private int bytesPerRelay() {
-      int evenPart = MAX_BYTES_IN_FLIGHT / Math.max(1, running.size());
-      return Math.max(MIN_BYTES_PER_RELAY, Math.min(MAX_BYTES_PER_RELAY, evenPart));
+    private int maxBytesPerRelay() {
+      int evenShareBytes = MAX_BYTES_IN_FLIGHT / Math.max(1, running.size());
+      return Math.max(MIN_BYTES_PER_RELAY, Math.min(MAX_BYTES_PER_RELAY, evenShareBytes));
     }
 
     private void abortStalled() {
--- a/edge/src/main/java/edgegateway/node/requests/ClientRequestHandler.java
+++ b/edge/src/main/java/edgegateway/node/requests/ClientRequestHandler.java
@@ -3,48 +3,61 @@
 import edgegateway.node.metrics.NodeMetrics.RequestEnd;
 
 /**
- * What the clients' side tells of its requests and asks about the node. All methods are for the
- * event loop's thread. A call may answer the request before it returns.
+ * Receives requests and their events from the client side. All methods are called on the event
+ * loop's thread. The response to a request may be written before a call returns.
  */
 public interface ClientRequestHandler {
-  /** The time on the node's clock, in nanoseconds since the epoch; it never runs backwards. */
+  /** The node's clock: nanoseconds since the epoch, monotonic. */
   long nowNanos();
 
   /**
-   * The deadline to give the policy for a client that waits {@code clientTimeoutNanos} from {@code
-   * nowNanos}: early enough for the last answer to be written before the client leaves.
+   * The request deadline that the policy works with, on the node's clock. It is earlier than the
+   * client's own deadline, so that a response sent at the last moment still reaches the client.
+   *
+   * @param clientTimeoutNanos how long the client waits for its response, from {@code nowNanos}
    */
   long policyDeadlineNanos(long nowNanos, long clientTimeoutNanos);
 
-  /** Whether the front may send clients here. */
+  /** Whether the node's health check succeeds, so that load balancers send clients to it. */
   boolean healthy();
 
-  /** Takes a request; false, and nothing done, if one with the same id is in flight. */
+  /**
+   * Accepts a request.
+   *
+   * @return false, with no effect, if a request with the same id is in flight
+   */
   boolean accept(InFlightRequest request);
 
   /**
-   * Has a request rejected that the node has no capacity to carry; false, and nothing done, if one
-   * with the same id is in flight.
+   * Rejects a request for which the node lacks the connections or the buffer memory.
+   *
+   * @return false, with no effect, if a request with the same id is in flight
    */
   boolean rejectOverCapacity(InFlightRequest request);
 
-  /** A part of a long body was forwarded and is no longer buffered: no retry can follow. */
+  /** A part of a long body was forwarded and is no longer buffered, so no retry is possible. */
   void bodyForwarded(InFlightRequest request);
 
   /**
-   * The last byte of a long body arrived; the client waits {@code clientTimeoutNanos} from now on.
+   * The last byte of a long body arrived.
+   *
+   * @param clientTimeoutNanos how long the client waits for its response from now on
    */
   void uploadCompleted(InFlightRequest request, long clientTimeoutNanos);
 
-  /** A long response has ended; {@code end} is null if its client disconnected. */
+  /**
+   * A streamed response ended.
+   *
+   * @param end null if the client disconnected before the end
+   */
   void responseEnded(InFlightRequest request, RequestEnd end);
 
-  /** The client disconnected before its answer: no attempt that has not begun may begin. */
+  /** The client disconnected before its response began: no further attempt may be sent. */
   void clientDisconnected(InFlightRequest request);
 
   /**
-   * The client stopped sending and may have disconnected, and there is no way to find out: an
-   * answer that is on its way is still delivered, but no further attempt begins.
+   * The client may have disconnected and cannot be probed. The response to the attempt in flight is
+   * still delivered, but no further attempt is sent.
    */
   void clientPossiblyDisconnected(InFlightRequest request);
 }
--- a/edge/src/main/java/edgegateway/node/requests/InFlightRequest.java
+++ b/edge/src/main/java/edgegateway/node/requests/InFlightRequest.java
@@ -8,73 +8,91 @@
 import io.netty.util.concurrent.Future;
 
 /**
- * A client's request between its receipt and its response: what is forwarded, how its attempts
- * stand, and where its one response goes. For the event loop's thread.
+ * A client's request from its receipt until its response: the message to forward, the state of its
+ * attempts, and the writer of its only response. Not thread-safe: used on the event loop's thread
+ * only.
  */
 public final class InFlightRequest {
-  /** Bodies up to this length are buffered whole; the rest of a longer one is an upload. */
+  /**
+   * Request bodies up to this length are buffered completely; what follows in a longer body is
+   * streamed by a {@link BodyUpload}.
+   */
   public static final int MAX_BUFFERED_BODY_BYTES = 64 * 1024;
 
-  /** Writes the one response of a request. For the event loop's thread. */
+  /** Writes the only response to a request; called on the event loop's thread. */
   public interface ResponseWriter {
-    /** Writes the body of an upstream's successful response; it stays the caller's. */
+    /** Sends the body of a successful upstream response; the caller keeps ownership of it. */
     void sendResponse(ByteBuf body);
 
     /**
-     * Writes that the request was rejected, and that a retry is harmless.
+     * Sends a response that tells the client that the request was rejected and not executed, so
+     * that a retry is safe.
      *
-     * @param retryAfterNanos when to retry, from now; 0 for no advice
+     * @param retryAfterNanos how long the client should wait before a retry; 0 to send no
+     *     Retry-After header
      */
     void sendRejection(long retryAfterNanos);
 
-    /** Writes that the request failed, with no promise about its effect. */
+    /**
+     * Sends a response that tells the client that the request failed and may have been executed.
+     */
     void sendFailure();
 
     /**
-     * Begins a response whose body follows in pieces, until {@link #endStream}.
+     * Begins a response whose body is streamed until {@link #endStream}.
      *
-     * @param length of the body in bytes; -1 if it is not known
-     * @param onClientDisconnect run if the client disconnects before the end
-     * @return the client's channel, which takes the pieces
+     * @param length the body's length in bytes; -1 if it is not known
+     * @param onClientDisconnect run if the client disconnects before the end of the body
+     * @return the client's channel, to which the body is written
      */
     Channel startStream(long length, Runnable onClientDisconnect);
 
-    /** Ends the body: all pieces are written, or, if it is not complete, no more can follow. */
+    /**
+     * Ends a streamed response.
+     *
+     * @param complete whether the body was written completely; if not, the connection is closed
+     */
     void endStream(boolean complete);
 
-    /** Whether the client would have been seen to leave, if it left 0.1 s ago or longer. */
+    /**
+     * Whether a disconnect of the client would have been detected by now, if it happened at least
+     * 0.1 s ago.
+     */
     boolean wouldHaveSeenDisconnect();
 
     /**
-     * Finds out whether the client is still there. If it left, that is reported to the {@link
-     * ClientRequestHandler} before {@code then} is run; it is run in any case.
+     * Checks whether the client is still connected. A detected disconnect is reported to the {@link
+     * ClientRequestHandler} before {@code then} runs. {@code then} runs in any case.
      */
     void checkClientPresence(Runnable then);
 
     /**
-     * The client's deadline is near: a streamed response that is not written whole is cut off so
-     * that the client can tell.
+     * Called shortly before the client's deadline: if a streamed response is not written
+     * completely, resets the connection, by which the client recognizes a truncated response.
      */
     void abortUnfinishedResponse();
   }
 
-  /** The rest of a long body, which is still being received. For the event loop's thread. */
+  /**
+   * The part of a long request body that is not buffered and is still being received; used on the
+   * event loop's thread.
+   */
   public interface BodyUpload {
-    /** The length of the whole body in bytes; -1 if it is not known. */
+    /** The length of the complete body in bytes; -1 if it is not known. */
     long contentLength();
 
     /**
-     * Forwards the rest to an upstream's channel as it arrives.
+     * Forwards the body to an upstream channel as it arrives.
      *
      * @param onWritten run when the last byte was written
-     * @param onAborted run if the body cannot be forwarded whole
+     * @param onAborted run if the body cannot be forwarded completely
      */
     void forwardTo(Channel upstream, Runnable onWritten, Runnable onAborted);
 
-    /** The attempt that the body was forwarded to is over. */
+    /** Stops forwarding, because the attempt that the body was forwarded to has ended. */
     void stopForwarding();
 
-    /** Whether the last byte arrived. */
+    /** Whether the last byte of the body was received and forwarded. */
     boolean isComplete();
   }
 
@@ -82,47 +100,54 @@
   public final HttpMethod method;
   public final String uri;
 
-  /** Null if the request has none. */
+  /** Null if the request has no idempotency key. */
   public final String idempotencyKey;
 
-  /** The body, or its beginning if there is an upload. */
+  /** The body; only its buffered beginning if {@link #upload} is not null. */
   public final ByteBuf body;
 
-  /** The rest of a long body; null if the body is complete. */
+  /** Streams the rest of a long body; null if {@link #body} is complete. */
   public final BodyUpload upload;
 
-  /** How many attempts began. */
+  /** The number of attempts that began. */
   public int attempts;
 
   /** Whether an attempt is in flight. */
   public boolean attemptInFlight;
 
-  /** Cancels the attempt in flight unless it is being written; null if there is none. */
+  /**
+   * Cancels the attempt in flight unless writing its request has begun; null if no attempt is in
+   * flight.
+   */
   public Runnable unsentAttemptCancellation;
 
-  /** When the first attempt was sent that may have executed; {@link Long#MIN_VALUE} for none. */
+  /**
+   * When the first of the ended attempts that the server may have executed was sent; {@link
+   * Long#MIN_VALUE} if there is none.
+   */
   public long firstPossibleExecutionNanos = Long.MIN_VALUE;
 
-  /** Whether no attempt may follow the one in flight. */
+  /** Whether no further attempt may follow the attempt in flight. */
   public boolean lastAttempt;
 
-  /** Whether the response was claimed. */
+  /** Whether {@link #claimResponse} was called. */
   public boolean responseClaimed;
 
-  /** When the client stops waiting, on the node's clock; not known until its body is complete. */
+  /** The client's deadline on the node's clock; set once the body is complete. */
   public long clientDeadlineNanos;
 
-  /** Ends the request shortly before that; null if it is not known. */
+  /** Ends the request shortly before {@link #clientDeadlineNanos}; null while that is not set. */
   public Future<?> clientDeadlineTimer;
 
   private final BufferedBodies.Body bufferedBytes;
   private final ResponseWriter responseWriter;
 
   /**
-   * Takes over the body and its buffered bytes, which {@link #release} gives up.
+   * Takes ownership of {@code body} and {@code bufferedBytes} until {@link #release}.
    *
-   * @param idempotencyKey null for none
-   * @param upload the rest of the body; null if that is complete
+   * @param idempotencyKey null if the request has none
+   * @param bufferedBytes the memory accounted for {@code body}
+   * @param upload streams the rest of a long body; null if {@code body} is complete
    */
   public InFlightRequest(
       Request request,
@@ -143,35 +168,35 @@
     this.responseWriter = responseWriter;
   }
 
-  /** Cancels an attempt that still waits for its connection. */
+  /** Cancels the attempt in flight if it still waits for a connection. */
   public void cancelUnsentAttempt() {
     if (unsentAttemptCancellation != null) {
       unsentAttemptCancellation.run();
     }
   }
 
-  /** Drops the body. */
+  /** Releases the body and the memory accounted for it. */
   public void release() {
     body.release();
     bufferedBytes.release();
   }
 
-  /** As {@link ResponseWriter#wouldHaveSeenDisconnect}. */
+  /** See {@link ResponseWriter#wouldHaveSeenDisconnect}. */
   public boolean wouldHaveSeenClientDisconnect() {
     return responseWriter.wouldHaveSeenDisconnect();
   }
 
-  /** As {@link ResponseWriter#checkClientPresence}. */
+  /** See {@link ResponseWriter#checkClientPresence}. */
   public void checkClientPresence(Runnable then) {
     responseWriter.checkClientPresence(then);
   }
 
-  /** The writer of a response whose streaming began. */
+  /** The writer of the streamed response, after {@link ResponseWriter#startStream}. */
   public ResponseWriter streamedResponse() {
     return responseWriter;
   }
 
-  /** The writer of the one response, for the first caller; null for any further one. */
+  /** Returns the response writer on the first call, and null on every further call. */
   public ResponseWriter claimResponse() {
     if (responseClaimed) {
       return null;
