--- a/edge/src/main/java/edgegateway/node/clients/BadRequestException.java
+++ b/edge/src/main/java/edgegateway/node/clients/BadRequestException.java
@@ -3,8 +3,8 @@
 import io.netty.handler.codec.http.HttpResponseStatus;
 
 /**
- * A message that is not a request this node accepts. Its message is the line that the client gets;
- * it has no stack trace.
+ * Thrown for an HTTP message that is not a valid request to this node. Its message is the body of
+ * the response to the client. It has no stack trace.
  */
 final class BadRequestException extends Exception {
   private static final long serialVersionUID = 1L;
@@ -16,12 +16,12 @@
     this.status = status;
   }
 
-  /** With status 400. */
+  /** Creates an exception with status 400. */
   BadRequestException(String message) {
     this(HttpResponseStatus.BAD_REQUEST, message);
   }
 
-  /** The status to answer with. */
+  /** The status of the response. */
   HttpResponseStatus status() {
     return status;
   }
--- a/edge/src/main/java/edgegateway/node/clients/ClientSession.java
+++ b/edge/src/main/java/edgegateway/node/clients/ClientSession.java
@@ -242,7 +242,7 @@
       rejectOverCapacity();
       return;
     }
-    if (last || incoming.isLong()) {
+    if (last || incoming.isTooLongToBuffer()) {
       requestReceived(last);
     }
   }
--- a/edge/src/main/java/edgegateway/node/clients/ClientSessionContext.java
+++ b/edge/src/main/java/edgegateway/node/clients/ClientSessionContext.java
@@ -8,18 +8,18 @@
 import io.netty.channel.EventLoop;
 
 /**
- * What all clients' sessions of a server share.
+ * The objects that all client sessions of a server share.
  *
- * @param server what sessions report to their server
- * @param handler takes their requests
- * @param parser reads their requests
- * @param closer ends their connections
- * @param connections the table of their connections
- * @param bufferedBodies bounds what they buffer
- * @param relays forwards their long bodies
- * @param stallDetector tells whether their sockets were read of late
- * @param loop runs all of this
- * @param tls whether their connections are encrypted
+ * @param server receives the sessions' events
+ * @param handler receives the clients' requests
+ * @param parser parses the clients' requests
+ * @param closer closes the clients' connections
+ * @param connections the table of the clients' connections
+ * @param bufferedBodies limits the memory for buffered bodies
+ * @param relays the relays of streamed bodies
+ * @param stallDetector detects stalls of the event loop, during which no socket is read
+ * @param loop the event loop that runs the sessions
+ * @param tls whether the clients' connections are encrypted
  */
 record ClientSessionContext(
     ServerEvents server,
@@ -32,18 +32,18 @@
     EventLoopStallDetector stallDetector,
     EventLoop loop,
     boolean tls) {
-  /** What a session asks its server and reports to it. */
+  /** Receives the events of sessions; implemented by their server. */
   interface ServerEvents {
-    /** Whether the server drains: connections close with their next response. */
+    /** Whether the server is draining, so that connections close after their next response. */
     boolean isDraining();
 
-    /** A connection was accepted or rejected. */
+    /** A connection was opened, whether or not the connection table accepted it. */
     void connectionAccepted();
 
-    /** A connection of the table is closed: there is room for another. */
+    /** A connection left the connection table by its close, which frees a slot for another one. */
     void connectionRemoved();
 
-    /** A session is over, whether the table had its connection or not. */
+    /** A session ended, whether or not its connection was in the connection table. */
     void sessionEnded();
   }
 }
--- a/edge/src/main/java/edgegateway/node/clients/ConnectionCloser.java
+++ b/edge/src/main/java/edgegateway/node/clients/ConnectionCloser.java
@@ -8,7 +8,10 @@
 import io.netty.channel.socket.SocketChannel;
 import java.util.concurrent.TimeUnit;
 
-/** Ends clients' connections. Holds no state of a connection. For the event loop's thread. */
+/**
+ * Closes clients' connections, either after their last response or by a reset. Has no state per
+ * connection. Used on the event loop's thread only.
+ */
 final class ConnectionCloser {
   private static final long LINGER_MILLIS = 1_000;
 
@@ -23,10 +26,11 @@
   }
 
   /**
-   * Closes a connection whose last response was written (lingering close). A close while bytes are
-   * unread is a reset, which takes back what of the response the kernel still holds. So only the
-   * output is shut down, and what arrives is dropped, until the client closes too or a time is
-   * over. Shown by RaceConditionsTest#anAnswerIsWholeThoughMoreCameInTheMomentOfTheClose.
+   * Closes a connection whose last response was written (lingering close). Closing a socket with
+   * unread input resets the connection, and the reset discards the part of the response that is
+   * still in the kernel's buffers. Therefore this shuts down only the output and discards further
+   * input until the client closes too or {@link #LINGER_MILLIS} have passed. See
+   * ResponseEndTest#aResponseIsCompleteThoughMoreArrivesDuringTheClose.
    */
   void closeLingering(SocketChannel channel, ClientConnection connection) {
     connection.lingering();
@@ -44,9 +48,9 @@
   }
 
   /**
-   * Resets a connection, so that the client can tell at once that its response is cut off, whatever
-   * it has still to read and however the response's end is marked. Past the TLS handler, whose
-   * {@code close_notify} would be a proper end. Shown by
+   * Resets a connection, so that the client recognizes at once that its response is truncated, even
+   * if it has unread data and even if the response is delimited by the connection's close. Bypasses
+   * the TLS handler, whose {@code close_notify} would mark the response as complete. See
    * LongBodyTest#aResponseIncompleteAtItsDeadlineIsResetSoThatTheClientCanTell and
    * TlsTest#aTruncatedResponseWithoutLengthEndsWithoutCloseNotify.
    */
--- a/edge/src/main/java/edgegateway/node/clients/ConnectionPersistence.java
+++ b/edge/src/main/java/edgegateway/node/clients/ConnectionPersistence.java
@@ -8,8 +8,9 @@
 import io.netty.handler.codec.http.HttpUtil;
 
 /**
- * Whether a connection persists after the response to its present request, by the request's version
- * and headers, and what the response's head says about it. For the event loop's thread.
+ * Decides whether a connection persists after the response to its current request, by the request's
+ * HTTP version and headers, and sets the response's {@code Connection} header. Not thread-safe:
+ * used on the event loop's thread only.
  */
 final class ConnectionPersistence {
   private boolean keepAlive;
@@ -17,29 +18,33 @@
   private boolean headMethod;
   private boolean closeAnnounced;
 
-  /** A new request begins. */
+  /** Takes over the version, method and headers of a new request. */
   void requestReceived(HttpRequest request) {
     keepAlive = HttpUtil.isKeepAlive(request);
     http10 = !request.protocolVersion().isKeepAliveDefault();
     headMethod = request.method().equals(HttpMethod.HEAD);
   }
 
-  /** The connection does not persist, whatever the request's headers say. */
+  /** Closes the connection after the response, whatever the request's headers say. */
   void closeAfterResponse() {
     keepAlive = false;
   }
 
-  /** Whether the client knows neither chunks nor 1xx responses. */
+  /** Whether the client supports neither chunked encoding nor 1xx responses. */
   boolean isHttp10() {
     return http10;
   }
 
-  /** Whether the response has no body, because of the request's method. */
+  /** Whether the request is a HEAD request, to which the response has no body. */
   boolean isHeadMethod() {
     return headMethod;
   }
 
-  /** Sets the {@code Connection} header; {@code last} if no further request is accepted. */
+  /**
+   * Sets the {@code Connection} header of a response.
+   *
+   * @param last whether the connection accepts no further request
+   */
   void announce(HttpHeaders headers, boolean last) {
     closeAnnounced = !keepAlive || last;
     if (closeAnnounced) {
@@ -49,7 +54,7 @@
     }
   }
 
-  /** Whether the response's head says that the connection closes behind it. */
+  /** Whether the last response announced that the connection closes after it. */
   boolean isCloseAnnounced() {
     return closeAnnounced;
   }
--- a/edge/src/main/java/edgegateway/node/clients/IncomingRequest.java
+++ b/edge/src/main/java/edgegateway/node/clients/IncomingRequest.java
@@ -9,8 +9,8 @@
 import io.netty.handler.codec.http.HttpUtil;
 
 /**
- * The request that a connection is receiving: its head, and its body while that is buffered. For
- * the event loop's thread.
+ * The request that a connection is receiving: its head and the buffered part of its body. Not
+ * thread-safe: used on the event loop's thread only.
  */
 final class IncomingRequest {
   private static final int INITIAL_BODY_CAPACITY = 512;
@@ -18,32 +18,41 @@
   /** Null while no request is being received. */
   private HttpRequest head;
 
-  /** Null until the first piece of the body arrives. */
+  /** Null until the first chunk of the body arrives. */
   private ByteBuf body;
 
   private BufferedBodies.Body bufferedBytes;
   private long receivedBytes;
 
-  /** A head arrived. */
+  /**
+   * Starts receiving a request.
+   *
+   * @param newBody accounts for the memory of the request's body; released with this request
+   */
   void begin(HttpRequest request, BufferedBodies.Body newBody) {
     head = request;
     receivedBytes = 0;
     bufferedBytes = newBody;
   }
 
-  /** Whether a request's head arrived and its body is awaited. */
+  /** Whether a request is being received: its head arrived, and the end of its body did not. */
   boolean isActive() {
     return head != null;
   }
 
-  /** Copies a piece of the body; false if there is no capacity to buffer it. */
-  boolean append(ByteBuf piece, boolean last, ByteBufAllocator allocator) {
-    receivedBytes += piece.readableBytes();
+  /**
+   * Copies a chunk of the body into the buffer.
+   *
+   * @param last whether the chunk is the end of the body
+   * @return false if the chunk exceeds the capacity for buffered bodies
+   */
+  boolean append(ByteBuf chunk, boolean last, ByteBufAllocator allocator) {
+    receivedBytes += chunk.readableBytes();
     if (body == null) {
-      boolean empty = last && !piece.isReadable();
+      boolean empty = last && !chunk.isReadable();
       body = empty ? Unpooled.EMPTY_BUFFER : allocator.buffer(initialCapacity());
     }
-    body.writeBytes(piece);
+    body.writeBytes(chunk);
     return bufferedBytes.tryResize(body.capacity());
   }
 
@@ -52,8 +61,8 @@
     return (int) Math.min(InFlightRequest.MAX_BUFFERED_BODY_BYTES, length);
   }
 
-  /** Whether the body is too long to be buffered whole. */
-  boolean isLong() {
+  /** Whether the body is too long to be buffered completely. */
+  boolean isTooLongToBuffer() {
     return body.readableBytes() > InFlightRequest.MAX_BUFFERED_BODY_BYTES;
   }
 
@@ -69,19 +78,19 @@
     return bufferedBytes;
   }
 
-  /** The bytes of the body that have arrived. */
+  /** How many bytes of the body were received. */
   long receivedBytes() {
     return receivedBytes;
   }
 
-  /** Ends the receiving; body and buffered bytes are the caller's from now on. */
+  /** Stops receiving the request and passes ownership of its buffers to the caller. */
   void detach() {
     head = null;
     body = null;
     bufferedBytes = null;
   }
 
-  /** Ends the receiving and drops what is here of the request. May be repeated. */
+  /** Stops receiving the request and releases its buffers. Idempotent. */
   void release() {
     if (body != null) {
       body.release();
--- a/edge/src/main/java/edgegateway/node/clients/PipelinedMessages.java
+++ b/edge/src/main/java/edgegateway/node/clients/PipelinedMessages.java
@@ -10,26 +10,30 @@
 import java.util.Map;
 
 /**
- * The queue of messages that were decoded on a connection behind the request in flight, or of a
- * long body before its attempt begins. A connection has to be read on to see its client disconnect;
- * this bounds how far. For the event loop's thread.
+ * Queues the decoded messages of a connection that cannot be handled yet: pipelined requests after
+ * the request in flight, and the chunks of a long body before its attempt begins. A connection must
+ * be read to detect that its client disconnected; this class limits how far it is read ahead. Not
+ * thread-safe: used on the event loop's thread only.
  */
 final class PipelinedMessages {
-  /** Up to this nothing is counted. */
-  private static final int UNCOUNTED_BYTES = 4 * 1024;
+  /** A queue of up to this size is not counted as buffered. */
+  private static final int MAX_UNCOUNTED_BYTES = 4 * 1024;
 
-  /** Beyond this nothing is read ahead; up to it, only while the capacity is half free. */
+  /**
+   * Reading stops once the queue exceeds this size; below it, reading continues only while less
+   * than half of the capacity for buffered bodies is used.
+   */
   private static final int MAX_READ_AHEAD_BYTES = 128 * 1024;
 
-  /** The memory that a head, a header or a piece of a body takes beside its bytes. */
+  /** Memory that each head, header and chunk of a body takes in addition to its content. */
   private static final int OVERHEAD_BYTES = 128;
 
   private final BufferedBodies bufferedBodies;
   private final ArrayDeque<HttpObject> queue = new ArrayDeque<>();
   private int queuedBytes;
 
-  /** What is counted as buffered; null while nothing is. */
-  private BufferedBodies.Body countedBytes;
+  /** The account of the queue's buffered bytes; null while the queue is not counted. */
+  private BufferedBodies.Body bufferedBytes;
 
   PipelinedMessages(BufferedBodies bufferedBodies) {
     this.bufferedBodies = bufferedBodies;
@@ -39,13 +43,16 @@
     return queue.isEmpty();
   }
 
-  /** Takes the message over, with its reference. */
+  /** Adds a message and takes ownership of its reference. */
   void add(HttpObject message) {
     queue.add(message);
     queuedBytes += memoryBytes(message);
   }
 
-  /** Removes the oldest message, whose reference the caller takes over; null if there is none. */
+  /**
+   * Removes the oldest message and passes ownership of its reference to the caller; null if the
+   * queue is empty.
+   */
   HttpObject poll() {
     HttpObject message = queue.poll();
     if (message != null) {
@@ -54,7 +61,7 @@
     return message;
   }
 
-  /** Whether the end of a body is in the queue. */
+  /** Whether the queue contains the end of a body. */
   boolean hasEndOfBody() {
     for (HttpObject message : queue) {
       if (message instanceof LastHttpContent) {
@@ -65,25 +72,25 @@
   }
 
   /**
-   * Counts what is queued as buffered, on the account of a customer.
+   * Updates the bytes that are counted as buffered for a customer to the queue's current size.
    *
-   * @return whether no more should be read
+   * @return whether the connection should not be read any further
    */
   boolean updateReadAhead(long customer) {
-    if (queuedBytes > UNCOUNTED_BYTES && countedBytes == null) {
-      countedBytes = bufferedBodies.newBody(customer);
-    } else if (queuedBytes <= UNCOUNTED_BYTES && countedBytes != null) {
-      countedBytes.release();
-      countedBytes = null;
+    if (queuedBytes > MAX_UNCOUNTED_BYTES && bufferedBytes == null) {
+      bufferedBytes = bufferedBodies.newBody(customer);
+    } else if (queuedBytes <= MAX_UNCOUNTED_BYTES && bufferedBytes != null) {
+      bufferedBytes.release();
+      bufferedBytes = null;
     }
-    if (countedBytes == null) {
+    if (bufferedBytes == null) {
       return false;
     }
-    countedBytes.resize(queuedBytes);
+    bufferedBytes.resize(queuedBytes);
     return queuedBytes > MAX_READ_AHEAD_BYTES || !bufferedBodies.isLessThanHalfUsed();
   }
 
-  /** Drops all messages. */
+  /** Removes and releases all messages. */
   void release() {
     while (!queue.isEmpty()) {
       ReferenceCountUtil.release(poll());
@@ -91,7 +98,7 @@
     updateReadAhead(BufferedBodies.UNKNOWN_CUSTOMER);
   }
 
-  /** The bytes of a body's piece; 0 for a head. */
+  /** The content length of a chunk of a body in bytes; 0 for a head. */
   static int contentBytes(HttpObject message) {
     return message instanceof HttpContent content ? content.content().readableBytes() : 0;
   }
--- a/edge/src/main/java/edgegateway/node/clients/StrictRequestDecoder.java
+++ b/edge/src/main/java/edgegateway/node/clients/StrictRequestDecoder.java
@@ -5,21 +5,23 @@
 import io.netty.handler.codec.http.HttpRequestDecoder;
 
 /**
- * The pipeline's decoder of requests. Unlike Netty's it rejects a request with both a length and
- * chunked encoding: another reader might see the request end elsewhere (request smuggling).
+ * Decodes requests. Unlike Netty's decoder, it rejects a request with both a {@code Content-Length}
+ * and chunked transfer encoding, because another HTTP implementation on the path might see the end
+ * of the request elsewhere (request smuggling).
  */
 final class StrictRequestDecoder extends HttpRequestDecoder {
   StrictRequestDecoder(int maxChunkSize) {
     super(new HttpDecoderConfig().setMaxChunkSize(maxChunkSize));
   }
 
-  /** Whether bytes have arrived that are no complete message yet. */
+  /** Whether received bytes are waiting for the rest of an HTTP message. */
   boolean hasUndecodedBytes() {
     return actualReadableBytes() > 0;
   }
 
   @Override
   protected void handleTransferEncodingChunkedWithContentLength(HttpMessage message) {
-    throw new IllegalArgumentException("a request with two lengths");
+    throw new IllegalArgumentException(
+        "request has both Content-Length and Transfer-Encoding: chunked");
   }
 }
--- a/edge/src/main/java/edgegateway/node/clients/package-info.java
+++ b/edge/src/main/java/edgegateway/node/clients/package-info.java
@@ -1,2 +1,2 @@
-/** The clients' side: reads requests and writes responses. */
+/** The client side of the proxy: accepts connections, reads requests and writes responses. */
 package edgegateway.node.clients;
