--- a/edge/src/main/java/edgegateway/node/clients/ClientHttpServer.java
+++ b/edge/src/main/java/edgegateway/node/clients/ClientHttpServer.java
@@ -27,9 +27,9 @@
 import java.util.function.Function;
 
 /**
- * The server of clients' connections: listens, drains and stops. Each connection has a {@link
- * ClientSession}; which connections there are, and for how long, is the {@link
- * ClientConnectionTable}'s. For the event loop's thread but where a method says otherwise.
+ * The HTTP server for clients: listens, drains and stops. Each connection has a {@link
+ * ClientSession}; the {@link ClientConnectionTable} decides which connections are accepted and when
+ * they are closed. Methods must be called on the event loop's thread unless they say otherwise.
  */
 public final class ClientHttpServer {
   private static final EventLog LOG = EventLog.console();
@@ -42,25 +42,25 @@
   private final ClientConnectionTable connections;
   private final ConnectionAcceptor acceptor;
 
-  /** Null where clients' connections are not encrypted. */
+  /** Null if clients' connections are not encrypted. */
   private final TlsTermination tls;
 
   private final ClientSessionContext sessionContext;
   private volatile boolean draining;
 
-  /** Ends the grace time of a drain, in which connections keep arriving. */
+  /** Ends the grace period of a drain, during which new connections are still expected. */
   private Future<?> drainGraceTimer;
 
-  /** Completed when the last connection is closed; null until the server is stopped. */
+  /** Completed when the last connection is closed; null until {@link #stop} is called. */
   private volatile CompletableFuture<Void> drained;
 
   private volatile boolean superseded;
 
-  /** Null until it was begun to listen. */
+  /** The result of binding the listening socket; null before that. */
   private CompletableFuture<Void> binding;
 
   /**
-   * Does not listen yet.
+   * Creates a server that does not listen yet.
    *
    * @throws IOException if the configured certificate or key cannot be used
    */
@@ -97,17 +97,23 @@
         TimeUnit.MILLISECONDS);
   }
 
-  /** Evictions run after the sockets were read: a request that crosses its eviction is kept. */
+  /**
+   * Runs evictions after the sockets were read once more, so that a connection whose request has
+   * already arrived is not evicted.
+   */
   private void scheduleEvictions() {
     ConnectionAcceptor.afterNextSelect(loop, () -> connections.evictSelected(System.nanoTime()));
   }
 
-  /** Applies a new budget of descriptors. */
+  /** Applies a new budget of file descriptors. */
   public void applyBudget(DescriptorBudget budget) {
     connections.applyBudget(System.nanoTime(), budget);
   }
 
-  /** No descriptor is left, whatever the budget says: some clients' connections are given up. */
+  /**
+   * Called when the process has no file descriptor left in spite of the budget: closes some
+   * clients' connections.
+   */
   public void descriptorsExhausted() {
     if (connections.descriptorsExhausted(System.nanoTime())) {
       LOG.warn("client_descriptors_exhausted", field("connections", connections.openCount()));
@@ -115,9 +121,10 @@
   }
 
   /**
-   * Begins to listen; any thread.
+   * Starts listening. May be called on any thread.
    *
-   * @return completes when it listens, or at once, with nothing done, if it was stopped already
+   * @return completes when the server listens, or at once, with no effect, if it was already
+   *     stopped
    */
   public CompletableFuture<Void> bind() {
     return CompletableFuture.supplyAsync(this::bindUnlessStopped, loop)
@@ -142,7 +149,7 @@
     pipeline.addLast(decoder, new HttpResponseEncoder(), session);
   }
 
-  /** New handlers of a connection, for one that is no socket. */
+  /** Creates the handlers for a connection without a socket. */
   public ChannelHandler[] newHandlers() {
     StrictRequestDecoder decoder = newDecoder();
     ClientSession session = new ClientSession(sessionContext, decoder);
@@ -153,38 +160,44 @@
     return new StrictRequestDecoder(InFlightRequest.MAX_BUFFERED_BODY_BYTES);
   }
 
-  /** Ends the threads of TLS; connections are not closed. */
+  /** Stops the TLS threads; does not close connections. */
   public void close() {
     if (tls != null) {
       tls.close();
     }
   }
 
-  /** The address it listens at; any thread, once bound. */
+  /** The address that the server listens at. May be called on any thread once it is bound. */
   public InetSocketAddress address() {
     return acceptor.address();
   }
 
-  /** Whether the health check turns clients away; any thread. */
+  /**
+   * Whether the server is draining, so that its health check fails. May be called on any thread.
+   */
   public boolean isDraining() {
     return draining;
   }
 
-  /** Whether the server was stopped; any thread. */
+  /** Whether {@link #stop} was called. May be called on any thread. */
   public boolean isStopping() {
     return drained != null;
   }
 
-  /** Whether another process of this node takes its clients now; any thread. */
+  /**
+   * Whether another process of this node has taken over accepting clients. May be called on any
+   * thread.
+   */
   public boolean isSuperseded() {
     return superseded;
   }
 
   /**
-   * Begins or ends a drain. In a drain each connection closes with its next response, and after a
-   * grace time those without a request close too. The server keeps listening, for health checks.
+   * Starts or ends a drain. During a drain, each connection closes after its next response, and
+   * after a grace period connections without a request are closed too. The server keeps listening,
+   * for health checks.
    *
-   * @return false if the server was stopped and cannot accept clients again
+   * @return false if the drain cannot be ended because the server was stopped
    */
   public boolean setDraining(boolean on) {
     if (drained != null) {
@@ -203,18 +216,19 @@
   }
 
   /**
-   * Drains for good. After the grace time it listens no longer; at once if another process of the
-   * node takes its clients.
+   * Starts a drain that cannot be ended. The server stops listening after the grace period, or at
+   * once if another process of the node has taken over.
    *
    * @param done completed when the last connection is closed
+   * @param bySuccessor whether another process of the node has taken over accepting clients
    */
   public void stop(CompletableFuture<Void> done, boolean bySuccessor) {
     superseded = bySuccessor;
     setDraining(true);
     drained = done;
     if (binding == null) {
-      // Stopped during the start, before it listened: shown by
-      // RaceConditionsTest#aSignalInTheMidstOfAStartEndsIt.
+      // Stopped during startup, before the server listened. See
+      // RaceConditionsTest#aSignalDuringStartupEndsTheProcess.
       completeDrain();
       return;
     }
@@ -235,7 +249,7 @@
     }
   }
 
-  /** What sessions report. */
+  /** Handles the events of sessions. */
   private final class SessionEvents implements ClientSessionContext.ServerEvents {
     @Override
     public boolean isDraining() {
--- a/edge/src/main/java/edgegateway/node/clients/ClientPresenceCheck.java
+++ b/edge/src/main/java/edgegateway/node/clients/ClientPresenceCheck.java
@@ -9,34 +9,41 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * Finds out whether the client of a request in flight is still there, so that no attempt begins for
- * one that left over 0.1 s ago. Netty reports neither a close nor a reset of a connection that is
- * not read; and a client that closed looks like one that ended its side only. Both are told apart
- * by writing {@code 100 Continue}, which a client that is there ignores, and which a closed socket
- * answers with a reset. Shown by ClientDisconnectTest. For the event loop's thread.
+ * Detects that the client of a request in flight has disconnected, so that no attempt begins for a
+ * client that disconnected more than 0.1 s ago.
+ *
+ * <p>Netty reports neither a close nor a reset of a connection that is not read, and a closed
+ * connection looks like a half-closed one, whose client still waits for its response. Therefore
+ * clients are probed with {@code 100 Continue} responses: a connected client ignores them, and a
+ * closed socket answers them with a reset. See ClientDisconnectTest.
+ *
+ * <p>Not thread-safe: used on the event loop's thread only.
  */
 final class ClientPresenceCheck {
   /**
-   * When a client that ended its side is probed, after that: the first probe that arrives once its
-   * socket is closed is answered with a reset. At most four, for some clients accept no more
-   * interim responses.
+   * Delays from the end of the client's input to each probe. The first probe that arrives after the
+   * client closed its socket is answered with a reset. There are at most four probes, because some
+   * clients accept no more interim responses.
    */
   private static final long[] HALF_CLOSE_PROBE_DELAYS_MILLIS = {0, 10, 35, 70};
 
   /**
-   * How long a client that is not read counts as present after it was known to be. Together with
-   * {@link #SECOND_PROBE_DELAY_NANOS} this stays under the 0.1 s in which an attempt may begin for
-   * a client that left.
+   * How long a client whose connection is not read counts as present after it was last known to be.
+   * The sum of this and {@link #SECOND_PROBE_DELAY_NANOS} is below the 0.1 s during which an
+   * attempt may still begin for a client that has disconnected.
    */
   private static final long PRESENCE_VALID_NANOS = TimeUnit.MILLISECONDS.toNanos(50);
 
-  /** After the first probe; a write fails once the first was answered with a reset. */
+  /**
+   * Delay between the two probes of a check. The first probe provokes the reset by a closed socket,
+   * after which the write of the second one fails.
+   */
   private static final long SECOND_PROBE_DELAY_NANOS = TimeUnit.MILLISECONDS.toNanos(20);
 
   private static final int PROBES_PER_CHECK = 2;
 
-  /** For one request whose client is not read. */
-  private static final int MAX_PROBES = 4;
+  /** Limit for each request whose connection is not read. */
+  private static final int MAX_PROBES_PER_REQUEST = 4;
 
   private final ClientSession session;
   private final Channel channel;
@@ -46,8 +53,8 @@
   private final EventLoopStallDetector stallDetector;
   private final EventLoop loop;
 
-  /** When the client was last known to be there, while it is not read. */
-  private long lastPresentNanos;
+  /** When the client was last known to be connected; updated while its connection is not read. */
+  private long lastKnownPresentNanos;
 
   private int probesSent;
 
@@ -66,17 +73,17 @@
     loop = context.loop();
   }
 
-  /** The client is read no longer; it is known to be there now. */
+  /** Reading of the connection stops now; until now, a disconnect would have been detected. */
   void readingPaused() {
-    lastPresentNanos = System.nanoTime();
+    lastKnownPresentNanos = System.nanoTime();
   }
 
-  /** The request in flight has its response. */
+  /** Resets the number of probes after the response to a request. */
   void requestEnded() {
     probesSent = 0;
   }
 
-  /** The client ended its side, or closed: probes it for a while. */
+  /** Schedules probes after the end of the client's input, which is a half-close or a close. */
   void probeAfterHalfClose() {
     for (long delayMillis : HALF_CLOSE_PROBE_DELAYS_MILLIS) {
       loop.schedule(this::probe, delayMillis, TimeUnit.MILLISECONDS);
@@ -90,8 +97,8 @@
   }
 
   /**
-   * Whether the client would have been seen to leave, if it left 0.1 s ago or longer. While it is
-   * read, that holds unless the event loop stalled just now. Shown by
+   * Whether a disconnect of the client would have been detected by now, if it happened at least 0.1
+   * s ago. While the connection is read, that holds unless the event loop stalled recently. See
    * ClientDisconnectTest#noAttemptBeginsRightAfterAnEventLoopStallInWhichItsClientLeft.
    */
   boolean wouldHaveSeenDisconnect() {
@@ -101,38 +108,43 @@
     long now = System.nanoTime();
     return channel.config().isAutoRead()
         ? stallDetector.noRecentStall(now)
-        : now - lastPresentNanos <= PRESENCE_VALID_NANOS;
+        : now - lastKnownPresentNanos <= PRESENCE_VALID_NANOS;
   }
 
-  /** Checks the client of the request in flight; {@code then} is run after that. */
+  /**
+   * Checks whether the client of the request in flight is connected, and reports a disconnect to
+   * the request handler.
+   *
+   * @param then run after the check in any case
+   */
   void check(Runnable then) {
     InFlightRequest request = session.currentRequest();
     if (channel.config().isAutoRead()) {
-      // What the client sent during a stall is read meanwhile.
+      // By then the event loop has read what arrived during its stall, including a disconnect.
       loop.schedule(then, EventLoopStallDetector.SETTLE_NANOS, TimeUnit.NANOSECONDS);
-    } else if (persistence.isHttp10() || probesSent >= MAX_PROBES) {
+    } else if (persistence.isHttp10() || probesSent >= MAX_PROBES_PER_REQUEST) {
       loop.execute(() -> reportPossiblyDisconnected(request, then));
     } else {
       probesSent += PROBES_PER_CHECK;
-      lastPresentNanos = System.nanoTime();
+      lastKnownPresentNanos = System.nanoTime();
       responses.sendContinue();
       loop.schedule(
-          () -> probeAgain(request, then), SECOND_PROBE_DELAY_NANOS, TimeUnit.NANOSECONDS);
+          () -> sendSecondProbe(request, then), SECOND_PROBE_DELAY_NANOS, TimeUnit.NANOSECONDS);
     }
   }
 
-  /** There is no way to ask the client. */
+  /** For a client that cannot be probed: HTTP/1.0 has no interim responses, or the limit is hit. */
   private void reportPossiblyDisconnected(InFlightRequest request, Runnable then) {
     handler.clientPossiblyDisconnected(request);
     then.run();
   }
 
-  private void probeAgain(InFlightRequest request, Runnable then) {
+  private void sendSecondProbe(InFlightRequest request, Runnable then) {
     if (session.currentRequest() == request && channel.isActive()) {
       responses.sendContinue();
     }
     if (!channel.isActive()) {
-      // The failed write closed the channel, but channelInactive comes some tasks later.
+      // The failed write closed the channel; channelInactive is called some tasks later.
       handler.clientDisconnected(request);
     }
     then.run();
--- a/edge/src/main/java/edgegateway/node/clients/ClientResponseWriter.java
+++ b/edge/src/main/java/edgegateway/node/clients/ClientResponseWriter.java
@@ -10,7 +10,10 @@
 import io.netty.channel.ChannelFuture;
 import io.netty.handler.codec.http.HttpResponseStatus;
 
-/** Writes the one response of a request to its client. For the event loop's thread. */
+/**
+ * Writes the only response to a request to its client. Not thread-safe: used on the event loop's
+ * thread only.
+ */
 final class ClientResponseWriter implements InFlightRequest.ResponseWriter {
   private final ClientSession session;
   private final Channel channel;
@@ -19,13 +22,13 @@
   private final ClientRequestHandler handler;
   private final BufferedBodies bufferedBodies;
 
-  /** Whose response is streamed; null if it is written whole. */
+  /** The request whose response is streamed; null if no streaming began. */
   private InFlightRequest streamedRequest;
 
-  /** Whether only the connection's close ends the streamed body. */
+  /** Whether the streamed body is delimited by the connection's close only. */
   private boolean closeDelimited;
 
-  /** The last write of a streamed response; null until that is made. */
+  /** The last write of a streamed response; null until the response is complete. */
   private ChannelFuture lastWrite;
 
   ClientResponseWriter(
@@ -44,7 +47,7 @@
 
   @Override
   public void sendResponse(ByteBuf body) {
-    // Buffered until the client has read it.
+    // The body counts as buffered until it is written to the client.
     long customer = session.currentRequest().request.customer();
     BufferedBodies.Body bufferedBytes = bufferedBodies.newBody(customer);
     bufferedBytes.resize(body.readableBytes());
@@ -55,8 +58,8 @@
 
   @Override
   public void sendRejection(long retryAfterNanos) {
-    // Rejected over capacity before it was received, a request is no case of too many requests of
-    // its customer.
+    // A request that is still being received is rejected because the node is over capacity, not
+    // because its customer sent too many requests: status 503 instead of 429.
     boolean tooManyRequests = retryAfterNanos > 0 && !session.isReceivingRequest();
     HttpResponseStatus status =
         tooManyRequests
@@ -95,7 +98,7 @@
     handler.responseEnded(request, RequestEnd.FAILED);
     session.requestAbandoned();
     if (closeDelimited) {
-      // A close would be the end of a complete body.
+      // A regular close would mark the truncated body as complete.
       ConnectionCloser.reset(channel);
     } else {
       channel.close();
@@ -121,8 +124,8 @@
       ConnectionCloser.reset(channel);
       onClientDisconnect.run();
     } else if (lastWrite != null && !lastWrite.isDone() && session.isWithoutRequest()) {
-      // The response is complete here, but its client reads it too slowly. A further request behind
-      // it would be lost with the connection. Shown by
+      // All of the response was passed to the channel, but its client reads it too slowly. The
+      // connection is not reset if it has a further request, which would be lost with it. See
       // LongBodyTest#aCompleteResponseUnreadAtItsDeadlineIsResetUnlessAnotherRequestIsQueued.
       ConnectionCloser.reset(channel);
     }
--- a/edge/src/main/java/edgegateway/node/clients/ClientSession.java
+++ b/edge/src/main/java/edgegateway/node/clients/ClientSession.java
@@ -31,9 +31,10 @@
 import java.io.IOException;
 
 /**
- * The last handler in the pipeline of a client's connection: it takes decoded messages and has one
- * request in flight at a time, in their order. What arrives behind that waits in {@link
- * PipelinedMessages}; responses go out by {@link ResponseSender}. For the event loop's thread.
+ * The last handler in the pipeline of a client's connection. It receives decoded messages and has
+ * one request in flight at a time, in the order of their arrival. Messages after that request wait
+ * in {@link PipelinedMessages}; {@link ResponseSender} writes the responses. Not thread-safe: used
+ * on the event loop's thread only.
  */
 final class ClientSession extends SimpleChannelInboundHandler<HttpObject>
     implements TransportHandle {
@@ -49,22 +50,22 @@
   private ResponseSender responses;
   private ClientPresenceCheck presence;
 
-  /** Null if the table rejected the connection. */
+  /** Null if the connection table was full when the connection was opened. */
   private ClientConnection connection;
 
   /** The request in flight; null if there is none. */
   private InFlightRequest current;
 
-  /** The rest of the body of the request in flight; null if that was buffered whole. */
+  /** Streams the rest of the current request's body; null if the body was buffered completely. */
   private RequestBodyUpload upload;
 
-  /** Run if the client disconnects while its response is streamed; null otherwise. */
+  /** Run if the client disconnects while its response is streamed; null if none is streamed. */
   private Runnable onClientDisconnect;
 
-  /** Whether nothing that arrives is accepted any more. */
+  /** Whether the connection is closing, so that all further input is ignored. */
   private boolean closing;
 
-  /** Whether the client ended its side, or closed. */
+  /** Whether the client's input ended, by a half-close or a close of the connection. */
   private boolean inputEnded;
 
   ClientSession(ClientSessionContext context, StrictRequestDecoder decoder) {
@@ -89,13 +90,13 @@
     context.server().connectionAccepted();
   }
 
-  /** Closes the socket, on behalf of the connection table. */
+  /** Closes the socket; called by the connection table. */
   @Override
   public void close() {
     channel.close();
   }
 
-  /** The TLS handshake of the connection completed. */
+  /** Called when the TLS handshake of the connection is complete. */
   void handshakeCompleted() {
     connection.handshakeCompleted();
   }
@@ -121,13 +122,17 @@
     return upload != null && upload.isForwarding();
   }
 
-  /** Counts what is queued; whether no more should be read. */
+  /**
+   * Updates the bytes of queued messages that are counted as buffered.
+   *
+   * @return whether the connection should not be read any further
+   */
   boolean updateReadAhead() {
     long customer = current == null ? BufferedBodies.UNKNOWN_CUSTOMER : current.request.customer();
     return pipelined.updateReadAhead(customer);
   }
 
-  /** Reads no more, so that neither a close nor a reset by the client is seen. */
+  /** Stops reading the connection; while it is not read, no close or reset is detected. */
   void pauseReading() {
     if (channel.config().isAutoRead()) {
       presence.readingPaused();
@@ -149,16 +154,17 @@
     boolean closeNotified = context.tls() && event == SslCloseCompletionEvent.SUCCESS;
     if ((event instanceof ChannelInputShutdownEvent || closeNotified) && !inputEnded) {
       inputEnded = true;
-      inputEnded();
+      handleInputEnd();
     }
   }
 
   /**
-   * The client ended its side, or closed: there is no difference yet. What it sent whole is
-   * answered (ConnectionsTest#aHalfClosedClientGetsItsResponses); whether it closed is found out by
-   * probes (ConnectionsTest#aClosedClientIsDetectedAtOnce).
+   * Handles the end of the client's input, which is a half-close or a close of the connection; the
+   * two cannot be told apart yet. Complete requests are still answered
+   * (ConnectionsTest#aHalfClosedClientGetsItsResponses), and probes detect whether the client
+   * closed the connection (ConnectionsTest#aClosedClientIsDetectedAtOnce).
    */
-  private void inputEnded() {
+  private void handleInputEnd() {
     boolean uploadPending = upload != null && !upload.isComplete();
     boolean requestComplete = current != null && !uploadPending || !pipelined.isEmpty();
     boolean uploadTruncated = uploadPending && !pipelined.hasEndOfBody();
@@ -168,7 +174,7 @@
     }
     connection.halfClosed();
     if (persistence.isHttp10() && awaitsResponse()) {
-      // It knows no interim response, and so cannot be probed.
+      // An HTTP/1.0 client supports no interim responses, so it cannot be probed.
       context.handler().clientPossiblyDisconnected(current);
       return;
     }
@@ -213,7 +219,10 @@
     return request.uri().equals(RequestParser.HEALTH_PATH);
   }
 
-  /** There is no place for its connection, or none for its body: rejects it before it is whole. */
+  /**
+   * Rejects the request that is being received, before it is complete, because there is no capacity
+   * for its connection or its body.
+   */
   private void rejectOverCapacity() {
     persistence.closeAfterResponse();
     try {
@@ -236,9 +245,9 @@
     }
   }
 
-  private void receiveBody(ByteBuf piece, boolean last) {
-    connection.bytesReceived(System.nanoTime(), piece.readableBytes());
-    if (!incoming.append(piece, last, channel.alloc())) {
+  private void receiveBody(ByteBuf chunk, boolean last) {
+    connection.bytesReceived(System.nanoTime(), chunk.readableBytes());
+    if (!incoming.append(chunk, last, channel.alloc())) {
       rejectOverCapacity();
       return;
     }
@@ -247,19 +256,23 @@
     }
   }
 
-  /** The request is whole, or its body too long to be buffered. */
-  private void requestReceived(boolean whole) {
+  /**
+   * Handles a request that is complete, or whose body is too long to be buffered completely.
+   *
+   * @param complete whether the end of the body was received
+   */
+  private void requestReceived(boolean complete) {
     HttpRequest head = incoming.head();
     ByteBuf body = incoming.body();
     BufferedBodies.Body bufferedBytes = incoming.bufferedBytes();
     incoming.detach();
     connection.requestReceived();
     try {
-      if (isHealthCheck(head) && whole) {
+      if (isHealthCheck(head) && complete) {
         bufferedBytes.release();
         answerHealthCheck(head.method());
       } else {
-        upload = whole ? null : newUpload(HttpUtil.getContentLength(head, -1L));
+        upload = complete ? null : newUpload(HttpUtil.getContentLength(head, -1L));
         accept(
             context
                 .parser()
@@ -320,46 +333,59 @@
     return onClientDisconnect != null;
   }
 
-  /** Whether a request's body is being received that is not in flight yet. */
+  /** Whether a request is being received that is not in flight yet. */
   boolean isReceivingRequest() {
     return incoming.isActive();
   }
 
-  /** Whether the present request was received to its end. */
+  /** Whether the current request was received completely. */
   boolean isRequestComplete() {
     return !incoming.isActive() && (upload == null || upload.isComplete());
   }
 
-  /** Whether no request is in flight, being received, or waiting. */
+  /** Whether no request is in flight, being received or queued. */
   boolean isWithoutRequest() {
     return current == null && !incoming.isActive() && pipelined.isEmpty();
   }
 
-  /** Whether the connection is to close with the present response. */
+  /** Whether the connection is to close after the current response. */
   boolean acceptsNoFurtherRequest() {
     return pipelined.isEmpty()
         && (context.server().isDraining() || inputEnded || connection.shouldCloseAfterResponse());
   }
 
-  /** The response to the request in flight is streamed from now on. */
+  /**
+   * Starts streaming the response to the request in flight.
+   *
+   * @param onDisconnect run if the client disconnects before {@link #endStreaming}
+   */
   void streamStarted(Runnable onDisconnect) {
     onClientDisconnect = onDisconnect;
   }
 
-  /** Ends the streaming; what would have been run had the client disconnected. */
+  /**
+   * Ends the streaming of the response.
+   *
+   * @return the action that was to be run if the client disconnected; null if nothing was streamed
+   */
   Runnable endStreaming() {
     Runnable taken = onClientDisconnect;
     onClientDisconnect = null;
     return taken;
   }
 
-  /** The request in flight ended without a complete response; the caller closes the connection. */
+  /**
+   * Called when the request in flight ends without a complete response; the caller closes the
+   * connection.
+   */
   void requestAbandoned() {
     current = null;
   }
 
   /**
-   * The last write of a response was made: the connection closes, or the next request is handled.
+   * Called after the last write of a response: closes the connection or handles the next request.
+   *
+   * @param lastWrite completes when the response is written
    */
   void responseWritten(ChannelFuture lastWrite) {
     closing =
@@ -402,7 +428,7 @@
       channel.config().setAutoRead(true);
     }
     if (current == null && pipelined.isEmpty() && inputEnded && !closing) {
-      // What arrived last is no whole request.
+      // The input ended within a request.
       channel.close();
     }
   }
--- a/edge/src/main/java/edgegateway/node/clients/RequestBodyUpload.java
+++ b/edge/src/main/java/edgegateway/node/clients/RequestBodyUpload.java
@@ -10,11 +10,12 @@
 import io.netty.util.ReferenceCountUtil;
 
 /**
- * The rest of a request's long body, behind the beginning that is buffered. It is received while it
- * is forwarded, in the one attempt that it can be forwarded in. For the event loop's thread.
+ * Streams the part of a long request body that follows its buffered beginning. It is forwarded
+ * while it is received, and is not kept, so that it can be forwarded in a single attempt only. Not
+ * thread-safe: used on the event loop's thread only.
  */
 final class RequestBodyUpload implements InFlightRequest.BodyUpload {
-  /** The longest body that is accepted. */
+  /** The longest request body that is accepted. */
   static final long MAX_BODY_BYTES = 32L << 20;
 
   private final ClientSession session;
@@ -26,10 +27,10 @@
   private long receivedBytes;
   private InFlightRequest request;
 
-  /** How long the client waits for its response, counted from the end of the body. */
+  /** How long the client waits for its response from the end of the body. */
   private long clientTimeoutNanos;
 
-  /** Null while nothing is forwarded. */
+  /** Null while the body is not being forwarded. */
   private BodyRelay relay;
 
   private Channel upstream;
@@ -54,7 +55,7 @@
     this.receivedBytes = receivedBytes;
   }
 
-  /** Its request was accepted. */
+  /** Called when the request was accepted; takes over its timeout. */
   void requestAccepted(InFlightRequest accepted) {
     request = accepted;
     clientTimeoutNanos = accepted.request.deadlineNanos() - handler.nowNanos();
@@ -70,7 +71,7 @@
     return complete;
   }
 
-  /** Whether messages of the connection are to be forwarded. */
+  /** Whether the messages that the connection receives are to be forwarded. */
   boolean isForwarding() {
     return relay != null;
   }
@@ -104,7 +105,7 @@
     session.updateReadAhead();
   }
 
-  /** Forwards a message of the body; its reference stays the caller's. */
+  /** Forwards a message of the body; the caller keeps ownership of its reference. */
   void forward(HttpObject message) {
     receivedBytes += PipelinedMessages.contentBytes(message);
     if (message.decoderResult().isFailure() || receivedBytes > MAX_BODY_BYTES) {
@@ -119,11 +120,11 @@
       relay.forward(content.content().retain());
     }
     if (message instanceof LastHttpContent) {
-      completed();
+      bodyCompleted();
     }
   }
 
-  private void completed() {
+  private void bodyCompleted() {
     complete = true;
     stopForwarding();
     handler.uploadCompleted(request, clientTimeoutNanos);
@@ -135,7 +136,7 @@
     channel.config().setAutoRead(true);
   }
 
-  /** The read that the forwarded messages came from is complete. */
+  /** Called when a read of the connection is complete. */
   void readComplete() {
     relay.readComplete();
   }
@@ -148,7 +149,7 @@
     }
   }
 
-  /** The client disconnected: the attempt must not wait for the rest of the body. */
+  /** Called when the client disconnected: ends the attempt, which would wait for the rest. */
   void clientDisconnected() {
     if (!complete && upstream != null) {
       stopForwarding();
--- a/edge/src/main/java/edgegateway/node/clients/RequestParser.java
+++ b/edge/src/main/java/edgegateway/node/clients/RequestParser.java
@@ -18,9 +18,12 @@
 import java.util.Locale;
 import java.util.Map;
 
-/** Reads a client's request from its HTTP message. For the event loop's thread. */
+/**
+ * Parses a client's request from its HTTP message. Not thread-safe: used on the event loop's thread
+ * only.
+ */
 final class RequestParser {
-  /** The path at which the node is asked whether it is healthy. */
+  /** The path of the node's health check. */
   static final String HEALTH_PATH = "/_health";
 
   private static final String API_PATH = "/api";
@@ -33,7 +36,7 @@
   private static final String EXPIRES_IN_MILLIS = "X-Expires-In-Ms";
   private static final String QUOTA = "X-Quota";
   private static final String CLIENT_RETRY = "X-Second-Try";
-  private static final String CLIENT_RETRY_YES = "1";
+  private static final String CLIENT_RETRY_VALUE = "1";
   private static final String COOKIE = "Cookie";
   private static final String CUSTOMER_COOKIE = "customer";
 
@@ -54,10 +57,11 @@
   }
 
   /**
-   * Reads a request; the arguments after {@code message} are the result's.
+   * Parses a request. The arguments after {@code message} become part of the result.
    *
-   * @param upload null if the body is complete
-   * @throws BadRequestException if it is none; body and buffered bytes stay the caller's then
+   * @param upload streams the rest of a long body; null if {@code body} is complete
+   * @throws BadRequestException if the message is not a valid request; the caller then keeps
+   *     ownership of {@code body} and {@code bufferedBytes}
    */
   InFlightRequest parse(
       HttpRequest message,
@@ -72,16 +76,16 @@
     }
     HttpHeaders headers = message.headers();
     String traceId = traceId(headers);
-    int requestClass = indexOf(config.names().requestClasses(), headers, REQUEST_CLASS);
-    int plan = indexOf(config.names().quotaPlans(), headers, PLAN);
+    int requestClass = indexOfHeaderValue(config.names().requestClasses(), headers, REQUEST_CLASS);
+    int plan = indexOfHeaderValue(config.names().quotaPlans(), headers, PLAN);
     Idempotency idempotency = config.settings().requestClasses().get(requestClass).idempotency();
-    HttpMethod method = checkedMethod(message, idempotency, body);
+    HttpMethod method = validMethod(message, idempotency, body);
     String idempotencyKey =
         idempotency == Idempotency.KEYED
-            ? required(headers, IDEMPOTENCY_KEY)
+            ? requiredHeader(headers, IDEMPOTENCY_KEY)
             : headers.get(IDEMPOTENCY_KEY);
     long clientTimeoutNanos = clientTimeoutNanos(headers);
-    Map<String, String> quota = quotaParts(required(headers, QUOTA));
+    Map<String, String> quota = quotaParts(requiredHeader(headers, QUOTA));
     int nodeCount = config.settings().nodeCount();
     Request request =
         new Request(
@@ -91,14 +95,17 @@
             customer(headers),
             handler.policyDeadlineNanos(handler.nowNanos(), clientTimeoutNanos),
             units(quota.get("units")),
-            (int) wholeNumber(quota.get("spread"), "X-Quota spread", 1, nodeCount),
-            (int) wholeNumber(quota.get("first"), "X-Quota first", 0, nodeCount - 1L),
-            CLIENT_RETRY_YES.equals(headers.get(CLIENT_RETRY)));
+            (int) integerInRange(quota.get("spread"), "X-Quota spread", 1, nodeCount),
+            (int) integerInRange(quota.get("first"), "X-Quota first", 0, nodeCount - 1L),
+            CLIENT_RETRY_VALUE.equals(headers.get(CLIENT_RETRY)));
     return new InFlightRequest(
         request, method, uri, idempotencyKey, body, bufferedBytes, upload, responseWriter);
   }
 
-  /** The customer that a request names, or {@link BufferedBodies#UNKNOWN_CUSTOMER}. */
+  /**
+   * Returns the customer in the request's cookie, or {@link BufferedBodies#UNKNOWN_CUSTOMER} if it
+   * cannot be read.
+   */
   long customerOrUnknown(HttpRequest message) {
     try {
       return customer(message.headers());
@@ -108,16 +115,16 @@
   }
 
   private static String traceId(HttpHeaders headers) throws BadRequestException {
-    String traceId = required(headers, TRACE_ID);
+    String traceId = requiredHeader(headers, TRACE_ID);
     if (traceId.length() > MAX_TRACE_ID_LENGTH) {
       throw new BadRequestException("X-Trace-Id is too long");
     }
     return traceId;
   }
 
-  /** The request's method, which its class prescribes. */
-  private static HttpMethod checkedMethod(
-      HttpRequest message, Idempotency idempotency, ByteBuf body) throws BadRequestException {
+  /** Returns the request's method after checking it against the one that its class requires. */
+  private static HttpMethod validMethod(HttpRequest message, Idempotency idempotency, ByteBuf body)
+      throws BadRequestException {
     HttpMethod method = idempotency == Idempotency.IDEMPOTENT ? HttpMethod.GET : HttpMethod.POST;
     if (!message.method().equals(method)) {
       throw new BadRequestException(
@@ -130,12 +137,13 @@
   }
 
   private static long clientTimeoutNanos(HttpHeaders headers) throws BadRequestException {
-    String text = required(headers, EXPIRES_IN_MILLIS);
-    long waitMillis = wholeNumber(text, EXPIRES_IN_MILLIS, 1, MAX_EXPIRES_IN_MILLIS);
-    return waitMillis * NANOS_PER_MILLI;
+    String text = requiredHeader(headers, EXPIRES_IN_MILLIS);
+    long clientTimeoutMillis = integerInRange(text, EXPIRES_IN_MILLIS, 1, MAX_EXPIRES_IN_MILLIS);
+    return clientTimeoutMillis * NANOS_PER_MILLI;
   }
 
-  private static String required(HttpHeaders headers, String name) throws BadRequestException {
+  private static String requiredHeader(HttpHeaders headers, String name)
+      throws BadRequestException {
     List<String> values = headers.getAll(name);
     if (values.size() != 1 || values.get(0).isBlank()) {
       throw new BadRequestException(name + (values.size() > 1 ? " comes twice" : " is missing"));
@@ -143,9 +151,9 @@
     return values.get(0);
   }
 
-  private static int indexOf(List<String> names, HttpHeaders headers, String header)
+  private static int indexOfHeaderValue(List<String> names, HttpHeaders headers, String header)
       throws BadRequestException {
-    int index = names.indexOf(required(headers, header));
+    int index = names.indexOf(requiredHeader(headers, header));
     if (index < 0) {
       throw new BadRequestException(header + " is unknown");
     }
@@ -153,7 +161,7 @@
   }
 
   private static long customer(HttpHeaders headers) throws BadRequestException {
-    for (Cookie cookie : ServerCookieDecoder.LAX.decode(required(headers, COOKIE))) {
+    for (Cookie cookie : ServerCookieDecoder.LAX.decode(requiredHeader(headers, COOKIE))) {
       if (cookie.name().equals(CUSTOMER_COOKIE) && cookie.value().length() == CUSTOMER_DIGITS) {
         try {
           long customer = Long.parseUnsignedLong(cookie.value(), CUSTOMER_RADIX);
@@ -161,7 +169,7 @@
             return customer;
           }
         } catch (NumberFormatException e) {
-          // Another cookie may name the customer; reported below if none does.
+          // A further cookie may contain the customer; otherwise the exception below is thrown.
         }
       }
     }
@@ -185,12 +193,12 @@
         return units;
       }
     } catch (NumberFormatException e) {
-      // Reported below.
+      // The exception below is thrown.
     }
     throw new BadRequestException("X-Quota units is not a number above 0");
   }
 
-  private static long wholeNumber(String text, String name, long min, long max)
+  private static long integerInRange(String text, String name, long min, long max)
       throws BadRequestException {
     try {
       long value = text == null ? min - 1 : Long.parseLong(text.trim());
@@ -198,7 +206,7 @@
         return value;
       }
     } catch (NumberFormatException e) {
-      // Reported below.
+      // The exception below is thrown.
     }
     throw new BadRequestException(name + " is not a whole number from " + min + " to " + max);
   }
--- a/edge/src/main/java/edgegateway/node/clients/ResponseSender.java
+++ b/edge/src/main/java/edgegateway/node/clients/ResponseSender.java
@@ -17,8 +17,8 @@
 import java.util.Locale;
 
 /**
- * Writes responses to a client's connection, and tells the session when the last write of one was
- * made. For the event loop's thread.
+ * Writes responses to a client's connection and reports the completed ones to its session. Not
+ * thread-safe: used on the event loop's thread only.
  */
 final class ResponseSender {
   private static final double NANOS_PER_SECOND = 1e9;
@@ -39,7 +39,7 @@
     this.persistence = persistence;
   }
 
-  /** Writes a response with one line of text, or with no body for an empty text. */
+  /** Writes a response whose body is one line of text; an empty text results in an empty body. */
   void sendText(HttpResponseStatus status, String text) {
     ByteBuf body =
         text.isEmpty()
@@ -49,11 +49,11 @@
   }
 
   /**
-   * Writes a whole response.
+   * Writes a complete response.
    *
-   * @param body taken over
-   * @param retryAfterNanos for the header of that name; 0 for none
-   * @return completes when it is written
+   * @param body the sender takes ownership of it
+   * @param retryAfterNanos value of the Retry-After header; 0 to send none
+   * @return completes when the response is written
    */
   ChannelFuture send(HttpResponseStatus status, ByteBuf body, long retryAfterNanos) {
     boolean withoutBody = persistence.isHeadMethod();
@@ -66,7 +66,7 @@
       body.release();
     }
     if (retryAfterNanos > 0) {
-      headers.set(HttpHeaderNames.RETRY_AFTER, seconds(retryAfterNanos));
+      headers.set(HttpHeaderNames.RETRY_AFTER, formatSeconds(retryAfterNanos));
     }
     if (!session.isRequestComplete()) {
       persistence.closeAfterResponse();
@@ -78,10 +78,10 @@
   }
 
   /**
-   * Writes the head of a response whose body follows in pieces.
+   * Writes the head of a response whose body is streamed.
    *
-   * @param length of the body; -1 if it is not known
-   * @return whether only the connection's close ends the body
+   * @param length the body's length in bytes; -1 if it is not known
+   * @return whether the body is delimited by the connection's close only
    */
   boolean startStream(long length) {
     DefaultHttpResponse response =
@@ -99,24 +99,27 @@
     return closeDelimited;
   }
 
-  /** Writes the end of a body in pieces; the caller tells the session. */
+  /** Writes the end of a streamed body; the caller reports the response to the session. */
   ChannelFuture endStream() {
     return reportingProgress(channel.writeAndFlush(LastHttpContent.EMPTY_LAST_CONTENT));
   }
 
-  /** Writes an interim response, which a client with a request in flight ignores. */
+  /** Writes an interim {@code 100 Continue} response, which a waiting client ignores. */
   void sendContinue() {
     channel.writeAndFlush(
         new DefaultFullHttpResponse(HttpVersion.HTTP_1_1, HttpResponseStatus.CONTINUE));
   }
 
-  /** Lets the connection table time out a client that does not read its response. */
+  /**
+   * Reports the start and end of a write to the connection, so that the connection table can time
+   * out a client that does not read its response.
+   */
   private ChannelFuture reportingProgress(ChannelFuture write) {
     connection.writeStarted(System.nanoTime());
     return write.addListener(done -> connection.writeCompleted(System.nanoTime()));
   }
 
-  private static String seconds(long nanos) {
+  private static String formatSeconds(long nanos) {
     return String.format(Locale.ROOT, "%.3f", nanos / NANOS_PER_SECOND);
   }
 }
