--- a/edge/src/test/java/edgegateway/node/clients/ClientSessionTest.java
+++ b/edge/src/test/java/edgegateway/node/clients/ClientSessionTest.java
@@ -29,7 +29,7 @@
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
 
-/** One connection's requests and responses, without a socket. */
+/** Tests the requests and responses of one client connection, without a socket. */
 class ClientSessionTest {
   private static final String REQUEST =
       "GET /api HTTP/1.1\r\nX-Trace-Id: %s\r\nX-Qos: lookup\r\nX-Plan: bulk\r\n"
@@ -37,13 +37,13 @@
           + "X-Quota: units=1,spread=1,first=0\r\n%s\r\n";
 
   private final FakeRequestHandler handler = new FakeRequestHandler();
-  private final FakeServer server = new FakeServer();
+  private final FakeServerEvents server = new FakeServerEvents();
   private final ConnectionMetrics metrics = new ConnectionMetrics();
   private ClientConnectionTable connections;
   private EmbeddedChannel channel;
 
-  /** Counts the sessions' reports. */
-  private static final class FakeServer implements ClientSessionContext.ServerEvents {
+  /** Counts the events of sessions. */
+  private static final class FakeServerEvents implements ClientSessionContext.ServerEvents {
     private boolean draining;
     private int accepted;
     private int removed;
@@ -89,11 +89,11 @@
     return new EmbeddedChannel(
         new ChannelInitializer<Channel>() {
           @Override
-          protected void initChannel(Channel made) {
-            ClientSessionContext context = newContext(config, budget, made.eventLoop());
+          protected void initChannel(Channel created) {
+            ClientSessionContext context = newContext(config, budget, created.eventLoop());
             StrictRequestDecoder decoder = new StrictRequestDecoder(1_024);
             ClientSession session = new ClientSession(context, decoder);
-            made.pipeline().addLast(decoder, new HttpResponseEncoder(), session);
+            created.pipeline().addLast(decoder, new HttpResponseEncoder(), session);
           }
         });
   }
@@ -120,7 +120,7 @@
     channel.finishAndReleaseAll();
   }
 
-  private void read(String text) {
+  private void receive(String text) {
     channel.writeInbound(Unpooled.copiedBuffer(text, StandardCharsets.US_ASCII));
   }
 
@@ -128,7 +128,7 @@
     return REQUEST.formatted(id, headers);
   }
 
-  /** All that was written since the last call. */
+  /** Returns everything that was written to the client since the last call. */
   private String written() {
     StringBuilder text = new StringBuilder();
     for (ByteBuf part = channel.readOutbound(); part != null; part = channel.readOutbound()) {
@@ -146,7 +146,7 @@
 
   @Test
   void aRequestIsAcceptedAndItsResponseWritten() {
-    read(request("t-1", ""));
+    receive(request("t-1", ""));
     assertEquals("t-1", handler.accepted.get(0).request.id());
     respond(0, "done");
     assertEquals("HTTP/1.1 200 OK\r\ncontent-length: 4\r\n\r\ndone", written());
@@ -154,8 +154,8 @@
   }
 
   @Test
-  void aPipelinedRequestWaitsForTheResponseBeforeIt() {
-    read(request("t-1", "") + request("t-2", ""));
+  void aPipelinedRequestWaitsForThePreviousResponse() {
+    receive(request("t-1", "") + request("t-2", ""));
     assertEquals(1, handler.accepted.size());
     respond(0, "first");
     assertTrue(written().endsWith("first"));
@@ -166,9 +166,9 @@
   }
 
   @Test
-  void aResponseInADrainEndsTheConnection() {
+  void aResponseDuringADrainClosesTheConnection() {
     server.draining = true;
-    read(request("t-1", ""));
+    receive(request("t-1", ""));
     respond(0, "done");
     assertTrue(written().contains("connection: close\r\n"));
     assertFalse(channel.isOpen());
@@ -176,9 +176,9 @@
   }
 
   @Test
-  void aRequestWithAnIdInFlightIsAConflict() {
+  void aRequestWhoseIdIsInFlightGetsStatus409() {
     handler.duplicate = true;
-    read(request("t-1", ""));
+    receive(request("t-1", ""));
     String response = written();
     assertTrue(response.startsWith("HTTP/1.1 409 Conflict\r\n"), response);
     assertTrue(response.endsWith("a request of this id is open\n"), response);
@@ -186,8 +186,8 @@
   }
 
   @Test
-  void whatIsNoRequestEndsTheConnection() {
-    read("no request\r\n\r\n");
+  void aMalformedRequestGetsStatus400AndClosesTheConnection() {
+    receive("no request\r\n\r\n");
     String response = written();
     assertTrue(response.startsWith("HTTP/1.1 400 Bad Request\r\n"), response);
     assertTrue(response.endsWith("this is no request that can be read\n"), response);
@@ -195,26 +195,26 @@
   }
 
   @Test
-  void theHealthCheckIsAnsweredByTheNodesState() {
-    read("GET /_health HTTP/1.1\r\n\r\n");
+  void theHealthCheckReturnsTheNodesHealthAndAllowsGetOnly() {
+    receive("GET /_health HTTP/1.1\r\n\r\n");
     assertTrue(written().startsWith("HTTP/1.1 200 OK\r\n"));
     handler.healthy = false;
-    read("GET /_health HTTP/1.1\r\n\r\n");
+    receive("GET /_health HTTP/1.1\r\n\r\n");
     assertTrue(written().startsWith("HTTP/1.1 503 Service Unavailable\r\n"));
-    read("POST /_health HTTP/1.1\r\ncontent-length: 0\r\n\r\n");
+    receive("POST /_health HTTP/1.1\r\ncontent-length: 0\r\n\r\n");
     assertTrue(written().startsWith("HTTP/1.1 405 Method Not Allowed\r\n"));
   }
 
   @Test
-  void aBodyThatIsTooLongIsRejectedByItsHead() {
-    read("POST /api HTTP/1.1\r\ncontent-length: 33554433\r\n\r\n");
+  void aContentLengthAboveTheLimitIsRejectedBeforeTheBody() {
+    receive("POST /api HTTP/1.1\r\ncontent-length: 33554433\r\n\r\n");
     assertTrue(written().startsWith("HTTP/1.1 413 Request Entity Too Large\r\n"));
     assertFalse(channel.isOpen());
   }
 
   @Test
-  void aClientThatDisconnectsIsReportedWithItsRequest() {
-    read(request("t-1", ""));
+  void aDisconnectIsReportedWithTheRequestInFlight() {
+    receive(request("t-1", ""));
     channel.close();
     assertEquals(handler.accepted, handler.disconnected);
     assertEquals(List.of(1, 1, 1), List.of(server.accepted, server.removed, server.ended));
@@ -222,8 +222,8 @@
   }
 
   @Test
-  void aRequestIsAnsweredOnce() {
-    read(request("t-1", ""));
+  void aResponseCanBeClaimedOnlyOnce() {
+    receive(request("t-1", ""));
     respond(0, "done");
     assertNull(handler.accepted.get(0).claimResponse());
   }
--- a/edge/src/test/java/edgegateway/node/clients/ConnectionPersistenceTest.java
+++ b/edge/src/test/java/edgegateway/node/clients/ConnectionPersistenceTest.java
@@ -13,42 +13,45 @@
 import io.netty.handler.codec.http.HttpVersion;
 import org.junit.jupiter.api.Test;
 
-/** What a response says about its connection. */
+/** Tests the {@code Connection} header of responses. */
 class ConnectionPersistenceTest {
   private final ConnectionPersistence persistence = new ConnectionPersistence();
 
-  /** Its {@code Connection} header, after a request of this version and this header. */
-  private String announced(HttpVersion version, String requested, boolean last) {
+  /**
+   * Returns the {@code Connection} header of the response to a request with the given version and
+   * {@code Connection} header; null if the response has none.
+   */
+  private String responseHeader(HttpVersion version, String requestHeader, boolean last) {
     HttpRequest request = new DefaultHttpRequest(version, HttpMethod.GET, "/api");
-    if (requested != null) {
-      request.headers().set(HttpHeaderNames.CONNECTION, requested);
+    if (requestHeader != null) {
+      request.headers().set(HttpHeaderNames.CONNECTION, requestHeader);
     }
     persistence.requestReceived(request);
     HttpHeaders headers = new DefaultHttpHeaders();
     persistence.announce(headers, last);
-    String announced = headers.get(HttpHeaderNames.CONNECTION);
-    assertEquals("close".equals(announced), persistence.isCloseAnnounced());
-    return announced;
+    String responseHeader = headers.get(HttpHeaderNames.CONNECTION);
+    assertEquals("close".equals(responseHeader), persistence.isCloseAnnounced());
+    return responseHeader;
   }
 
   @Test
-  void http11PersistsUnlessOneSideEndsIt() {
-    assertNull(announced(HttpVersion.HTTP_1_1, null, false));
-    assertEquals("close", announced(HttpVersion.HTTP_1_1, "close", false));
-    assertEquals("close", announced(HttpVersion.HTTP_1_1, null, true));
+  void http11PersistsUnlessTheClientOrTheServerCloses() {
+    assertNull(responseHeader(HttpVersion.HTTP_1_1, null, false));
+    assertEquals("close", responseHeader(HttpVersion.HTTP_1_1, "close", false));
+    assertEquals("close", responseHeader(HttpVersion.HTTP_1_1, null, true));
   }
 
   @Test
-  void http10PersistsOnlyIfBothSidesSaySo() {
-    assertEquals("close", announced(HttpVersion.HTTP_1_0, null, false));
-    assertEquals("keep-alive", announced(HttpVersion.HTTP_1_0, "keep-alive", false));
+  void http10PersistsOnlyIfTheClientAsksAndTheServerAccepts() {
+    assertEquals("close", responseHeader(HttpVersion.HTTP_1_0, null, false));
+    assertEquals("keep-alive", responseHeader(HttpVersion.HTTP_1_0, "keep-alive", false));
     assertTrue(persistence.isHttp10());
-    assertEquals("close", announced(HttpVersion.HTTP_1_0, "keep-alive", true));
+    assertEquals("close", responseHeader(HttpVersion.HTTP_1_0, "keep-alive", true));
   }
 
   @Test
-  void aResponseThatEndsTheConnectionSaysSo() {
-    announced(HttpVersion.HTTP_1_1, null, false);
+  void closeAfterResponseIsAnnounced() {
+    responseHeader(HttpVersion.HTTP_1_1, null, false);
     persistence.closeAfterResponse();
     HttpHeaders headers = new DefaultHttpHeaders();
     persistence.announce(headers, false);
--- a/edge/src/test/java/edgegateway/node/clients/FakeRequestHandler.java
+++ b/edge/src/test/java/edgegateway/node/clients/FakeRequestHandler.java
@@ -6,12 +6,12 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** A node that records what the clients' side reports, on a clock of its own. */
+/** Request handler that records the reported requests and has a clock that tests set. */
 final class FakeRequestHandler implements ClientRequestHandler {
   long nowNanos;
   boolean healthy = true;
 
-  /** Whether ids are in flight already. */
+  /** Whether every request's id counts as already in flight. */
   boolean duplicate;
 
   final List<InFlightRequest> accepted = new ArrayList<>();
--- a/edge/src/test/java/edgegateway/node/clients/PipelinedMessagesTest.java
+++ b/edge/src/test/java/edgegateway/node/clients/PipelinedMessagesTest.java
@@ -23,7 +23,7 @@
 import java.util.TreeMap;
 import org.junit.jupiter.api.Test;
 
-/** How far a connection is read ahead, and what of that is counted as buffered. */
+/** Tests how far a connection is read ahead and how much of the queue counts as buffered. */
 class PipelinedMessagesTest {
   private static final int CAPACITY_BYTES = 1 << 20;
   private static final int OVERHEAD_BYTES = 128;
@@ -37,18 +37,18 @@
     bufferedBodies.applyBudget(new DescriptorBudget(1, 1, 1, 1, 1, CAPACITY_BYTES, 1, List.of()));
   }
 
-  private static HttpContent piece(int bytes) {
+  private static HttpContent chunk(int bytes) {
     return new DefaultHttpContent(Unpooled.wrappedBuffer(new byte[bytes]));
   }
 
-  private long heldBytes() {
+  private long bufferedBytes() {
     Map<String, Long> values = new TreeMap<>();
     metrics.forEach(values::put);
     return values.get("held_bytes");
   }
 
   @Test
-  void returnsMessagesInTheirOrder() {
+  void returnsMessagesInTheOrderOfArrival() {
     HttpRequest head = new DefaultHttpRequest(HttpVersion.HTTP_1_1, HttpMethod.GET, "/api");
     messages.add(head);
     assertFalse(messages.hasEndOfBody());
@@ -61,56 +61,61 @@
   }
 
   @Test
-  void countsNothingWhileLittleIsQueued() {
-    messages.add(piece(4 * 1024 - OVERHEAD_BYTES));
+  void countsNothingUpToTheThreshold() {
+    messages.add(chunk(4 * 1024 - OVERHEAD_BYTES));
     assertFalse(messages.updateReadAhead(CUSTOMER));
-    assertEquals(0, heldBytes());
+    assertEquals(0, bufferedBytes());
   }
 
   @Test
-  void countsAllOnceMoreIsQueuedAndNothingWhenItIsHandled() {
-    messages.add(piece(4 * 1024));
-    assertFalse(messages.updateReadAhead(CUSTOMER), "read on, for there is much capacity");
-    assertEquals(4 * 1024 + OVERHEAD_BYTES, heldBytes());
+  void countsAllBytesAboveTheThresholdAndNoneOnceTheQueueIsEmpty() {
+    messages.add(chunk(4 * 1024));
+    assertFalse(
+        messages.updateReadAhead(CUSTOMER),
+        "reading continues while more than half of the capacity is free");
+    assertEquals(4 * 1024 + OVERHEAD_BYTES, bufferedBytes());
     ReferenceCountUtil.release(messages.poll());
     assertFalse(messages.updateReadAhead(CUSTOMER));
-    assertEquals(0, heldBytes());
+    assertEquals(0, bufferedBytes());
   }
 
   @Test
-  void countsAHeadWithItsHeaders() {
+  void countsTheHeadersOfAHead() {
     HttpRequest head = new DefaultHttpRequest(HttpVersion.HTTP_1_1, HttpMethod.GET, "/api");
     head.headers().set("Name", "x".repeat(4 * 1024));
     messages.add(head);
     messages.updateReadAhead(CUSTOMER);
-    assertEquals(2 * OVERHEAD_BYTES + "/api".length() + "Name".length() + 4 * 1024, heldBytes());
+    assertEquals(
+        2 * OVERHEAD_BYTES + "/api".length() + "Name".length() + 4 * 1024, bufferedBytes());
   }
 
   @Test
-  void readsNoFurtherThanItsLimit() {
-    messages.add(piece(128 * 1024 - OVERHEAD_BYTES));
+  void stopsReadingAboveTheReadAheadLimit() {
+    messages.add(chunk(128 * 1024 - OVERHEAD_BYTES));
     assertFalse(messages.updateReadAhead(CUSTOMER));
-    messages.add(piece(0));
+    messages.add(chunk(0));
     assertTrue(messages.updateReadAhead(CUSTOMER));
   }
 
   @Test
-  void readsNoFurtherWhileHalfOfTheCapacityIsUsed() {
+  void stopsReadingWhileHalfOfTheCapacityIsUsed() {
     bufferedBodies.newBody(8).resize(CAPACITY_BYTES / 2);
-    messages.add(piece(1_024));
-    assertFalse(messages.updateReadAhead(CUSTOMER), "little is read on in any case");
-    messages.add(piece(4 * 1024));
+    messages.add(chunk(1_024));
+    assertFalse(
+        messages.updateReadAhead(CUSTOMER),
+        "a queue below the counting threshold never stops reading");
+    messages.add(chunk(4 * 1024));
     assertTrue(messages.updateReadAhead(CUSTOMER));
   }
 
   @Test
-  void releasesAllThatIsQueued() {
-    HttpContent piece = piece(8 * 1024);
-    messages.add(piece);
+  void releasesAllQueuedMessages() {
+    HttpContent chunk = chunk(8 * 1024);
+    messages.add(chunk);
     messages.updateReadAhead(CUSTOMER);
     messages.release();
-    assertEquals(0, piece.refCnt());
-    assertEquals(0, heldBytes());
+    assertEquals(0, chunk.refCnt());
+    assertEquals(0, bufferedBytes());
     assertTrue(messages.isEmpty());
   }
 }
--- a/edge/src/test/java/edgegateway/node/clients/RequestParserTest.java
+++ b/edge/src/test/java/edgegateway/node/clients/RequestParserTest.java
@@ -21,7 +21,7 @@
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
 
-/** What is read from a request's head, and what a client is told of a request that is none. */
+/** Tests the parsing of request heads and the errors for invalid requests. */
 class RequestParserTest {
   private static final long NANOS_PER_MILLI = 1_000_000L;
   private final FakeRequestHandler handler = new FakeRequestHandler();
@@ -90,23 +90,23 @@
   }
 
   @Test
-  void rejectsOtherPathsAndMethods() {
+  void rejectsUnknownPathsAndWrongMethods() {
     assertRejected(404, "no such path", request(HttpMethod.GET, "/apis", "lookup"));
     assertRejected(405, "this class goes by GET", request(HttpMethod.POST, "/api", "lookup"));
     assertRejected(405, "this class goes by POST", request(HttpMethod.GET, "/api", "strict"));
   }
 
   @Test
-  void rejectsABodyOfAGet() {
+  void rejectsAGetWithABody() {
     ByteBuf body = Unpooled.copiedBuffer(new byte[1]);
     BadRequestException rejected =
         assertThrows(BadRequestException.class, () -> parse(lookup(), body));
     assertEquals("a GET has no body", rejected.getMessage());
-    assertEquals(1, body.refCnt(), "the body stays the caller's");
+    assertEquals(1, body.refCnt(), "the caller keeps ownership of the body");
   }
 
   @Test
-  void requiresAKeyWhereTheClassIsDeduplicatedByIt() throws Exception {
+  void requiresAnIdempotencyKeyForKeyedRequestClasses() throws Exception {
     HttpRequest message = request(HttpMethod.POST, "/api", "order");
     assertRejected(400, "Idempotency-Key is missing", message);
     message.headers().set("Idempotency-Key", "k-1");
@@ -114,7 +114,7 @@
   }
 
   @Test
-  void namesTheHeaderThatIsMissingRepeatedOrUnknown() {
+  void errorsNameTheMissingRepeatedOrUnknownHeader() {
     for (String name :
         new String[] {"X-Trace-Id", "X-Qos", "X-Plan", "Cookie", "X-Expires-In-Ms", "X-Quota"}) {
       HttpRequest missing = lookup();
@@ -128,7 +128,7 @@
   }
 
   @Test
-  void rejectsValuesOutOfRange() {
+  void rejectsInvalidHeaderValues() {
     assertRejectedValue("X-Trace-Id", "t".repeat(129), "X-Trace-Id is too long");
     assertRejectedValue(
         "X-Expires-In-Ms", "0", "X-Expires-In-Ms is not a whole number from 1 to 3600000");
@@ -154,7 +154,7 @@
   }
 
   @Test
-  void namesTheCustomerOfARequestThatCannotBeReadOtherwise() {
+  void readsTheCustomerOfAnOtherwiseInvalidRequest() {
     HttpRequest message = request(HttpMethod.GET, "/nowhere", "nothing");
     assertEquals(42, parser.customerOrUnknown(message));
     message.headers().remove("Cookie");
--- a/edge/src/test/java/edgegateway/node/clients/StrictRequestDecoderTest.java
+++ b/edge/src/test/java/edgegateway/node/clients/StrictRequestDecoderTest.java
@@ -11,27 +11,27 @@
 import java.nio.charset.StandardCharsets;
 import org.junit.jupiter.api.Test;
 
-/** Which requests are rejected while they are decoded. */
+/** Tests which requests the decoder rejects. */
 class StrictRequestDecoderTest {
   private static final int MAX_CHUNK_BYTES = 1_024;
   private final StrictRequestDecoder decoder = new StrictRequestDecoder(MAX_CHUNK_BYTES);
   private final EmbeddedChannel channel = new EmbeddedChannel(decoder);
 
-  private void read(String text) {
+  private void receive(String text) {
     channel.writeInbound(Unpooled.copiedBuffer(text, StandardCharsets.US_ASCII));
   }
 
   @Test
-  void rejectsARequestWithTwoLengths() {
-    read("POST /api HTTP/1.1\r\nContent-Length: 4\r\nTransfer-Encoding: chunked\r\n\r\n");
+  void rejectsContentLengthWithChunkedEncoding() {
+    receive("POST /api HTTP/1.1\r\nContent-Length: 4\r\nTransfer-Encoding: chunked\r\n\r\n");
     HttpRequest request = channel.readInbound();
     assertTrue(request.decoderResult().isFailure());
     channel.finishAndReleaseAll();
   }
 
   @Test
-  void acceptsARequestWithOneLength() {
-    read("POST /api HTTP/1.1\r\nContent-Length: 4\r\n\r\nbook");
+  void acceptsContentLengthAlone() {
+    receive("POST /api HTTP/1.1\r\nContent-Length: 4\r\n\r\nbook");
     HttpRequest request = channel.readInbound();
     assertTrue(request.decoderResult().isSuccess());
     assertEquals("/api", request.uri());
@@ -40,11 +40,11 @@
   }
 
   @Test
-  void tellsWhetherARequestHasBegun() {
+  void reportsUndecodedBytesOfAnIncompleteHead() {
     assertFalse(decoder.hasUndecodedBytes());
-    read("GET /api HT");
+    receive("GET /api HT");
     assertTrue(decoder.hasUndecodedBytes());
-    read("TP/1.1\r\n\r\n");
+    receive("TP/1.1\r\n\r\n");
     assertFalse(decoder.hasUndecodedBytes());
     channel.finishAndReleaseAll();
   }
