--- a/edge/src/main/java/edgegateway/node/EdgeNode.java
+++ b/edge/src/main/java/edgegateway/node/EdgeNode.java
@@ -253,7 +253,7 @@
   public void admit() {
     loop.submit(
             () -> {
-              if (!clients.stopping()) {
+              if (!clients.isStopping()) {
                 slots.setAccepting(true);
                 admitted = true;
                 takingClients = true;
@@ -288,7 +288,7 @@
 
   /** Whether the process is ending. For any thread. */
   boolean stopping() {
-    return clients.stopping();
+    return clients.isStopping();
   }
 
   /**
@@ -316,12 +316,14 @@
 
   @Override
   public boolean ready() {
-    return takingClients && discovery.isInitialized() && !clients.draining();
+    return takingClients && discovery.isInitialized() && !clients.isDraining();
   }
 
   @Override
   public boolean healthy() {
-    return admitted && discovery.isInitialized() && (!clients.draining() || clients.isSuperseded());
+    return admitted
+        && discovery.isInitialized()
+        && (!clients.isDraining() || clients.isSuperseded());
   }
 
   /** The operators' commands of this node. For any thread. */
