--- a/edge/src/main/java/edgegateway/node/config/NodeConfigParser.java
+++ b/edge/src/main/java/edgegateway/node/config/NodeConfigParser.java
@@ -198,7 +198,7 @@
     }
     String key = "settings." + path;
     throw new InvalidConfigException(
-        key, key + " is not a finite number of at least 0: " + settingsByPath.get(path));
+        key, key + " is not a number of at least 0: " + settingsByPath.get(path));
   }
 
   /** Parses a number, or a string of a 64-bit hexadecimal number. */
