--- a/edge/src/main/java/edgegateway/node/DescriptorBudgetService.java
+++ b/edge/src/main/java/edgegateway/node/DescriptorBudgetService.java
@@ -42,7 +42,7 @@
 
   /** Allocates the descriptors according to the number of running processes of this node. */
   void allocate() {
-    allocate(slots.otherLives() ? PROCESSES_IN_UPGRADE : 1);
+    allocate(slots.isOtherProcessAlive() ? PROCESSES_IN_UPGRADE : 1);
   }
 
   private DescriptorBudget allocate(int processes) {
--- a/edge/src/main/java/edgegateway/node/EdgeNode.java
+++ b/edge/src/main/java/edgegateway/node/EdgeNode.java
@@ -190,7 +190,7 @@
   /** Returns when a first discovery message has arrived or the wait for it has timed out. */
   private void startDiscovery() throws Exception {
     loop.submit(() -> discovery.start(config.knownEndpoints().revision())).get();
-    discovery.firstMessage().get();
+    discovery.initialization().get();
   }
 
   /**
@@ -254,7 +254,7 @@
     loop.submit(
             () -> {
               if (!clients.stopping()) {
-                slots.take(true);
+                slots.setAccepting(true);
                 admitted = true;
                 takingClients = true;
               }
@@ -279,8 +279,8 @@
 
   /** Returns the state to transfer to the successor; null if there is no successor. */
   private StateTransfer stopOnLoop(CompletableFuture<Void> drained) {
-    boolean hasSuccessor = slots.otherTakes();
-    slots.take(false);
+    boolean hasSuccessor = slots.isOtherProcessAccepting();
+    slots.setAccepting(false);
     zoneEjection.stopVoting();
     clients.stop(drained, hasSuccessor);
     return hasSuccessor ? policyEvents.policy().exportState(policyEvents.nowNanos()) : null;
@@ -316,12 +316,12 @@
 
   @Override
   public boolean ready() {
-    return takingClients && discovery.hasStarted() && !clients.draining();
+    return takingClients && discovery.isInitialized() && !clients.draining();
   }
 
   @Override
   public boolean healthy() {
-    return admitted && discovery.hasStarted() && (!clients.draining() || clients.isSuperseded());
+    return admitted && discovery.isInitialized() && (!clients.draining() || clients.isSuperseded());
   }
 
   /** The operators' commands of this node. For any thread. */
--- a/edge/src/main/java/edgegateway/node/OperatorEjections.java
+++ b/edge/src/main/java/edgegateway/node/OperatorEjections.java
@@ -45,12 +45,12 @@
 
   /** Applies the files if another process of this node, running or earlier, has changed them. */
   void applyFileChanges() {
-    Set<String> endpoints = endpointsFile.changed();
+    Set<String> endpoints = endpointsFile.readIfChanged();
     if (endpoints != null) {
       policyEvents.run((policy, now) -> policy.restoreEjectedEndpoints(now, endpoints));
       endpoints.forEach(upstreamPool::endpointEjected);
     }
-    Set<String> zones = zonesFile.changed();
+    Set<String> zones = zonesFile.readIfChanged();
     if (zones != null) {
       Set<Integer> indexes = indexesOf(zones);
       policyEvents.run((policy, now) -> policy.restoreEjectedZones(now, indexes));
