--- a/edge/src/test/java/edgegateway/node/ClientDisconnectTest.java
+++ b/edge/src/test/java/edgegateway/node/ClientDisconnectTest.java
@@ -205,7 +205,7 @@
                 server.address(),
                 text ->
                     text.replace("\"count-wait-ns\": 50000000", "\"count-wait-ns\": 4000000000"));
-        counter.seen.clear();
+        counter.received.clear();
         Socket client = client(node);
         // Of a customer that comes through several edge nodes, and of whom nothing was heard, it is
         // asked first.
@@ -217,7 +217,7 @@
                     .getBytes(StandardCharsets.US_ASCII));
         counter.next();
         awaitLog(node, "app.in_progress=1");
-        assertTrue(server.seen.isEmpty(), "sent on before the counter answered");
+        assertTrue(server.received.isEmpty(), "sent on before the counter answered");
         awaitMaxDelay(disconnect(client, reset));
         go.complete(null);
         awaitLog(node, "app.in_progress=0");
@@ -350,7 +350,7 @@
         still.complete(null);
         assertEquals("held", FakePeer.read(first).body());
         awaitLog(node, "app.in_progress=0");
-        if (!server.seen.isEmpty()) {
+        if (!server.received.isEmpty()) {
           note(server.next(), "none", Reading.ON, reset);
           // Its attempt is out and holds the one connection.
           return;
@@ -391,7 +391,7 @@
       assertEquals("held", FakePeer.read(first).body());
       int lines = 0;
       FakePeer.Message answer = FakePeer.read(second);
-      for (; answer.first().contains(" 100 "); answer = FakePeer.read(second)) {
+      for (; answer.startLine().contains(" 100 "); answer = FakePeer.read(second)) {
         lines++;
       }
       assertEquals("200", status(answer), how.toString());
@@ -421,6 +421,6 @@
     go.complete(null);
     assertEquals("held", FakePeer.read(first).body());
     assertEquals("503", status(FakePeer.read(second)));
-    assertTrue(server.seen.isEmpty());
+    assertTrue(server.received.isEmpty());
   }
 }
--- a/edge/src/test/java/edgegateway/node/ConnectionsTest.java
+++ b/edge/src/test/java/edgegateway/node/ConnectionsTest.java
@@ -347,7 +347,7 @@
 
   private static FakePeer.Message answer(Socket from) throws IOException {
     FakePeer.Message answer = FakePeer.read(from);
-    while (answer.first().contains(" 100 ")) {
+    while (answer.startLine().contains(" 100 ")) {
       answer = FakePeer.read(from);
     }
     return answer;
@@ -509,7 +509,7 @@
     assertEquals("502", end(client));
     silent.next();
     assertEquals("200", ask(client, "t-2"));
-    assertNotNull(silent.ended.poll(30, TimeUnit.SECONDS));
+    assertNotNull(silent.closedConnections.poll(30, TimeUnit.SECONDS));
     assertEquals(2, figure(node, "connections.archive_servers.opened"));
   }
 
@@ -568,7 +568,7 @@
     discovery =
         peer(
             m -> {
-              if (m.first().contains("after=5")) {
+              if (m.startLine().contains("after=5")) {
                 go.join();
                 m.answer(
                     "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
@@ -583,8 +583,8 @@
     assertEquals("200", ask(client, "t-1"));
     Socket usedBefore = old.next().socket();
     go.complete(null);
-    assertNotNull(old.ended.poll(60, TimeUnit.SECONDS), "its idle connection goes");
-    for (int i = 0; old.seen.isEmpty() || moved.seen.isEmpty(); i++) {
+    assertNotNull(old.closedConnections.poll(60, TimeUnit.SECONDS), "its idle connection goes");
+    for (int i = 0; old.received.isEmpty() || moved.received.isEmpty(); i++) {
       assertEquals("200", ask(client, "u-" + i));
     }
     assertTrue(old.next().socket() != usedBefore);
@@ -692,7 +692,7 @@
     discovery =
         peer(
             m -> {
-              if (discovery.seen.size() > 1 && away.get()) {
+              if (discovery.received.size() > 1 && away.get()) {
                 never.join();
               }
               String told = away.get() ? "\n" : change;
--- a/edge/src/test/java/edgegateway/node/DiscoveryRaceTest.java
+++ b/edge/src/test/java/edgegateway/node/DiscoveryRaceTest.java
@@ -1,6 +1,6 @@
 package edgegateway.node;
 
-import static edgegateway.node.DiscoveryMessages.WATCH;
+import static edgegateway.node.DiscoveryMessages.WATCH_RESPONSE_HEAD;
 import static edgegateway.node.DiscoveryMessages.chunk;
 import static edgegateway.node.DiscoveryMessages.list;
 import static org.junit.jupiter.api.Assertions.assertEquals;
@@ -43,7 +43,7 @@
         peer(
             m -> {
               go.join();
-              m.answer(WATCH + chunk(listed));
+              m.answer(WATCH_RESPONSE_HEAD + chunk(listed));
             });
     int port = freePort();
     EdgeNode node =
@@ -110,7 +110,7 @@
               if (call == 0) {
                 return;
               }
-              m.answer(WATCH);
+              m.answer(WATCH_RESPONSE_HEAD);
               if (call == 1) {
                 m.answer(chunk(complete.substring(0, complete.length() / 2)));
                 m.socket().close();
--- a/edge/src/test/java/edgegateway/node/EdgeNodeTest.java
+++ b/edge/src/test/java/edgegateway/node/EdgeNodeTest.java
@@ -51,13 +51,14 @@
       assertEquals("200", status(answer));
       assertEquals("done", answer.body());
       FakePeer.Message sent = server.next();
-      assertEquals("POST /api?slot=4 HTTP/1.1", sent.first());
+      assertEquals("POST /api?slot=4 HTTP/1.1", sent.startLine());
       assertEquals("book", sent.body());
       assertEquals(id, sent.headers().get("x-trace-id"));
       assertEquals("key-" + id, sent.headers().get("idempotency-key"));
       assertTrue(Long.parseLong(sent.headers().get("x-expires-in-ms")) <= 20_000);
     }
-    assertTrue(server.ended.isEmpty(), "the second request must not need a second connection");
+    assertTrue(
+        server.closedConnections.isEmpty(), "the second request must not need a second connection");
   }
 
   /** A null channel in the connect's listener once failed every first request on a connection. */
@@ -74,7 +75,7 @@
         WarmUp.run(NodeConfigParser.parse(config(member("s-0", server.address(), "Ready", 0))))
             > 0);
     for (FakePeer peer : List.of(server, counter, discovery)) {
-      assertTrue(peer.seen.isEmpty());
+      assertTrue(peer.received.isEmpty());
     }
     assertEquals(
         0, WarmUp.run(NodeConfigParser.parse(config())), "without a list there is nobody to serve");
@@ -157,7 +158,7 @@
     Socket noise = client(node);
     noise.getOutputStream().write("\u0001noise\r\n\r\n".getBytes(StandardCharsets.UTF_8));
     assertEquals("400", status(FakePeer.read(noise)));
-    assertTrue(server.seen.isEmpty(), "none of these may reach an app server");
+    assertTrue(server.received.isEmpty(), "none of these may reach an app server");
   }
 
   @Test
@@ -186,7 +187,7 @@
       write(client, "POST /api", headers, "0\r\n\r\n");
       assertEquals("400", status(FakePeer.read(client)), twice);
     }
-    assertTrue(server.seen.isEmpty());
+    assertTrue(server.received.isEmpty());
   }
 
   /** A line of requests longer than what may wait once cost all of them their answers. */
@@ -258,7 +259,7 @@
       write(client, "POST /api", headers("t-1", "strict", "20000"), "book");
       assertEquals("502", status(FakePeer.read(client)), answer);
       server.next();
-      assertTrue(server.seen.isEmpty(), "it must have been sent once: " + answer);
+      assertTrue(server.received.isEmpty(), "it must have been sent once: " + answer);
     }
   }
 
@@ -345,7 +346,9 @@
     write(client, "POST /api", headers("t-1", "strict", "2500"), "book");
     assertEquals("502", status(FakePeer.read(client)));
     server.next();
-    assertNotNull(server.ended.poll(60, TimeUnit.SECONDS), "the silent connection must be closed");
+    assertNotNull(
+        server.closedConnections.poll(60, TimeUnit.SECONDS),
+        "the silent connection must be closed");
   }
 
   @Test
@@ -398,7 +401,7 @@
     discovery =
         peer(
             m -> {
-              if (m.first().contains("after=5")) {
+              if (m.startLine().contains("after=5")) {
                 go.join();
                 m.answer(
                     "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
@@ -413,16 +416,16 @@
     order(client, "t-1");
     assertEquals("old", FakePeer.read(client).body());
     go.complete(null);
-    String call = discovery.next().first();
+    String call = discovery.next().startLine();
     assertTrue(call.contains("watch=1&after=5"));
     while (call.contains("watch=1&after=5")) {
       // The first hung: another was opened beside it.
-      call = discovery.next().first();
+      call = discovery.next().startLine();
     }
     assertTrue(call.contains("watch=1&after=8"), call);
     // The server has restarted elsewhere: its connection at the old address goes, the new one is
     // used.
-    assertNotNull(old.ended.poll(60, TimeUnit.SECONDS));
+    assertNotNull(old.closedConnections.poll(60, TimeUnit.SECONDS));
     order(client, "t-2");
     assertEquals("new", FakePeer.read(client).body());
   }
@@ -443,20 +446,20 @@
     counter = peer(m -> m.answer(FakePeer.ok("", "1")));
     Files.writeString(file, config(member("s-0", server.address(), "Ready", 0)));
     signal(process, "HUP");
-    assertTrue(discovery.next().first().contains("watch=1"));
+    assertTrue(discovery.next().startLine().contains("watch=1"));
     Socket client = new Socket(at.getAddress(), at.getPort());
     toClose.add(client);
     // The module calls when its budget lets it: a customer never heard of is asked about sooner or
     // later.
-    for (int i = 0; counter.seen.isEmpty(); i++) {
+    for (int i = 0; counter.received.isEmpty(); i++) {
       Map<String, String> headers = headers("t-" + i, "order", "20000");
       headers.put("Cookie", "customer=00000000" + (10000000 + i));
       headers.put("X-Quota", "units=1,spread=2,first=0");
       write(client, "POST /api", headers, "");
       assertNotNull(FakePeer.read(client));
     }
-    assertTrue(counter.next().first().startsWith("POST /tally/"));
-    assertTrue(oldCounter.seen.isEmpty());
+    assertTrue(counter.next().startLine().startsWith("POST /tally/"));
+    assertTrue(oldCounter.received.isEmpty());
     process.destroy();
     assertEquals(0, process.waitFor());
   }
@@ -486,7 +489,7 @@
           }
         };
     new ConfigurationReloader(node, file, new EventLog(System.out, completesTheFile)).reload();
-    assertTrue(discovery.next().first().contains("watch=1"));
+    assertTrue(discovery.next().startLine().contains("watch=1"));
   }
 
   /**
@@ -505,7 +508,8 @@
     EdgeNode node = node(server);
     discovery.next();
     assertTrue(
-        discovery.next().first().contains("after=5"), "the revision of an error's body was taken");
+        discovery.next().startLine().contains("after=5"),
+        "the revision of an error's body was taken");
     assertEquals("200", ask(client(node), "t-1"));
   }
 
@@ -518,7 +522,7 @@
     CompletableFuture<Void> go = new CompletableFuture<>();
     counting =
         m -> {
-          if (counter.seen.size() == 1) {
+          if (counter.received.size() == 1) {
             go.join();
             m.answer(FakePeer.ok("", "77"));
           } else {
@@ -545,8 +549,8 @@
       go.complete(null);
       assertEquals("4 OK 88.0", told.poll(60, TimeUnit.SECONDS));
     }
-    assertEquals("POST /tally/4?n=1.5&keep_ms=4000 HTTP/1.1", counter.next().first());
-    assertEquals("POST /tally/4?n=-2.25&keep_ms=4000 HTTP/1.1", counter.next().first());
+    assertEquals("POST /tally/4?n=1.5&keep_ms=4000 HTTP/1.1", counter.next().startLine());
+    assertEquals("POST /tally/4?n=-2.25&keep_ms=4000 HTTP/1.1", counter.next().startLine());
   }
 
   /**
@@ -580,7 +584,7 @@
                 .get();
         loop.execute(() -> client.add(4, 1, 4_000_000_000L));
         assertEquals("4 RESET", told.poll(60, TimeUnit.SECONDS), answer);
-        assertNotNull(broken.ended.poll(60, TimeUnit.SECONDS), answer);
+        assertNotNull(broken.closedConnections.poll(60, TimeUnit.SECONDS), answer);
       }
     }
   }
@@ -673,7 +677,7 @@
     FakePeer server = peer(m -> m.answer(FakePeer.ok("", "served")));
     EdgeNode node = node(server);
     for (int calls = 0; calls < 3; calls++) {
-      assertTrue(discovery.next().first().contains("after=5"));
+      assertTrue(discovery.next().startLine().contains("after=5"));
     }
     assertEquals("200", ask(client(node), "t-1"));
     assertEquals(1, node.loop.submit(() -> node.upstreamPool.endpointCount()).get());
--- a/edge/src/test/java/edgegateway/node/FakePeer.java
+++ b/edge/src/test/java/edgegateway/node/FakePeer.java
@@ -16,59 +16,68 @@
 import java.util.concurrent.atomic.AtomicInteger;
 
 /**
- * A scripted HTTP/1.1 peer on loopback: whatever an edge node connects to, written on plain
- * sockets.
+ * A scripted HTTP/1.1 server on loopback, built on plain sockets. It plays an archive server,
+ * discovery or the counter, and records the messages it receives.
  */
 final class FakePeer implements AutoCloseable {
-  /** What came: the request line, the headers by lower-case name, the body. */
-  record Message(String first, Map<String, String> headers, String body, Socket socket) {
+  /**
+   * A request that the peer received, or a response that a test read.
+   *
+   * @param startLine the request line or the status line
+   * @param headers by lower-case name
+   * @param socket the connection that it came over
+   */
+  record Message(String startLine, Map<String, String> headers, String body, Socket socket) {
     void answer(String text) throws IOException {
       socket.getOutputStream().write(text.getBytes(StandardCharsets.UTF_8));
       socket.getOutputStream().flush();
     }
   }
 
-  /** What a peer does with a message; it may answer, close the connection, or keep silent. */
+  /** Handles a request: may answer it, close the connection, or do nothing. */
   interface Script {
     void on(Message message) throws IOException, InterruptedException;
   }
 
-  final BlockingQueue<Message> seen = new LinkedBlockingQueue<>();
-  final BlockingQueue<Socket> ended = new LinkedBlockingQueue<>();
-  private final ServerSocket listening = new ServerSocket(0, 50, InetAddress.getLoopbackAddress());
+  /** The requests received on all connections, in order of their arrival. */
+  final BlockingQueue<Message> received = new LinkedBlockingQueue<>();
+
+  /** The connections on which the node sent the end of the stream. A reset adds nothing. */
+  final BlockingQueue<Socket> closedConnections = new LinkedBlockingQueue<>();
 
+  private final ServerSocket listening = new ServerSocket(0, 50, InetAddress.getLoopbackAddress());
   private final AtomicInteger accepted = new AtomicInteger();
 
   FakePeer(Script script) throws IOException {
-    daemon(
+    startDaemon(
         () -> {
           while (true) {
             Socket socket = listening.accept();
             accepted.incrementAndGet();
-            daemon(
+            startDaemon(
                 () -> {
                   for (Message m = read(socket); m != null; m = read(socket)) {
-                    seen.add(m);
+                    received.add(m);
                     script.on(m);
                   }
-                  ended.add(socket);
+                  closedConnections.add(socket);
                 });
           }
         });
   }
 
-  private interface Work {
+  private interface Task {
     void run() throws IOException, InterruptedException;
   }
 
-  private static void daemon(Work work) {
+  private static void startDaemon(Task task) {
     Thread thread =
         new Thread(
             () -> {
               try {
-                work.run();
+                task.run();
               } catch (IOException | InterruptedException e) {
-                // The other side or the test is over.
+                // The node closed the connection, or the test ended and closed the peer.
               }
             });
     thread.setDaemon(true);
@@ -79,42 +88,49 @@
     return "127.0.0.1:" + listening.getLocalPort();
   }
 
-  /** How many connections came. */
+  /** The number of connections accepted so far. */
   int accepted() {
     return accepted.get();
   }
 
+  /** Returns the next received request; fails after 30 seconds without any. */
   Message next() throws InterruptedException {
-    Message message = seen.poll(30, TimeUnit.SECONDS);
+    Message message = received.poll(30, TimeUnit.SECONDS);
     if (message == null) {
-      throw new AssertionError("nothing came");
+      throw new AssertionError("no request was received within 30 seconds");
     }
     return message;
   }
 
+  /**
+   * A response with status 200.
+   *
+   * @param headers header lines, each with its CR LF; may be empty
+   * @param body ASCII only, as its length is sent as the content length
+   */
   static String ok(String headers, String body) {
     return "HTTP/1.1 200 OK\r\n" + headers + "Content-Length: " + body.length() + "\r\n\r\n" + body;
   }
 
-  /** Reads one message; null at the connection's end. */
+  /** Reads a request or a response; null if the stream ended before its headers. */
   static Message read(Socket socket) throws IOException {
     InputStream in = socket.getInputStream();
-    String first = line(in);
-    if (first == null) {
+    String startLine = readLine(in);
+    if (startLine == null) {
       return null;
     }
     Map<String, String> headers = new TreeMap<>();
-    for (String header = line(in); header != null && !header.isEmpty(); header = line(in)) {
+    for (String header = readLine(in); header != null && !header.isEmpty(); header = readLine(in)) {
       int colon = header.indexOf(':');
       headers.put(
           header.substring(0, colon).toLowerCase(Locale.ROOT), header.substring(colon + 1).trim());
     }
     int length = Integer.parseInt(headers.getOrDefault("content-length", "0"));
     return new Message(
-        first, headers, new String(in.readNBytes(length), StandardCharsets.UTF_8), socket);
+        startLine, headers, new String(in.readNBytes(length), StandardCharsets.UTF_8), socket);
   }
 
-  private static String line(InputStream in) throws IOException {
+  private static String readLine(InputStream in) throws IOException {
     ByteArrayOutputStream line = new ByteArrayOutputStream();
     for (int b = in.read(); b != '\n'; b = in.read()) {
       if (b < 0) {
--- a/edge/src/test/java/edgegateway/node/LongBodyTest.java
+++ b/edge/src/test/java/edgegateway/node/LongBodyTest.java
@@ -234,7 +234,7 @@
         peer(
             m -> {
               OutputStream out = m.socket().getOutputStream();
-              if (m.first().contains("whole")) {
+              if (m.startLine().contains("whole")) {
                 // More than the system holds on its way.
                 say(out, "HTTP/1.1 200 OK\r\nContent-Length: " + 11 * BODY.length + "\r\n\r\n");
                 for (int i = 0; i < 11; i++) {
@@ -242,18 +242,18 @@
                 }
                 return;
               }
-              boolean chunks = m.first().contains("chunked");
+              boolean chunks = m.startLine().contains("chunked");
               say(
                   out,
                   "HTTP/1.1 200 OK\r\n"
                       + (chunks
                           ? "Transfer-Encoding: chunked"
-                          : m.first().contains("length")
+                          : m.startLine().contains("length")
                               ? "Content-Length: 2000000000"
                               : "Connection: close")
                       + "\r\n\r\n");
               // Endless means for longer than anybody waits here.
-              for (int i = 0; i < (m.first().contains("endless") ? 3_000 : 5); i++) {
+              for (int i = 0; i < (m.startLine().contains("endless") ? 3_000 : 5); i++) {
                 say(out, chunks ? Integer.toHexString(piece.length) + "\r\n" : "");
                 out.write(piece);
                 say(out, chunks ? "\r\n" : "");
--- a/edge/src/test/java/edgegateway/node/NodeTest.java
+++ b/edge/src/test/java/edgegateway/node/NodeTest.java
@@ -169,7 +169,7 @@
 
   static String status(FakePeer.Message answer) {
     assertNotNull(answer, "the connection ended without an answer");
-    return answer.first().split(" ")[1];
+    return answer.startLine().split(" ")[1];
   }
 
   static String ask(Socket client, String id) throws IOException {
--- a/edge/src/test/java/edgegateway/node/OperatorServerTest.java
+++ b/edge/src/test/java/edgegateway/node/OperatorServerTest.java
@@ -201,7 +201,7 @@
     for (int i = 0; i < 20; i++) {
       assertEquals("200", ask(client, "t-" + i));
     }
-    assertTrue(one.seen.isEmpty());
+    assertTrue(one.received.isEmpty());
     // The next process of an upgrade takes it over; what one process is told the other follows.
     EdgeNode next =
         start(
@@ -213,7 +213,7 @@
     assertEquals("ACK", word(nextOps, "set-up s-0"));
     awaitFigure(ops, "app.skipped_archive_servers", "0");
     assertEquals("ACK", word(ops, "set-up s-0"));
-    for (int i = 0; one.seen.isEmpty(); i++) {
+    for (int i = 0; one.received.isEmpty(); i++) {
       assertFalse(Thread.interrupted(), "it is not used again");
       assertEquals("200", ask(client, "u-" + i));
     }
@@ -251,7 +251,7 @@
     for (int i = 0; i < 20; i++) {
       assertEquals("200", ask(client, "t-" + i));
     }
-    assertTrue(one.seen.isEmpty());
+    assertTrue(one.received.isEmpty());
     assertTrue(
         call(ops, "zones\n")
             .matches(
@@ -264,7 +264,7 @@
     assertEquals("ACK", word(nextOps, "zone-in a 1"));
     awaitFigure(ops, "app.skipped_archive_servers", "0");
     assertTrue(call(ops, "zones\n").startsWith("a state=returning "), call(ops, "zones\n"));
-    for (int i = 0; one.seen.isEmpty(); i++) {
+    for (int i = 0; one.received.isEmpty(); i++) {
       assertFalse(Thread.interrupted(), "it is not used again");
       assertEquals("200", ask(client, "u-" + i));
     }
--- a/edge/src/test/java/edgegateway/node/RaceConditionsTest.java
+++ b/edge/src/test/java/edgegateway/node/RaceConditionsTest.java
@@ -1,6 +1,6 @@
 package edgegateway.node;
 
-import static edgegateway.node.DiscoveryMessages.WATCH;
+import static edgegateway.node.DiscoveryMessages.WATCH_RESPONSE_HEAD;
 import static edgegateway.node.DiscoveryMessages.chunk;
 import static edgegateway.node.DiscoveryMessages.list;
 import static org.junit.jupiter.api.Assertions.assertEquals;
@@ -40,7 +40,7 @@
     discovery =
         peer(
             m -> {
-              m.answer(WATCH + chunk("\n"));
+              m.answer(WATCH_RESPONSE_HEAD + chunk("\n"));
               while (true) {
                 m.answer(chunk(lines.take()));
               }
@@ -94,7 +94,7 @@
     go.complete(null);
     assertEquals("held", FakePeer.read(first).body());
     assertEquals("other", FakePeer.read(second).body());
-    assertTrue(leaves.seen.isEmpty(), "sent to a server that was told to leave");
+    assertTrue(leaves.received.isEmpty(), "sent to a server that was told to leave");
     // Ready again, it is used again.
     lines.add(
         list(
@@ -156,7 +156,7 @@
     assertEquals("503", status(FakePeer.read(second)));
     go.complete(null);
     assertEquals("held", FakePeer.read(first).body());
-    assertTrue(server.seen.isEmpty());
+    assertTrue(server.received.isEmpty());
   }
 
   /** An attempt that failed is not made again for it, nor does it go without an answer. */
@@ -177,7 +177,7 @@
     awaitLog(node, "app.connections.half_closed=1");
     go.complete(null);
     assertEquals("502", status(FakePeer.read(client)));
-    assertTrue(server.seen.isEmpty());
+    assertTrue(server.received.isEmpty());
   }
 
   private static void orderByHttp10(Socket to, String id) throws IOException {
--- a/edge/src/test/java/edgegateway/node/ResponseEndTest.java
+++ b/edge/src/test/java/edgegateway/node/ResponseEndTest.java
@@ -59,7 +59,7 @@
           "round " + round + ": cut after " + all.length() + " bytes");
       client.close();
     }
-    assertTrue(server.seen.isEmpty(), "what came after the last answer was sent on");
+    assertTrue(server.received.isEmpty(), "what came after the last answer was sent on");
   }
 
   /** Its end was the node's own doing, and no end of the answer. */
@@ -112,7 +112,7 @@
           assertEquals(complete ? "200" : "502", status(answer), id);
           assertEquals(complete ? "body" : "", answer.body(), id);
           assertEquals(id, server.next().headers().get("x-trace-id"));
-          assertTrue(server.seen.isEmpty(), "sent again: " + id);
+          assertTrue(server.received.isEmpty(), "sent again: " + id);
           // It is closed after a complete response: what is written before that is seen ends as a
           // reset, unread.
           ConnectionsTest.await(node, "connections.archive_servers.open", 0);
--- a/edge/src/test/java/edgegateway/node/SignalsTest.java
+++ b/edge/src/test/java/edgegateway/node/SignalsTest.java
@@ -58,7 +58,7 @@
     discovery = peer(m -> never.join());
     Files.move(written("next.json"), file, StandardCopyOption.REPLACE_EXISTING);
     signal(process, "HUP");
-    assertTrue(discovery.next().first().contains("watch=1"));
+    assertTrue(discovery.next().startLine().contains("watch=1"));
     process.destroy();
     assertEquals(0, process.waitFor());
   }
@@ -108,7 +108,7 @@
     discovery = peer(m -> never.join());
     Files.move(written("next.json"), file, StandardCopyOption.REPLACE_EXISTING);
     signal(process, "HUP");
-    assertTrue(discovery.next().first().contains("watch=1"));
+    assertTrue(discovery.next().startLine().contains("watch=1"));
     signal(process, "TERM");
     assertTrue(
         said(process, "drained ")
--- a/edge/src/test/java/edgegateway/node/TlsTest.java
+++ b/edge/src/test/java/edgegateway/node/TlsTest.java
@@ -228,7 +228,7 @@
     await(node, "half_closed", 1);
     go.complete(null);
     FakePeer.Message answer = FakePeer.read(socket);
-    while (answer.first().contains(" 100 ")) {
+    while (answer.startLine().contains(" 100 ")) {
       answer = FakePeer.read(socket);
     }
     assertEquals("x", answer.body());
