--- a/edge/src/main/java/edgegateway/node/clients/ClientPresenceCheck.java
+++ b/edge/src/main/java/edgegateway/node/clients/ClientPresenceCheck.java
@@ -92,7 +92,7 @@
   /**
    * Whether the client would have been seen to leave, if it left 0.1 s ago or longer. While it is
    * read, that holds unless the event loop stalled just now. Shown by
-   * ClientDisconnectTest#noAttemptBeginsRightAfterAnEventLoopStallInWhichItsClientLeft.
+   * ClientDisconnectTest#noAttemptStartsAfterTheClientDisconnectedDuringAnEventLoopStall.
    */
   boolean wouldHaveSeenDisconnect() {
     if (!(channel instanceof SocketChannel)) {
--- a/edge/src/test/java/edgegateway/node/ClientDisconnectTest.java
+++ b/edge/src/test/java/edgegateway/node/ClientDisconnectTest.java
@@ -24,51 +24,59 @@
 import org.junit.jupiter.api.Timeout;
 
 /**
- * Clients that leave while their connection is not read: none of their attempts may begin over a
- * tenth of a second later. Each crossing is forced.
+ * No attempt may start for a client that disconnected more than 0.1 s before, even if the node has
+ * paused reading from its connection, so that it sees neither a close nor a reset. Each test forces
+ * its order of events.
  */
 @Timeout(60)
 class ClientDisconnectTest extends NodeTest {
-  /** Beyond this an attempt for a client that left is a break. */
-  private static final long MAX_DELAY_NANOS = TimeUnit.MILLISECONDS.toNanos(100);
+  /** No attempt may start for a client that disconnected longer ago than this. */
+  private static final long MAX_DETECTION_NANOS = TimeUnit.MILLISECONDS.toNanos(100);
 
   /**
-   * What stands behind the beginning of the request: nothing, little, which is read on, or more
-   * than is read before its attempt begins.
+   * What a client sends: a request alone or with pipelined ones, or a request with a longer body.
+   * The node keeps reading after a little further input, and pauses reading once the input exceeds
+   * its read-ahead limit.
    */
-  private enum Reading {
-    ON,
-    PARTS_BEHIND,
-    MANY_BEHIND,
-    BYTES_BEHIND,
-    MORE_BYTES_BEHIND,
+  private enum ClientInput {
+    SINGLE_REQUEST,
+    FEW_PIPELINED,
+    MANY_PIPELINED,
+    LARGE_PIPELINED,
+    SEVERAL_LARGE_PIPELINED,
     BODY,
-    CUT_BODY,
+    TRUNCATED_BODY,
     LONG_BODY,
-    CUT_LONG_BODY,
+    TRUNCATED_LONG_BODY,
     CHUNKED_BODY,
     HTTP_1_0_BODY,
     HTTP_1_0_LONG_BODY
   }
 
-  /** The cases in which something was sent on for a client that had left. */
+  /** The cases in which a request was forwarded for a client that had disconnected. */
   private final List<String> forwardedAfterDisconnect = new ArrayList<>();
 
   @AfterEach
   void nothingWasForwardedAfterADisconnect() {
-    assertEquals(List.of(), forwardedAfterDisconnect, "sent on for clients that had left");
+    assertEquals(
+        List.of(), forwardedAfterDisconnect, "forwarded for clients that had disconnected");
   }
 
-  private void note(FakePeer.Message came, String wanted, Reading how, boolean reset) {
-    if (came == null || !wanted.equals(came.headers().get("x-trace-id"))) {
-      forwardedAfterDisconnect.add(how + (reset ? " reset" : " closed"));
+  /** Records a failure if the message is another than the expected request. */
+  private void recordUnlessExpected(
+      FakePeer.Message received, String expectedId, ClientInput input, boolean reset) {
+    if (received == null || !expectedId.equals(received.headers().get("x-trace-id"))) {
+      forwardedAfterDisconnect.add(input + (reset ? " reset" : " closed"));
     }
   }
 
   /**
-   * Begins to serve at once, for discovery is heard; {@code change} is made to its configuration.
+   * Starts a node that serves at once, because discovery answers its watch with the only archive
+   * server.
+   *
+   * @param change applied to the text of the configuration
    */
-  private EdgeNode serving(String server, UnaryOperator<String> change) throws Exception {
+  private EdgeNode startServing(String server, UnaryOperator<String> change) throws Exception {
     String member = member("s-0", server, "Ready", 0);
     String list = "{\"revision\":6,\"complete\":true,\"members\":[" + member + "]}\n";
     discovery =
@@ -83,58 +91,62 @@
     return start(change.apply(config(member)));
   }
 
-  /** One connection to the archive server: the next attempt has to wait for it. */
-  private EdgeNode narrow(FakePeer server) throws Exception {
-    return serving(
+  /** Allows one connection to the archive server: a second attempt waits for it. */
+  private EdgeNode startWithSingleConnection(FakePeer server) throws Exception {
+    return startServing(
         server.address(),
         text ->
             text.replace("\"counter\"", "\"connections\":{\"per-archive-server\":1},\"counter\""));
   }
 
-  /** Connects take as long as they need. */
-  private EdgeNode patient(ServerSocket server) throws Exception {
-    return serving(
+  /** Allows 15 s for a connect to the archive server, so that a pending one does not time out. */
+  private EdgeNode startWithLongConnectTimeout(ServerSocket server) throws Exception {
+    return startServing(
         "127.0.0.1:" + server.getLocalPort(),
         text ->
             text.replace(
                 "\"connect-timeout-ns\": 250000000", "\"connect-timeout-ns\": 15000000000"));
   }
 
-  private static void awaitLog(EdgeNode node, String figure) {
-    while (!node.metrics.render().contains(figure + "\n")) {
+  private static void awaitMetric(EdgeNode node, String metricLine) {
+    while (!node.metrics.render().contains(metricLine + "\n")) {
       assertFalse(Thread.interrupted(), node.metrics.render());
     }
   }
 
-  private static String head(String id, String version, String more) {
+  private static String head(String id, String version, String lengthHeader) {
     StringBuilder text = new StringBuilder("POST /api ").append(version).append("\r\n");
     headers(id, "order", "20000")
         .forEach((name, value) -> text.append(name).append(": ").append(value).append("\r\n"));
-    return text.append(more).append("\r\n\r\n").toString();
+    return text.append(lengthHeader).append("\r\n\r\n").toString();
   }
 
-  /** Writes a request so that the node does not read on. */
-  private static void ask(Socket client, String id, Reading how) throws IOException {
-    client.getOutputStream().write(text(id, how).getBytes(StandardCharsets.US_ASCII));
+  private static void send(Socket client, String id, ClientInput input) throws IOException {
+    client.getOutputStream().write(requestText(id, input).getBytes(StandardCharsets.US_ASCII));
   }
 
-  private static String text(String id, Reading how) {
-    return switch (how) {
-      case ON -> head(id, "HTTP/1.1", "Content-Length: 4") + "book";
-      case PARTS_BEHIND -> text(id, Reading.ON) + text(id + "-more", Reading.ON).repeat(5);
-      case MANY_BEHIND -> text(id, Reading.ON) + text(id + "-more", Reading.ON).repeat(400);
-      case BYTES_BEHIND ->
-          text(id, Reading.ON)
+  private static String requestText(String id, ClientInput input) {
+    return switch (input) {
+      case SINGLE_REQUEST -> head(id, "HTTP/1.1", "Content-Length: 4") + "book";
+      case FEW_PIPELINED ->
+          requestText(id, ClientInput.SINGLE_REQUEST)
+              + requestText(id + "-more", ClientInput.SINGLE_REQUEST).repeat(5);
+      case MANY_PIPELINED ->
+          requestText(id, ClientInput.SINGLE_REQUEST)
+              + requestText(id + "-more", ClientInput.SINGLE_REQUEST).repeat(400);
+      case LARGE_PIPELINED ->
+          requestText(id, ClientInput.SINGLE_REQUEST)
               + head(id + "-more", "HTTP/1.1", "Content-Length: 60000")
               + "x".repeat(60_000);
-      case MORE_BYTES_BEHIND ->
-          text(id, Reading.ON)
+      case SEVERAL_LARGE_PIPELINED ->
+          requestText(id, ClientInput.SINGLE_REQUEST)
               + (head(id + "-more", "HTTP/1.1", "Content-Length: 60000") + "x".repeat(60_000))
                   .repeat(6);
       case BODY -> head(id, "HTTP/1.1", "Content-Length: 150000") + "x".repeat(150_000);
-      case CUT_BODY -> head(id, "HTTP/1.1", "Content-Length: 300000") + "x".repeat(150_000);
+      case TRUNCATED_BODY -> head(id, "HTTP/1.1", "Content-Length: 300000") + "x".repeat(150_000);
       case LONG_BODY -> head(id, "HTTP/1.1", "Content-Length: 500000") + "x".repeat(500_000);
-      case CUT_LONG_BODY -> head(id, "HTTP/1.1", "Content-Length: 500000") + "x".repeat(400_000);
+      case TRUNCATED_LONG_BODY ->
+          head(id, "HTTP/1.1", "Content-Length: 500000") + "x".repeat(400_000);
       case CHUNKED_BODY ->
           head(id, "HTTP/1.1", "Transfer-Encoding: chunked")
               + ("4e20\r\n" + "x".repeat(20_000) + "\r\n").repeat(25)
@@ -145,150 +157,160 @@
     };
   }
 
+  /** Closes the socket, with a reset on request; returns when, by the nanosecond clock. */
   private static long disconnect(Socket client, boolean reset) throws IOException {
     client.setSoLinger(reset, 0);
     client.close();
     return System.nanoTime();
   }
 
-  private static void awaitMaxDelay(long left) {
-    while (System.nanoTime() - left <= MAX_DELAY_NANOS) {
+  private static void awaitDetectionTime(long disconnectedNanos) {
+    while (System.nanoTime() - disconnectedNanos <= MAX_DETECTION_NANOS) {
       Thread.onSpinWait();
     }
   }
 
-  /** The connection that the attempt waits for is free only after its client left. */
+  /** The connection that the attempt waits for becomes free after the client disconnected. */
   @Test
-  void noAttemptBeginsOnAConnectionThatIsFreeAfterItsClientLeft() throws Exception {
-    for (Reading how : Reading.values()) {
+  void noAttemptStartsOnAConnectionFreedAfterTheClientDisconnected() throws Exception {
+    for (ClientInput input : ClientInput.values()) {
       for (boolean reset : new boolean[] {false, true}) {
-        CompletableFuture<Void> go = new CompletableFuture<>();
+        CompletableFuture<Void> responsePermit = new CompletableFuture<>();
         FakePeer server =
             peer(
                 m -> {
-                  go.join();
+                  responsePermit.join();
                   m.answer(FakePeer.ok("", "held"));
                 });
-        EdgeNode node = narrow(server);
+        EdgeNode node = startWithSingleConnection(server);
         Socket first = client(node);
         order(first, "t-1");
         server.next();
         Socket second = client(node);
-        ask(second, "t-left", how);
-        awaitLog(node, "app.in_progress=2");
-        awaitMaxDelay(disconnect(second, reset));
-        go.complete(null);
+        send(second, "t-gone", input);
+        awaitMetric(node, "app.in_progress=2");
+        awaitDetectionTime(disconnect(second, reset));
+        responsePermit.complete(null);
         assertEquals("held", FakePeer.read(first).body());
-        awaitLog(node, "app.in_progress=0");
+        awaitMetric(node, "app.in_progress=0");
         Socket third = client(node);
         order(third, "t-3");
         assertEquals("held", FakePeer.read(third).body());
-        note(server.next(), "t-3", how, reset);
+        recordUnlessExpected(server.next(), "t-3", input, reset);
       }
     }
   }
 
-  /** The counter answers only after the client left. */
   @Test
-  void noAttemptBeginsWhenTheCounterAnswersAfterItsClientLeft() throws Exception {
-    for (Reading how : Reading.values()) {
+  void noAttemptStartsIfTheCounterAnswersAfterTheClientDisconnected() throws Exception {
+    for (ClientInput input : ClientInput.values()) {
       for (boolean reset : new boolean[] {false, true}) {
-        CompletableFuture<Void> go = new CompletableFuture<>();
+        CompletableFuture<Void> responsePermit = new CompletableFuture<>();
         counting =
             m -> {
-              go.join();
+              responsePermit.join();
               m.answer(FakePeer.ok("", "1"));
             };
         FakePeer server = peer(m -> m.answer(FakePeer.ok("", "done")));
         EdgeNode node =
-            serving(
+            startServing(
                 server.address(),
                 text ->
                     text.replace("\"count-wait-ns\": 50000000", "\"count-wait-ns\": 4000000000"));
         counter.received.clear();
         Socket client = client(node);
-        // Of a customer that comes through several edge nodes, and of whom nothing was heard, it is
-        // asked first.
+        // With spread=2 the customer's requests reach two nodes, and this one has not yet received
+        // the customer's usage: it calls the counter before the first attempt.
         client
             .getOutputStream()
             .write(
-                text("t-left", how)
+                requestText("t-gone", input)
                     .replace("spread=1", "spread=2")
                     .getBytes(StandardCharsets.US_ASCII));
         counter.next();
-        awaitLog(node, "app.in_progress=1");
-        assertTrue(server.received.isEmpty(), "sent on before the counter answered");
-        awaitMaxDelay(disconnect(client, reset));
-        go.complete(null);
-        awaitLog(node, "app.in_progress=0");
+        awaitMetric(node, "app.in_progress=1");
+        assertTrue(server.received.isEmpty(), "forwarded before the counter answered");
+        awaitDetectionTime(disconnect(client, reset));
+        responsePermit.complete(null);
+        awaitMetric(node, "app.in_progress=0");
         Socket next = client(node);
         order(next, "t-next");
         assertEquals("done", FakePeer.read(next).body());
-        note(server.next(), "t-next", how, reset);
+        recordUnlessExpected(server.next(), "t-next", input, reset);
       }
     }
   }
 
-  /** The dial of a further attempt comes up only after the client left. */
+  /** The first attempt fails; the connect of its retry completes after the disconnect. */
   @Test
-  void noFurtherAttemptBeginsOnADialThatComesUpAfterItsClientLeft() throws Exception {
-    for (Reading how :
-        List.of(Reading.ON, Reading.PARTS_BEHIND, Reading.MANY_BEHIND, Reading.MORE_BYTES_BEHIND)) {
-      boolean reset = how == Reading.MORE_BYTES_BEHIND;
+  void noRetryStartsOnAConnectionOpenedAfterTheClientDisconnected() throws Exception {
+    for (ClientInput input :
+        List.of(
+            ClientInput.SINGLE_REQUEST,
+            ClientInput.FEW_PIPELINED,
+            ClientInput.MANY_PIPELINED,
+            ClientInput.SEVERAL_LARGE_PIPELINED)) {
+      boolean reset = input == ClientInput.SEVERAL_LARGE_PIPELINED;
       ServerSocket server = new ServerSocket(0, 1, InetAddress.getLoopbackAddress());
       toClose.add(server);
-      EdgeNode node = patient(server);
+      EdgeNode node = startWithLongConnectTimeout(server);
       Socket client = client(node);
-      ask(client, "t-left", how);
+      send(client, "t-gone", input);
       Socket first = server.accept();
-      assertEquals("t-left", FakePeer.read(first).headers().get("x-trace-id"));
-      Set<Integer> full = fill(server);
+      assertEquals("t-gone", FakePeer.read(first).headers().get("x-trace-id"));
+      Set<Integer> backlogPorts = fillBacklog(server);
       disconnect(first, true);
-      awaitLog(node, "app.connections.archive_servers.opened=2");
+      awaitMetric(node, "app.connections.archive_servers.opened=2");
       node.loop.submit(() -> {}).get();
-      assertFree(node, server, full, client, reset, how);
+      disconnectAndCheckNextRequest(node, server, backlogPorts, client, reset, input);
     }
   }
 
-  /** The first dial comes up only after the client left. */
+  /** The connect of the first attempt completes after the disconnect. */
   @Test
-  void noAttemptBeginsOnADialThatComesUpAfterItsClientLeft() throws Exception {
-    for (Reading how : Reading.values()) {
-      boolean reset = how == Reading.CUT_BODY || how == Reading.LONG_BODY;
+  void noFirstAttemptStartsOnAConnectionOpenedAfterTheClientDisconnected() throws Exception {
+    for (ClientInput input : ClientInput.values()) {
+      boolean reset = input == ClientInput.TRUNCATED_BODY || input == ClientInput.LONG_BODY;
       ServerSocket server = new ServerSocket(0, 1, InetAddress.getLoopbackAddress());
       toClose.add(server);
-      Set<Integer> full = fill(server);
-      EdgeNode node = patient(server);
+      Set<Integer> backlogPorts = fillBacklog(server);
+      EdgeNode node = startWithLongConnectTimeout(server);
       Socket client = client(node);
-      ask(client, "t-left", how);
-      awaitLog(node, "app.connections.archive_servers.opened=1");
+      send(client, "t-gone", input);
+      awaitMetric(node, "app.connections.archive_servers.opened=1");
       node.loop.submit(() -> {}).get();
-      assertFree(node, server, full, client, reset, how);
+      disconnectAndCheckNextRequest(node, server, backlogPorts, client, reset, input);
     }
   }
 
-  /** The client leaves, the dial comes up, and the connection serves the next client first. */
-  private void assertFree(
+  /**
+   * Disconnects the client, lets the pending connect complete, and checks that the first request on
+   * the new connection is the next client's.
+   */
+  private void disconnectAndCheckNextRequest(
       EdgeNode node,
       ServerSocket server,
-      Set<Integer> full,
+      Set<Integer> backlogPorts,
       Socket client,
       boolean reset,
-      Reading how)
+      ClientInput input)
       throws Exception {
-    awaitMaxDelay(disconnect(client, reset));
-    Socket late;
+    awaitDetectionTime(disconnect(client, reset));
+    Socket opened;
     do {
-      late = server.accept();
-    } while (full.contains(late.getPort()));
-    late.setSoTimeout(10_000);
-    awaitLog(node, "app.in_progress=0");
+      opened = server.accept();
+    } while (backlogPorts.contains(opened.getPort()));
+    opened.setSoTimeout(10_000);
+    awaitMetric(node, "app.in_progress=0");
     write(client(node), "POST /api", headers("t-next", "order", "20000"), "book");
-    note(FakePeer.read(late), "t-next", how, reset);
+    recordUnlessExpected(FakePeer.read(opened), "t-next", input, reset);
   }
 
-  /** Connects until nobody more is taken; the ports that came. */
-  private Set<Integer> fill(ServerSocket server) throws IOException {
+  /**
+   * Connects until the backlog accepts no further connection. Returns the local ports of these
+   * connections.
+   */
+  private Set<Integer> fillBacklog(ServerSocket server) throws IOException {
     Set<Integer> ports = new HashSet<>();
     while (true) {
       Socket socket = new Socket();
@@ -304,121 +326,129 @@
   }
 
   /**
-   * The loop stands still while the client closes and the connection it waits for becomes free:
-   * both are read in one turn.
+   * The event loop stalls while the client closes and the connection that its attempt waits for
+   * becomes free: both are read in one iteration of the loop.
    */
   @Tag("known-red")
   @Test
-  void noAttemptBeginsRightAfterAnEventLoopStallInWhichItsClientLeft() throws Exception {
+  void noAttemptStartsAfterTheClientDisconnectedDuringAnEventLoopStall() throws Exception {
     for (boolean reset : new boolean[] {false, true}) {
-      List<CompletableFuture<Void>> goes = new ArrayList<>();
+      List<CompletableFuture<Void>> responsePermits = new ArrayList<>();
       FakePeer server =
           peer(
               m -> {
-                CompletableFuture<Void> go = new CompletableFuture<>();
-                synchronized (goes) {
-                  goes.add(go);
+                CompletableFuture<Void> responsePermit = new CompletableFuture<>();
+                synchronized (responsePermits) {
+                  responsePermits.add(responsePermit);
                 }
-                go.join();
+                responsePermit.join();
                 m.answer(FakePeer.ok("", "held"));
               });
-      EdgeNode node = narrow(server);
+      EdgeNode node = startWithSingleConnection(server);
       for (int round = 0; round < 10; round++) {
         Socket first = client(node);
         order(first, "t-" + round);
         assertEquals("t-" + round, server.next().headers().get("x-trace-id"));
         Socket second = client(node);
-        order(second, "t-left-" + round);
-        awaitLog(node, "app.in_progress=2");
-        CompletableFuture<Void> begun = new CompletableFuture<>();
-        CompletableFuture<Void> still = new CompletableFuture<>();
+        order(second, "t-gone-" + round);
+        awaitMetric(node, "app.in_progress=2");
+        CompletableFuture<Void> stallBegun = new CompletableFuture<>();
+        CompletableFuture<Void> stallEnd = new CompletableFuture<>();
         node.loop.execute(
             () -> {
-              begun.complete(null);
-              still.join();
+              stallBegun.complete(null);
+              stallEnd.join();
             });
-        begun.join();
-        long left = disconnect(second, reset);
-        CompletableFuture<Void> go;
+        stallBegun.join();
+        long disconnectedNanos = disconnect(second, reset);
+        CompletableFuture<Void> responsePermit;
         do {
-          synchronized (goes) {
-            go = goes.size() > round ? goes.get(round) : null;
+          synchronized (responsePermits) {
+            responsePermit = responsePermits.size() > round ? responsePermits.get(round) : null;
           }
-        } while (go == null);
-        go.complete(null);
-        awaitMaxDelay(left);
-        still.complete(null);
+        } while (responsePermit == null);
+        responsePermit.complete(null);
+        awaitDetectionTime(disconnectedNanos);
+        stallEnd.complete(null);
         assertEquals("held", FakePeer.read(first).body());
-        awaitLog(node, "app.in_progress=0");
+        awaitMetric(node, "app.in_progress=0");
         if (!server.received.isEmpty()) {
-          note(server.next(), "none", Reading.ON, reset);
-          // Its attempt is out and holds the one connection.
+          recordUnlessExpected(server.next(), "none", ClientInput.SINGLE_REQUEST, reset);
+          // The wrong attempt occupies the only connection: no further round is possible.
           return;
         }
       }
     }
   }
 
-  /** Who is there is served, however it is read, and is asked no more often than a client takes. */
+  /**
+   * A client that is still connected is served. If reading from it is paused, the node probes it
+   * with at most 4 interim responses, because some clients accept no more; otherwise with none.
+   */
   @Tag("known-red")
   @Test
-  void aClientThatIsPresentIsServedThoughItIsNotRead() throws Exception {
-    for (Reading how :
+  void aConnectedClientIsServedWhileReadingIsPaused() throws Exception {
+    for (ClientInput input :
         List.of(
-            Reading.ON,
-            Reading.PARTS_BEHIND,
-            Reading.MANY_BEHIND,
-            Reading.BYTES_BEHIND,
-            Reading.BODY,
-            Reading.LONG_BODY)) {
-      CompletableFuture<Void> go = new CompletableFuture<>();
+            ClientInput.SINGLE_REQUEST,
+            ClientInput.FEW_PIPELINED,
+            ClientInput.MANY_PIPELINED,
+            ClientInput.LARGE_PIPELINED,
+            ClientInput.BODY,
+            ClientInput.LONG_BODY)) {
+      CompletableFuture<Void> responsePermit = new CompletableFuture<>();
       FakePeer server =
           peer(
               m -> {
-                go.join();
+                responsePermit.join();
                 m.answer(FakePeer.ok("Connection: close\r\n", "held"));
                 m.socket().close();
               });
-      EdgeNode node = narrow(server);
+      EdgeNode node = startWithSingleConnection(server);
       Socket first = client(node);
       order(first, "t-1");
       server.next();
       Socket second = client(node);
-      ask(second, "t-2", how);
-      awaitLog(node, "app.in_progress=2");
-      awaitMaxDelay(System.nanoTime());
-      go.complete(null);
+      send(second, "t-2", input);
+      awaitMetric(node, "app.in_progress=2");
+      awaitDetectionTime(System.nanoTime());
+      responsePermit.complete(null);
       assertEquals("held", FakePeer.read(first).body());
-      int lines = 0;
-      FakePeer.Message answer = FakePeer.read(second);
-      for (; answer.startLine().contains(" 100 "); answer = FakePeer.read(second)) {
-        lines++;
+      int interimResponses = 0;
+      FakePeer.Message response = FakePeer.read(second);
+      for (; response.startLine().contains(" 100 "); response = FakePeer.read(second)) {
+        interimResponses++;
       }
-      assertEquals("200", status(answer), how.toString());
-      boolean asked = how == Reading.MANY_BEHIND || how == Reading.LONG_BODY;
-      assertTrue(asked ? lines >= 1 && lines <= 4 : lines == 0, how + ": " + lines + " lines");
+      assertEquals("200", status(response), input.toString());
+      boolean probed = input == ClientInput.MANY_PIPELINED || input == ClientInput.LONG_BODY;
+      assertTrue(
+          probed ? interimResponses >= 1 && interimResponses <= 4 : interimResponses == 0,
+          input + ": " + interimResponses + " interim responses");
     }
   }
 
-  /** A peer of HTTP/1.0 can't be asked: it gets a refusal, and nothing begins for it. */
+  /**
+   * An HTTP/1.0 client cannot be probed, as it knows no interim responses: the node rejects its
+   * request and starts no attempt.
+   */
   @Test
-  void anHttp10ClientThatIsNotReadIsRejectedRatherThanForwardedBlindly() throws Exception {
-    CompletableFuture<Void> go = new CompletableFuture<>();
+  void anHttp10ClientIsRejectedInsteadOfForwardedWhileReadingIsPaused() throws Exception {
+    CompletableFuture<Void> responsePermit = new CompletableFuture<>();
     FakePeer server =
         peer(
             m -> {
-              go.join();
+              responsePermit.join();
               m.answer(FakePeer.ok("", "held"));
             });
-    EdgeNode node = narrow(server);
+    EdgeNode node = startWithSingleConnection(server);
     Socket first = client(node);
     order(first, "t-1");
     server.next();
     Socket second = client(node);
-    ask(second, "t-2", Reading.HTTP_1_0_LONG_BODY);
-    awaitLog(node, "app.in_progress=2");
-    awaitMaxDelay(System.nanoTime());
-    go.complete(null);
+    send(second, "t-2", ClientInput.HTTP_1_0_LONG_BODY);
+    awaitMetric(node, "app.in_progress=2");
+    awaitDetectionTime(System.nanoTime());
+    responsePermit.complete(null);
     assertEquals("held", FakePeer.read(first).body());
     assertEquals("503", status(FakePeer.read(second)));
     assertTrue(server.received.isEmpty());
--- a/edge/src/test/java/edgegateway/node/ConnectionsMeasure.java
+++ b/edge/src/test/java/edgegateway/node/ConnectionsMeasure.java
@@ -26,28 +26,28 @@
 import org.junit.jupiter.api.io.TempDir;
 
 /**
- * What connections cost and how fair they are, of one program or of several by turns: {@code
- * -Djars=before.jar,after.jar} names them. Bounded in count and time; not part of the build's
- * tests.
+ * Measures the cost of connections and the fairness among client addresses, for one build of the
+ * program or for several in turn, named by {@code -Djars=before.jar,after.jar}. Bounded in count
+ * and time; not run with the build's tests.
  */
 @Tag("measure")
 @Timeout(600)
 class ConnectionsMeasure extends NodeTest {
   private static final int ROUNDS = 5;
   @TempDir Path folder;
-  private int configs;
+  private int configFiles;
 
-  /** A program under measurement, in a process of its own. */
+  /** A build of the program, run in its own process and warmed up with 3,000 requests. */
   private final class Program implements AutoCloseable {
     private final Process process;
     private final InetSocketAddress at;
 
-    Program(String jar, int sockets, String... members) throws Exception {
-      Path file = folder.resolve("config-" + configs++ + ".json");
+    Program(String jar, int maxDescriptors, String... members) throws Exception {
+      Path file = folder.resolve("config-" + configFiles++ + ".json");
       Files.writeString(
           file,
           config(members)
-              .replace("\"sockets\": 1024", "\"sockets\": " + sockets)
+              .replace("\"sockets\": 1024", "\"sockets\": " + maxDescriptors)
               .replace("\"keepalive-ns\": 30000000000", "\"keepalive-ns\": 8000000000"));
       ProcessBuilder builder =
           new ProcessBuilder(
@@ -73,11 +73,11 @@
       at =
           new InetSocketAddress(
               "127.0.0.1", Integer.parseInt(line.substring(line.lastIndexOf(':') + 1)));
-      Thread reads = new Thread(() -> process.inputReader().lines().forEach(l -> {}));
-      reads.setDaemon(true);
-      reads.start();
+      Thread logReader = new Thread(() -> process.inputReader().lines().forEach(l -> {}));
+      logReader.setDaemon(true);
+      logReader.start();
       for (int i = 0; i < 3_000; i++) {
-        try (Socket socket = from(200, at)) {
+        try (Socket socket = connectFrom(200, at)) {
           ask(socket, "warm-" + i);
         }
       }
@@ -89,9 +89,10 @@
     }
   }
 
-  private static Socket from(int peer, InetSocketAddress to) throws IOException {
+  /** Connects from the client address 127.0.0.{@code hostNumber}. */
+  private static Socket connectFrom(int hostNumber, InetSocketAddress to) throws IOException {
     Socket socket = new Socket();
-    socket.bind(new InetSocketAddress("127.0.0." + peer, 0));
+    socket.bind(new InetSocketAddress("127.0.0." + hostNumber, 0));
     socket.connect(to, 1_000);
     socket.setSoTimeout(1_000);
     return socket;
@@ -110,160 +111,167 @@
     return members;
   }
 
-  private static String[] many(FakePeer server, int names) {
-    FakePeer[] servers = new FakePeer[names];
+  /** The server as several members. */
+  private static String[] repeatedMembers(FakePeer server, int count) {
+    FakePeer[] servers = new FakePeer[count];
     Arrays.fill(servers, server);
     return members(servers);
   }
 
-  /** Spans of requests in ms; one that failed or took over a second counts as 1,000. */
-  private static String told(ConcurrentLinkedQueue<Double> spans) {
-    double[] sorted = spans.stream().mapToDouble(x -> x).sorted().toArray();
-    long good = Arrays.stream(sorted).filter(x -> x < 1_000).count();
+  /** A summary of request durations; requests that failed or took over 1 s have 1,000 ms. */
+  private static String summarize(ConcurrentLinkedQueue<Double> durationsMillis) {
+    double[] sorted = durationsMillis.stream().mapToDouble(duration -> duration).sorted().toArray();
+    long succeeded = Arrays.stream(sorted).filter(duration -> duration < 1_000).count();
     return String.format(
         "%d of %d in time (%.3f), median %.1f, p99 %.1f ms",
-        good,
+        succeeded,
         sorted.length,
-        good / (double) sorted.length,
+        succeeded / (double) sorted.length,
         sorted[sorted.length / 2],
         sorted[(int) (sorted.length * 0.99)]);
   }
 
-  private static void timed(ConcurrentLinkedQueue<Double> spans, Socket socket, String id)
-      throws IOException {
-    long began = System.nanoTime();
-    String how = "";
+  /** Sends a request and adds its duration: 1,000 ms if it failed or took longer. */
+  private static void timeRequest(
+      ConcurrentLinkedQueue<Double> durationsMillis, Socket socket, String id) throws IOException {
+    long startNanos = System.nanoTime();
+    String status = "";
     try {
-      how = ask(socket, id);
+      status = ask(socket, id);
     } finally {
-      spans.add(how.equals("200") ? Math.min(1_000, (System.nanoTime() - began) / 1e6) : 1_000);
+      durationsMillis.add(
+          status.equals("200") ? Math.min(1_000, (System.nanoTime() - startNanos) / 1e6) : 1_000);
     }
   }
 
   @Test
-  void wellBehavedPeersBesideAGreedyOne() throws Exception {
+  void latencyOfWellBehavedAddressesBesideAGreedyAddress() throws Exception {
     FakePeer server = peer(m -> m.answer(FakePeer.ok("", "x")));
     for (int round = 0; round < ROUNDS; round++) {
       for (String jar : jars()) {
-        try (Program program = new Program(jar, 256, many(server, 40))) {
-          System.out.println("greedy " + jar + " " + round + ": " + greedy(program.at));
+        try (Program program = new Program(jar, 256, repeatedMembers(server, 40))) {
+          System.out.println(
+              "greedy " + jar + " " + round + ": " + measureBesideGreedyAddress(program.at));
         }
       }
     }
   }
 
-  private static String greedy(InetSocketAddress at) throws Exception {
-    ConcurrentLinkedQueue<Double> spans = new ConcurrentLinkedQueue<>();
-    ExecutorService all = Executors.newFixedThreadPool(9);
-    long end = System.nanoTime() + 6_000_000_000L;
-    all.submit(
+  private static String measureBesideGreedyAddress(InetSocketAddress at) throws Exception {
+    ConcurrentLinkedQueue<Double> durationsMillis = new ConcurrentLinkedQueue<>();
+    ExecutorService executor = Executors.newFixedThreadPool(9);
+    long endNanos = System.nanoTime() + 6_000_000_000L;
+    executor.submit(
         () -> {
-          List<Socket> held = new ArrayList<>();
-          while (System.nanoTime() < end) {
+          List<Socket> greedySockets = new ArrayList<>();
+          while (System.nanoTime() < endNanos) {
             try {
-              Socket socket = from(1, at);
-              held.add(socket);
-              if (held.size() % 2 == 0) {
-                // Silent ones, and such as begin a head that goes on slowly.
+              Socket socket = connectFrom(1, at);
+              greedySockets.add(socket);
+              if (greedySockets.size() % 2 == 0) {
+                // Half of the connections stay idle, half begin a request head and stop.
                 socket.getOutputStream().write('G');
               }
             } catch (IOException e) {
-              // It was turned away.
+              // The node rejected the connection.
             }
-            if (held.size() > 400) {
-              held.remove(0).close();
+            if (greedySockets.size() > 400) {
+              greedySockets.remove(0).close();
             }
             Thread.sleep(2);
           }
-          for (Socket socket : held) {
+          for (Socket socket : greedySockets) {
             socket.close();
           }
           return null;
         });
     AtomicInteger number = new AtomicInteger();
     for (int i = 0; i < 8; i++) {
-      int peer = 10 + i;
-      all.submit(
+      int hostNumber = 10 + i;
+      executor.submit(
           () -> {
-            Socket kept = null;
-            while (System.nanoTime() < end) {
+            Socket connection = null;
+            while (System.nanoTime() < endNanos) {
               try {
-                // Two in three of its connections are used for some requests, after pauses.
-                kept = kept == null ? from(peer, at) : kept;
-                timed(spans, kept, "t-" + number.incrementAndGet());
+                // Requests 30 ms apart; a connection is closed after a request with a number
+                // divisible by 3.
+                connection = connection == null ? connectFrom(hostNumber, at) : connection;
+                timeRequest(durationsMillis, connection, "t-" + number.incrementAndGet());
                 if (number.get() % 3 == 0) {
-                  kept.close();
-                  kept = null;
+                  connection.close();
+                  connection = null;
                 }
               } catch (IOException | AssertionError e) {
-                kept = null;
+                connection = null;
               }
               Thread.sleep(30);
             }
             return null;
           });
     }
-    all.shutdown();
-    assertTrue(all.awaitTermination(60, TimeUnit.SECONDS));
-    return told(spans);
+    executor.shutdown();
+    assertTrue(executor.awaitTermination(60, TimeUnit.SECONDS));
+    return summarize(durationsMillis);
   }
 
   @Test
-  void requestsInHandDuringASurge() throws Exception {
+  void latencyOnEstablishedConnectionsDuringASurge() throws Exception {
     FakePeer server = peer(m -> m.answer(FakePeer.ok("", "x")));
     for (int round = 0; round < ROUNDS; round++) {
       for (String jar : jars()) {
-        for (int newcomers : new int[] {0, 2_000}) {
-          try (Program program = new Program(jar, 1_024, many(server, 40))) {
+        for (int newClients : new int[] {0, 2_000}) {
+          try (Program program = new Program(jar, 1_024, repeatedMembers(server, 40))) {
             System.out.println(
                 "surge of "
-                    + newcomers
+                    + newClients
                     + " "
                     + jar
                     + " "
                     + round
                     + ": "
-                    + surge(program.at, newcomers));
+                    + measureSurge(program.at, newClients));
           }
         }
       }
     }
   }
 
-  private static String surge(InetSocketAddress at, int newcomers) throws Exception {
-    ConcurrentLinkedQueue<Double> spans = new ConcurrentLinkedQueue<>();
-    ConcurrentLinkedQueue<Double> theirs = new ConcurrentLinkedQueue<>();
-    ExecutorService all = Executors.newFixedThreadPool(48);
-    long end = System.nanoTime() + 1_500_000_000L;
+  private static String measureSurge(InetSocketAddress at, int newClients) throws Exception {
+    ConcurrentLinkedQueue<Double> durationsMillis = new ConcurrentLinkedQueue<>();
+    ConcurrentLinkedQueue<Double> newClientDurationsMillis = new ConcurrentLinkedQueue<>();
+    ExecutorService executor = Executors.newFixedThreadPool(48);
+    long endNanos = System.nanoTime() + 1_500_000_000L;
     for (int i = 0; i < 8; i++) {
-      int peer = 10 + i;
-      all.submit(
+      int hostNumber = 10 + i;
+      executor.submit(
           () -> {
-            try (Socket kept = from(peer, at)) {
-              for (int n = 0; System.nanoTime() < end; n++) {
-                timed(spans, kept, "t-" + peer + "-" + n);
+            try (Socket connection = connectFrom(hostNumber, at)) {
+              for (int n = 0; System.nanoTime() < endNanos; n++) {
+                timeRequest(durationsMillis, connection, "t-" + hostNumber + "-" + n);
                 Thread.sleep(5);
               }
             }
             return null;
           });
     }
-    for (int i = 0; i < newcomers; i++) {
+    for (int i = 0; i < newClients; i++) {
       int number = i;
-      all.submit(
+      executor.submit(
           () -> {
-            try (Socket socket = from(100 + number % 50, at)) {
-              timed(theirs, socket, "n-" + number);
+            try (Socket socket = connectFrom(100 + number % 50, at)) {
+              timeRequest(newClientDurationsMillis, socket, "n-" + number);
             }
             return null;
           });
     }
-    all.shutdown();
-    assertTrue(all.awaitTermination(60, TimeUnit.SECONDS));
-    return "in hand " + told(spans) + (newcomers > 0 ? "; newcomers " + told(theirs) : "");
+    executor.shutdown();
+    assertTrue(executor.awaitTermination(60, TimeUnit.SECONDS));
+    return "established connections: "
+        + summarize(durationsMillis)
+        + (newClients > 0 ? "; new clients: " + summarize(newClientDurationsMillis) : "");
   }
 
-  /** Thin traffic over many archive servers, then bursts over few. */
+  /** Sparse requests to 20 archive servers, then bursts of requests to 4. */
   @Test
   void connectionsOpenedToArchiveServers() throws Exception {
     for (int round = 0; round < ROUNDS; round++) {
@@ -279,51 +287,53 @@
                     });
           }
           try (Program program = new Program(jar, 256, members(servers))) {
-            int before = Arrays.stream(servers).mapToInt(FakePeer::accepted).sum();
-            int requests = burst ? bursts(program.at) : thin(program.at);
-            int opened = Arrays.stream(servers).mapToInt(FakePeer::accepted).sum() - before;
+            int openedBefore = Arrays.stream(servers).mapToInt(FakePeer::accepted).sum();
+            int requests = burst ? sendBursts(program.at) : sendSparseRequests(program.at);
+            int opened = Arrays.stream(servers).mapToInt(FakePeer::accepted).sum() - openedBefore;
             System.out.printf(
                 "connections, %s %s %d: %d for %d requests%n",
-                burst ? "bursts" : "thin", jar, round, opened, requests);
+                burst ? "bursts" : "sparse", jar, round, opened, requests);
           }
         }
       }
     }
   }
 
-  private static int thin(InetSocketAddress at) throws Exception {
-    // What the warm-up opened is gone by then.
+  private static int sendSparseRequests(InetSocketAddress at) throws Exception {
+    // The connections of the warm-up are closed after 8 s without a request.
     Thread.sleep(9_000);
-    try (Socket socket = from(10, at)) {
+    try (Socket socket = connectFrom(10, at)) {
       int requests = 0;
-      for (long end = System.nanoTime() + 20_000_000_000L; System.nanoTime() < end; requests++) {
-        ask(socket, "thin-" + requests);
+      for (long endNanos = System.nanoTime() + 20_000_000_000L;
+          System.nanoTime() < endNanos;
+          requests++) {
+        ask(socket, "sparse-" + requests);
         Thread.sleep(100);
       }
       return requests;
     }
   }
 
-  private static int bursts(InetSocketAddress at) throws Exception {
-    ExecutorService all = Executors.newFixedThreadPool(24);
+  private static int sendBursts(InetSocketAddress at) throws Exception {
+    ExecutorService executor = Executors.newFixedThreadPool(24);
     for (int burst = 0; burst < 20; burst++) {
       for (int i = 0; i < 24; i++) {
         String id = "burst-" + burst + "-" + i;
-        all.submit(
+        executor.submit(
             () -> {
-              try (Socket socket = from(10, at)) {
+              try (Socket socket = connectFrom(10, at)) {
                 return ask(socket, id);
               }
             });
       }
       Thread.sleep(300);
     }
-    all.shutdown();
-    assertTrue(all.awaitTermination(60, TimeUnit.SECONDS));
+    executor.shutdown();
+    assertTrue(executor.awaitTermination(60, TimeUnit.SECONDS));
     return 20 * 24;
   }
 
-  private static long heap() throws InterruptedException {
+  private static long usedHeapBytes() throws InterruptedException {
     for (int i = 0; i < 4; i++) {
       System.gc();
       Thread.sleep(50);
@@ -331,7 +341,8 @@
     return ManagementFactory.getMemoryMXBean().getHeapMemoryUsage().getUsed();
   }
 
-  private EdgeNode here(TestCertificate certificate) throws Exception {
+  /** Starts a node in this process; without TLS if the certificate is null. */
+  private EdgeNode startInProcess(TestCertificate certificate) throws Exception {
     FakePeer server = peer(m -> m.answer(FakePeer.ok("", "x")));
     String text = config(member("s-0", server.address(), "Ready", 0));
     return start(
@@ -341,43 +352,48 @@
   }
 
   /**
-   * Both ends are in this process: the clients' part is measured by plain sockets to a peer, and
-   * taken off.
+   * Both ends of the connections are in this process. Prints the heap bytes of both, and those that
+   * remain when the node is closed, which are the clients' part.
    */
   @Test
-  void bytesOfAnIdleConnection() throws Exception {
+  void memoryOfAnIdleConnection() throws Exception {
     TestCertificate certificate = new TestCertificate(folder);
     SSLContext context = certificate.trusting();
     for (int round = 0; round < ROUNDS; round++) {
       for (boolean tls : new boolean[] {false, true}) {
-        EdgeNode node = here(tls ? certificate : null);
+        EdgeNode node = startInProcess(tls ? certificate : null);
         List<Socket> clients = new ArrayList<>();
         InetSocketAddress at = node.address();
         for (int i = 0; i < 50; i++) {
-          ask(open(context, at, tls), "w-" + i);
+          ask(connect(context, at, tls), "w-" + i);
         }
-        long heap = heap();
-        long direct = PooledByteBufAllocator.DEFAULT.metric().usedDirectMemory();
+        long heapBefore = usedHeapBytes();
+        long directBefore = PooledByteBufAllocator.DEFAULT.metric().usedDirectMemory();
         for (int i = 0; i < 300; i++) {
-          clients.add(open(context, at, tls));
+          clients.add(connect(context, at, tls));
           ask(clients.get(i), "t-" + i);
         }
-        long both = heap() - heap;
-        long buffers = PooledByteBufAllocator.DEFAULT.metric().usedDirectMemory() - direct;
+        long bothEndsBytes = usedHeapBytes() - heapBefore;
+        long directBytes =
+            PooledByteBufAllocator.DEFAULT.metric().usedDirectMemory() - directBefore;
         node.close();
         Thread.sleep(200);
-        long clientsOnly = heap() - heap;
+        long clientEndBytes = usedHeapBytes() - heapBefore;
         System.out.printf(
             "idle %s %d: %d heap bytes of both ends, %d after the node closed, %d direct bytes each%n",
-            tls ? "tls" : "plain", round, both / 300, clientsOnly / 300, buffers / 300);
-        for (Socket one : clients) {
-          one.close();
+            tls ? "tls" : "plain",
+            round,
+            bothEndsBytes / 300,
+            clientEndBytes / 300,
+            directBytes / 300);
+        for (Socket client : clients) {
+          client.close();
         }
       }
     }
   }
 
-  private Socket open(SSLContext context, InetSocketAddress at, boolean tls) throws IOException {
+  private Socket connect(SSLContext context, InetSocketAddress at, boolean tls) throws IOException {
     Socket socket =
         tls
             ? context.getSocketFactory().createSocket(at.getAddress(), at.getPort())
@@ -387,33 +403,39 @@
   }
 
   /**
-   * Processor time of the node's threads for handshakes, full and resumed, beside that of plain
-   * connects.
+   * Processor time of the node's threads per full and per resumed TLS handshake, compared with a
+   * connection without TLS. Each includes one request.
    */
   @Test
-  void handshakesFullAndResumed() throws Exception {
+  void cpuTimeOfFullAndResumedHandshakes() throws Exception {
     TestCertificate certificate = new TestCertificate(folder);
-    EdgeNode node = here(certificate);
-    EdgeNode plain = here(null);
+    EdgeNode node = startInProcess(certificate);
+    EdgeNode plain = startInProcess(null);
     for (int round = 0; round < ROUNDS + 1; round++) {
-      double connect = shake(plain, null, false, null);
+      double plainMicros = measureConnections(plain, null, false, null);
       for (String version : List.of("TLSv1.2", "TLSv1.3")) {
-        double full = shake(node, certificate, false, version);
-        double resumed = shake(node, certificate, true, version);
+        double fullMicros = measureConnections(node, certificate, false, version);
+        double resumedMicros = measureConnections(node, certificate, true, version);
         System.out.printf(
             "handshake %s %d: full %.0f us, resumed %.0f us, ratio %.2f; plain connect %.0f us%n",
-            version, round, full, resumed, full / resumed, connect);
+            version, round, fullMicros, resumedMicros, fullMicros / resumedMicros, plainMicros);
       }
     }
   }
 
-  private double shake(EdgeNode node, TestCertificate certificate, boolean resume, String version)
-      throws Exception {
+  /**
+   * Microseconds of processor time per connection, over 200 of them after 20 to warm up.
+   *
+   * @param certificate null for connections without TLS
+   * @param version the TLS version; ignored without TLS
+   */
+  private double measureConnections(
+      EdgeNode node, TestCertificate certificate, boolean resume, String version) throws Exception {
     SSLContext context = certificate == null ? null : certificate.trusting();
-    long before = 0;
+    long cpuBefore = 0;
     for (int i = 0; i < 220; i++) {
       if (i == 20) {
-        before = cpu();
+        cpuBefore = nodeCpuNanos();
       }
       context = certificate == null || resume ? context : certificate.trusting();
       InetSocketAddress at = node.address();
@@ -427,20 +449,21 @@
         ask(socket, "h-" + i);
       }
     }
-    return (cpu() - before) / 200 / 1e3;
+    return (nodeCpuNanos() - cpuBefore) / 200 / 1e3;
   }
 
-  private static long cpu() {
+  /** Processor time of the event loop's and the TLS key threads in this process. */
+  private static long nodeCpuNanos() {
     ThreadMXBean threads = ManagementFactory.getThreadMXBean();
-    long sum = 0;
+    long sumNanos = 0;
     for (long id : threads.getAllThreadIds()) {
       String name =
           threads.getThreadInfo(id) == null ? "" : threads.getThreadInfo(id).getThreadName();
-      sum +=
+      sumNanos +=
           name.startsWith("multiThreadIoEventLoopGroup") || name.startsWith("tls-keys")
               ? threads.getThreadCpuTime(id)
               : 0;
     }
-    return sum;
+    return sumNanos;
   }
 }
--- a/edge/src/test/java/edgegateway/node/ConnectionsTest.java
+++ b/edge/src/test/java/edgegateway/node/ConnectionsTest.java
@@ -38,27 +38,28 @@
 import org.junit.jupiter.api.Timeout;
 import org.junit.jupiter.api.io.TempDir;
 
-/** Connections of an edge node on loopback sockets, at and beyond their limits. */
+/** Client and archive server connections of an edge node over loopback, below and at limits. */
 @Timeout(180)
 class ConnectionsTest extends NodeTest {
   @TempDir Path folder;
 
-  private static long figure(EdgeNode node, String name) {
+  private static long metric(EdgeNode node, String name) {
     for (String line : node.metrics.render().split("\n")) {
       if (line.startsWith("app." + name + "=")) {
         return Long.parseLong(line.substring(line.indexOf('=') + 1));
       }
     }
-    throw new AssertionError("no figure " + name);
+    throw new AssertionError("no metric " + name);
   }
 
-  static void await(EdgeNode node, String name, long value) throws InterruptedException {
-    while (figure(node, name) != value) {
+  static void awaitMetric(EdgeNode node, String name, long value) throws InterruptedException {
+    while (metric(node, name) != value) {
       Thread.sleep(5);
     }
   }
 
-  private EdgeNode bounded(String limits, FakePeer... servers) throws Exception {
+  /** Starts a node with a {@code connections} object in its configuration. */
+  private EdgeNode startWithLimits(String limits, FakePeer... servers) throws Exception {
     String[] members = new String[servers.length];
     for (int i = 0; i < members.length; i++) {
       members[i] = member("s-" + i, servers[i].address(), "Ready", 0);
@@ -68,8 +69,11 @@
         folder);
   }
 
-  /** Under many names: the module lets some out for each. */
-  private static String[] many(FakePeer server) {
+  /**
+   * The server as 40 members, since the balancing policy limits the attempts in flight for each
+   * member.
+   */
+  private static String[] asManyMembers(FakePeer server) {
     String[] members = new String[40];
     for (int i = 0; i < members.length; i++) {
       members[i] = member("s-" + i, server.address(), "Ready", 0);
@@ -77,16 +81,17 @@
     return members;
   }
 
-  private static Socket from(int peer, InetSocketAddress to) throws IOException {
+  /** Connects from the client address 127.0.0.{@code hostNumber}. */
+  private static Socket connectFrom(int hostNumber, InetSocketAddress to) throws IOException {
     Socket socket = new Socket();
-    socket.bind(new InetSocketAddress("127.0.0." + peer, 0));
+    socket.bind(new InetSocketAddress("127.0.0." + hostNumber, 0));
     socket.connect(to);
     socket.setSoTimeout(60_000);
     return socket;
   }
 
-  private Socket from(int peer, EdgeNode node) throws IOException {
-    Socket socket = from(peer, node.address());
+  private Socket connectFrom(int hostNumber, EdgeNode node) throws IOException {
+    Socket socket = connectFrom(hostNumber, node.address());
     toClose.add(socket);
     return socket;
   }
@@ -96,128 +101,138 @@
     socket.close();
   }
 
-  /** How a peer's connection ended: a status, or "closed". */
-  private static String end(Socket socket) throws IOException {
+  /** Reads the response: its status, "closed" if the connection ended without one, or "timeout". */
+  private static String readOutcome(Socket socket) throws IOException {
     try {
       FakePeer.Message answer = FakePeer.read(socket);
       return answer == null ? "closed" : status(answer);
     } catch (SocketTimeoutException e) {
-      return "unheard";
+      return "timeout";
     } catch (IOException e) {
       return "closed";
     }
   }
 
-  /** Silent connections once took every place, or the place of whoever had been there longest. */
+  /**
+   * Guards against idle connections of one client address that occupy all slots, or that make the
+   * node evict the oldest connection of another address.
+   */
   @Test
-  void silentClientsAreEvictedForOthers() throws Exception {
+  void idleConnectionsOfAGreedyAddressAreEvictedForOtherAddresses() throws Exception {
     FakePeer server = peer(m -> m.answer(FakePeer.ok("", "x")));
-    EdgeNode node = bounded("{\"clients\":16}", server);
-    Socket lone = from(2, node);
+    EdgeNode node = startWithLimits("{\"clients\":16}", server);
+    Socket lone = connectFrom(2, node);
     assertEquals("200", ask(lone, "t-lone"));
     List<Socket> greedy = new ArrayList<>();
     for (int i = 0; i < 60; i++) {
-      greedy.add(from(1, node));
+      greedy.add(connectFrom(1, node));
     }
     for (int i = 0; i < 8; i++) {
-      Socket other = from(3 + i, node);
+      Socket other = connectFrom(3 + i, node);
       assertEquals("200", ask(other, "t-" + i));
       other.close();
     }
-    assertEquals("200", ask(lone, "t-again"), "it had fewer than others");
-    for (Socket silent : greedy) {
-      assertEquals("closed", end(silent));
+    assertEquals("200", ask(lone, "t-lone-2"), "an address with one connection was evicted");
+    for (Socket idle : greedy) {
+      assertEquals("closed", readOutcome(idle));
     }
-    assertEquals("200", ask(from(1, node), "t-last"));
+    assertEquals("200", ask(connectFrom(1, node), "t-last"));
   }
 
-  /** Bytes that are here already when room is wanted belong to a request that is taken. */
+  /** A connection whose request has arrived but is not read yet is not evicted. */
   @Test
-  void anEvictionLosesNoRequestThatIsOnItsWay() throws Exception {
+  void anEvictionLosesNoRequestThatHasAlreadyArrived() throws Exception {
     FakePeer server = peer(m -> m.answer(FakePeer.ok("", "x")));
-    EdgeNode node = bounded("{\"clients\":12}", server);
-    List<Socket> kept = new ArrayList<>();
+    EdgeNode node = startWithLimits("{\"clients\":12}", server);
+    List<Socket> established = new ArrayList<>();
     for (int i = 0; i < 12; i++) {
-      kept.add(from(1, node));
-      assertEquals("200", ask(kept.get(i), "t-" + i));
+      established.add(connectFrom(1, node));
+      assertEquals("200", ask(established.get(i), "t-" + i));
     }
-    // All of them may be closed from now on.
+    // Past the minimum idle time of 2 s, after which connections may be evicted.
     Thread.sleep(2_100);
-    CompletableFuture<Void> busy = new CompletableFuture<>();
-    node.loop.execute(busy::join);
+    CompletableFuture<Void> stallEnd = new CompletableFuture<>();
+    node.loop.execute(stallEnd::join);
     for (int i = 0; i < 12; i += 2) {
-      order(kept.get(i), "u-" + i);
+      order(established.get(i), "u-" + i);
     }
     List<Socket> newcomers = new ArrayList<>();
     for (int i = 0; i < 6; i++) {
-      newcomers.add(from(2, node));
+      newcomers.add(connectFrom(2, node));
       order(newcomers.get(i), "n-" + i);
     }
-    busy.complete(null);
+    stallEnd.complete(null);
     for (int i = 0; i < 12; i += 2) {
-      assertEquals("200", end(kept.get(i)));
+      assertEquals("200", readOutcome(established.get(i)));
     }
     for (Socket newcomer : newcomers) {
-      assertEquals("200", end(newcomer));
+      assertEquals("200", readOutcome(newcomer));
     }
-    assertTrue(figure(node, "connections.evicted") > 0);
+    assertTrue(metric(node, "connections.evicted") > 0);
   }
 
   @Test
   void overCapacityRequestsAreRejectedAndHealthChecksAnswered() throws Exception {
-    CompletableFuture<Void> go = new CompletableFuture<>();
+    CompletableFuture<Void> responsePermit = new CompletableFuture<>();
     FakePeer server =
         peer(
             m -> {
-              go.join();
+              responsePermit.join();
               m.answer(FakePeer.ok("", "x"));
             });
-    EdgeNode node = bounded("{\"clients\":8}", server);
+    EdgeNode node = startWithLimits("{\"clients\":8}", server);
     List<Socket> busy = new ArrayList<>();
     for (int i = 0; i < 8; i++) {
-      busy.add(from(1, node));
+      busy.add(connectFrom(1, node));
       order(busy.get(i), "t-" + i);
     }
-    await(node, "in_progress", 8);
-    Socket away = from(1, node);
-    write(away, "POST /api", headers("away", "order", "20000"), "book");
-    FakePeer.Message answer = FakePeer.read(away);
+    awaitMetric(node, "in_progress", 8);
+    Socket rejected = connectFrom(1, node);
+    write(rejected, "POST /api", headers("rejected", "order", "20000"), "book");
+    FakePeer.Message answer = FakePeer.read(rejected);
     assertEquals("503", status(answer));
     assertEquals("close", answer.headers().get("connection"));
-    assertNull(FakePeer.read(away));
-    Socket longest = from(1, node);
-    longest
+    assertNull(FakePeer.read(rejected));
+    Socket expectContinue = connectFrom(1, node);
+    expectContinue
         .getOutputStream()
         .write(
             ("POST /api HTTP/1.1\r\n"
-                    + lines(headers("long", "order", "20000"))
+                    + headerLines(headers("long", "order", "20000"))
                     + "Expect: 100-continue\r\nContent-Length: 60000\r\n\r\n")
                 .getBytes(StandardCharsets.UTF_8));
-    assertEquals("503", status(FakePeer.read(longest)), "it is told before its body came");
-    Socket bad = from(1, node);
-    write(bad, "POST /api", Map.of(), "");
-    assertEquals("400", end(bad));
-    Socket front = from(1, node);
-    write(front, "GET /_health", Map.of(), "");
-    assertEquals("503", status(FakePeer.read(front)), "not admitted yet");
-    assertEquals(1 + 1 + 1 + 1, figure(node, "connections.refused"));
-    assertEquals(2, figure(node, "handled.order.dropped"));
-    go.complete(null);
-    for (Socket one : busy) {
-      assertEquals("200", end(one));
-    }
-  }
-
-  private static String lines(Map<String, String> headers) {
+    assertEquals(
+        "503", status(FakePeer.read(expectContinue)), "must be rejected before its body arrives");
+    Socket malformed = connectFrom(1, node);
+    write(malformed, "POST /api", Map.of(), "");
+    assertEquals("400", readOutcome(malformed));
+    Socket healthCheck = connectFrom(1, node);
+    write(healthCheck, "GET /_health", Map.of(), "");
+    assertEquals(
+        "503",
+        status(FakePeer.read(healthCheck)),
+        "health check of a node that is not admitted yet");
+    assertEquals(1 + 1 + 1 + 1, metric(node, "connections.refused"));
+    assertEquals(2, metric(node, "handled.order.dropped"));
+    responsePermit.complete(null);
+    for (Socket socket : busy) {
+      assertEquals("200", readOutcome(socket));
+    }
+  }
+
+  private static String headerLines(Map<String, String> headers) {
     StringBuilder text = new StringBuilder();
     headers.forEach((name, value) -> text.append(name).append(": ").append(value).append("\r\n"));
     return text.toString();
   }
 
-  /** Thousands at once: what was in hand is answered, and each newcomer is heard. */
+  /**
+   * 2,000 new connections at once: requests in flight are answered, and no new client waits without
+   * a response or a close.
+   */
   @Test
   void aSurgeLosesNoRequestInFlightAndAnswersEveryClient() throws Exception {
-    surge("calm");
+    surge("serving");
   }
 
   @Test
@@ -230,91 +245,94 @@
     surge("upgrade");
   }
 
-  private void surge(String when) throws Exception {
-    CompletableFuture<Void> go = new CompletableFuture<>();
+  /**
+   * Opens 2,000 connections from 4 addresses while 10 requests are in flight.
+   *
+   * @param phase "serving"; "drain", where the node is stopped after about 500 connections; or
+   *     "upgrade", where a successor listens at the same address before that
+   */
+  private void surge(String phase) throws Exception {
+    CompletableFuture<Void> responsePermit = new CompletableFuture<>();
     FakePeer server =
         peer(
             m -> {
-              if (m.headers().get("x-trace-id").startsWith("hand")) {
-                go.join();
+              if (m.headers().get("x-trace-id").startsWith("in-flight")) {
+                responsePermit.join();
               }
               m.answer(FakePeer.ok("", "x"));
             });
-    String[] members = many(server);
+    String[] members = asManyMembers(server);
     EdgeNode node = start(config(members), folder);
-    List<Socket> hand = new ArrayList<>();
+    List<Socket> inFlight = new ArrayList<>();
     for (int i = 0; i < 10; i++) {
-      hand.add(from(9, node));
-      order(hand.get(i), "hand-" + i);
+      inFlight.add(connectFrom(9, node));
+      order(inFlight.get(i), "in-flight-" + i);
     }
-    await(node, "in_progress", 10);
+    awaitMetric(node, "in_progress", 10);
     InetSocketAddress at = node.address();
-    EdgeNode next = null;
-    if (when.equals("upgrade")) {
-      next =
+    EdgeNode successor = null;
+    if (phase.equals("upgrade")) {
+      successor =
           new EdgeNode(
               NodeConfigParser.parse(
                   config(members).replace("127.0.0.1:0", "127.0.0.1:" + at.getPort())),
               folder);
-      toClose.add(next);
-      next.startAsSuccessor();
+      toClose.add(successor);
+      successor.startAsSuccessor();
     }
-    List<Future<String>> ends = new ArrayList<>();
+    List<Future<String>> outcomes = new ArrayList<>();
     ExecutorService callers = Executors.newFixedThreadPool(64);
     toClose.add(callers::shutdownNow);
-    CompletableFuture<Void> half = new CompletableFuture<>();
+    CompletableFuture<Void> surgeBegun = new CompletableFuture<>();
     for (int i = 0; i < 2_000; i++) {
       int number = i;
-      ends.add(
+      outcomes.add(
           callers.submit(
               () -> {
                 if (number == 500) {
-                  half.complete(null);
+                  surgeBegun.complete(null);
                 }
-                try (Socket socket = from(1 + number % 4, at)) {
+                try (Socket socket = connectFrom(1 + number % 4, at)) {
                   write(socket, "GET /api", headers("s-" + number, "lookup", "20000"), "");
-                  return end(socket);
+                  return readOutcome(socket);
                 } catch (IOException e) {
-                  // The listening socket is gone, or its connection was closed before the request
-                  // was out.
+                  // The listening socket or the connection was closed before the request was sent.
                   return "closed";
                 }
               }));
     }
-    half.get();
+    surgeBegun.get();
     CompletableFuture<Void> stopped = null;
-    if (!when.equals("calm")) {
+    if (!phase.equals("serving")) {
       stopped = node.stop();
     }
     Map<String, Integer> counts = new TreeMap<>();
-    for (Future<String> end : ends) {
-      counts.merge(end.get(), 1, Integer::sum);
+    for (Future<String> outcome : outcomes) {
+      counts.merge(outcome.get(), 1, Integer::sum);
     }
-    assertFalse(counts.containsKey("unheard"), counts.toString());
-    if (!when.equals("drain")) {
+    assertFalse(counts.containsKey("timeout"), counts.toString());
+    if (!phase.equals("drain")) {
       assertTrue(counts.get("200") > 1_000, counts.toString());
     }
-    go.complete(null);
-    for (Socket one : hand) {
-      assertEquals("200", end(one));
+    responsePermit.complete(null);
+    for (Socket socket : inFlight) {
+      assertEquals("200", readOutcome(socket));
     }
     if (stopped != null) {
       stopped.get(60, TimeUnit.SECONDS);
     } else {
-      await(node, "connections.open", 10);
+      awaitMetric(node, "connections.open", 10);
     }
   }
 
-  /**
-   * A client that ends its sending waits for its answer; one that is gone costs nobody more work.
-   */
+  /** Complete requests before a half-close are answered; a truncated one after them is dropped. */
   @Test
   void aHalfClosedClientGetsItsResponses() throws Exception {
-    CompletableFuture<Void> go = new CompletableFuture<>();
+    CompletableFuture<Void> responsePermit = new CompletableFuture<>();
     FakePeer server =
         peer(
             m -> {
-              go.join();
+              responsePermit.join();
               m.answer(FakePeer.ok("", m.headers().get("x-trace-id")));
             });
     EdgeNode node = node(server);
@@ -326,26 +344,27 @@
     Socket single = client(node);
     order(single, "t-single");
     single.shutdownOutput();
-    await(node, "connections.half_closed", 2);
-    go.complete(null);
+    awaitMetric(node, "connections.half_closed", 2);
+    responsePermit.complete(null);
     for (int i = 0; i < 3; i++) {
-      assertEquals("t-" + i, answer(client).body());
+      assertEquals("t-" + i, readFinalResponse(client).body());
     }
     assertNull(FakePeer.read(client));
-    FakePeer.Message last = answer(single);
+    FakePeer.Message last = readFinalResponse(single);
     assertEquals("t-single", last.body());
     assertEquals("close", last.headers().get("connection"));
     assertNull(FakePeer.read(single));
-    Socket half = client(node);
-    order(half, "t-9");
-    half.getOutputStream().write("POST /api HT".getBytes(StandardCharsets.UTF_8));
-    half.shutdownOutput();
-    assertEquals("t-9", answer(half).body());
-    assertNull(FakePeer.read(half));
-    await(node, "connections.open", 0);
+    Socket truncated = client(node);
+    order(truncated, "t-9");
+    truncated.getOutputStream().write("POST /api HT".getBytes(StandardCharsets.UTF_8));
+    truncated.shutdownOutput();
+    assertEquals("t-9", readFinalResponse(truncated).body());
+    assertNull(FakePeer.read(truncated));
+    awaitMetric(node, "connections.open", 0);
   }
 
-  private static FakePeer.Message answer(Socket from) throws IOException {
+  /** Reads the final response; interim ones are skipped. */
+  private static FakePeer.Message readFinalResponse(Socket from) throws IOException {
     FakePeer.Message answer = FakePeer.read(from);
     while (answer.startLine().contains(" 100 ")) {
       answer = FakePeer.read(from);
@@ -360,61 +379,64 @@
     Socket client = client(node);
     order(client, "t-1");
     server.next();
-    assertEquals(1, figure(node, "in_progress"));
+    assertEquals(1, metric(node, "in_progress"));
     client.close();
-    await(node, "in_progress", 0);
-    await(node, "connections.open", 0);
+    awaitMetric(node, "in_progress", 0);
+    awaitMetric(node, "connections.open", 0);
   }
 
-  /** A reset wherever it comes, and closes that cross, cost that connection alone. */
+  /**
+   * A client's reset in any state of its connection, and a close that crosses the response, affect
+   * no other connection.
+   */
   @Test
-  void resetsAnywhereCostNothingElse() throws Exception {
-    CompletableFuture<Void> go = new CompletableFuture<>();
+  void clientResetsAffectNoOtherConnection() throws Exception {
+    CompletableFuture<Void> responsePermit = new CompletableFuture<>();
     FakePeer server =
         peer(
             m -> {
               if (m.headers().get("x-trace-id").startsWith("wait")) {
-                go.join();
+                responsePermit.join();
               }
               m.answer(FakePeer.ok("", "x".repeat(60_000)));
             });
-    EdgeNode node = start(config(many(server)));
-    Socket well = client(node);
+    EdgeNode node = start(config(asManyMembers(server)));
+    Socket unaffected = client(node);
     for (int i = 0; i < 20; i++) {
-      CompletableFuture<Void> busy = new CompletableFuture<>();
-      node.loop.execute(busy::join);
-      reset(from(1, node));
-      busy.complete(null);
-      Socket head = from(1, node);
+      CompletableFuture<Void> stallEnd = new CompletableFuture<>();
+      node.loop.execute(stallEnd::join);
+      reset(connectFrom(1, node));
+      stallEnd.complete(null);
+      Socket head = connectFrom(1, node);
       head.getOutputStream().write("POST /api HTTP/1.1\r\nHost".getBytes(StandardCharsets.UTF_8));
       reset(head);
-      Socket upload = from(1, node);
+      Socket upload = connectFrom(1, node);
       upload
           .getOutputStream()
           .write(
               ("POST /api HTTP/1.1\r\n"
-                      + lines(headers("up-" + i, "order", "20000"))
+                      + headerLines(headers("up-" + i, "order", "20000"))
                       + "Content-Length: 60000\r\n\r\nhalf")
                   .getBytes(StandardCharsets.UTF_8));
       reset(upload);
-      Socket waits = from(1, node);
-      order(waits, "wait-" + i);
-      reset(waits);
-      Socket answered = from(1, node);
+      Socket pending = connectFrom(1, node);
+      order(pending, "wait-" + i);
+      reset(pending);
+      Socket answered = connectFrom(1, node);
       order(answered, "read-" + i);
       answered.getInputStream().read();
       reset(answered);
-      Socket both = from(1, node);
+      Socket crossingClose = connectFrom(1, node);
       Map<String, String> last = headers("both-" + i, "order", "20000");
       last.put("Connection", "close");
-      write(both, "POST /api", last, "book");
-      both.close();
-      assertEquals("200", ask(well, "well-" + i));
+      write(crossingClose, "POST /api", last, "book");
+      crossingClose.close();
+      assertEquals("200", ask(unaffected, "unaffected-" + i));
     }
-    go.complete(null);
-    await(node, "connections.open", 1);
-    await(node, "in_progress", 0);
-    await(node, "connections.held_bytes", 0);
+    responsePermit.complete(null);
+    awaitMetric(node, "connections.open", 1);
+    awaitMetric(node, "in_progress", 0);
+    awaitMetric(node, "connections.held_bytes", 0);
   }
 
   @Test
@@ -430,17 +452,17 @@
     for (int i = 0; i < 200; i++) {
       write(client, "GET /api", headers("t-" + i, "lookup", "20000"), "");
     }
-    await(node, "connections.timed_out.unread", 1);
-    await(node, "connections.open", 0);
-    await(node, "connections.held_bytes", 0);
+    awaitMetric(node, "connections.timed_out.unread", 1);
+    awaitMetric(node, "connections.open", 0);
+    awaitMetric(node, "connections.held_bytes", 0);
   }
 
   @Test
-  void noCustomersBufferedBodiesExcludeAnothers() throws Exception {
+  void oneCustomersBufferedBodiesLeaveCapacityForAnother() throws Exception {
     FakePeer server = peer(m -> m.answer(FakePeer.ok("", "x")));
-    EdgeNode node = bounded("{\"held-bytes\":400000}", server);
+    EdgeNode node = startWithLimits("{\"held-bytes\":400000}", server);
     List<Socket> greedy = new ArrayList<>();
-    int refused = 0;
+    int rejected = 0;
     for (int i = 0; i < 12; i++) {
       Socket socket = client(node);
       greedy.add(socket);
@@ -449,36 +471,36 @@
           .getOutputStream()
           .write(
               ("POST /api HTTP/1.1\r\n"
-                      + lines(headers("g-" + i, "order", "20000"))
+                      + headerLines(headers("g-" + i, "order", "20000"))
                       + "Content-Length: 60000\r\n\r\nsome of it")
                   .getBytes(StandardCharsets.UTF_8));
-      if (!end(socket).equals("unheard")) {
-        refused++;
+      if (!readOutcome(socket).equals("timeout")) {
+        rejected++;
       } else if (i == 5) {
         Map<String, String> other = headers("other", "order", "20000");
         other.put("Cookie", "customer=0000000000000099");
-        Socket small = client(node);
-        write(small, "POST /api", other, "x".repeat(30_000));
-        assertEquals("200", end(small));
+        Socket otherCustomer = client(node);
+        write(otherCustomer, "POST /api", other, "x".repeat(30_000));
+        assertEquals("200", readOutcome(otherCustomer));
       }
     }
-    assertTrue(refused >= 6, refused + " of 12 were told");
-    assertEquals(refused, figure(node, "connections.bodies_refused"));
-    for (Socket one : greedy) {
-      reset(one);
+    assertTrue(rejected >= 6, rejected + " of 12 uploads were rejected");
+    assertEquals(rejected, metric(node, "connections.bodies_refused"));
+    for (Socket socket : greedy) {
+      reset(socket);
     }
-    await(node, "connections.held_bytes", 0);
+    awaitMetric(node, "connections.held_bytes", 0);
   }
 
   /**
-   * What is held of answers is bounded as well: beyond that they go on as they come, and none is
-   * lost.
+   * The buffers for responses are bounded as well: over that bound responses are streamed to the
+   * client, and none is lost.
    */
   @Test
   void responsesOverTheBufferCapacityAreStreamed() throws Exception {
     String body = "y".repeat(60_000);
     FakePeer server = peer(m -> m.answer(FakePeer.ok("", body)));
-    EdgeNode node = bounded("{\"held-bytes\":131072}", server);
+    EdgeNode node = startWithLimits("{\"held-bytes\":131072}", server);
     List<Socket> clients = new ArrayList<>();
     for (int i = 0; i < 16; i++) {
       clients.add(client(node));
@@ -487,33 +509,30 @@
     for (Socket client : clients) {
       assertTrue(body.equals(FakePeer.read(client).body()));
     }
-    await(node, "connections.held_bytes", 0);
+    awaitMetric(node, "connections.held_bytes", 0);
   }
 
-  /**
-   * A server that takes connections and never answers: its attempt ends, and that connection is
-   * used no more.
-   */
+  /** An attempt on a server that accepts the connection but never answers ends by its timeout. */
   @Test
   void aConnectionToAnUnresponsiveUpstreamIsNotReused() throws Exception {
-    FakePeer silent =
+    FakePeer unresponsive =
         peer(
             m -> {
               if (!m.headers().get("x-trace-id").equals("t-1")) {
                 m.answer(FakePeer.ok("", "x"));
               }
             });
-    EdgeNode node = node(silent);
+    EdgeNode node = node(unresponsive);
     Socket client = client(node);
     write(client, "POST /api", headers("t-1", "strict", "2500"), "book");
-    assertEquals("502", end(client));
-    silent.next();
+    assertEquals("502", readOutcome(client));
+    unresponsive.next();
     assertEquals("200", ask(client, "t-2"));
-    assertNotNull(silent.closedConnections.poll(30, TimeUnit.SECONDS));
-    assertEquals(2, figure(node, "connections.archive_servers.opened"));
+    assertNotNull(unresponsive.closedConnections.poll(30, TimeUnit.SECONDS));
+    assertEquals(2, metric(node, "connections.archive_servers.opened"));
   }
 
-  /** One at its limit refuses further connections: requests go by those it has. */
+  /** A server that refuses further connections receives its requests over the open ones. */
   @Test
   void anUpstreamAtItsConnectionLimitServesOnOpenConnections() throws Exception {
     ServerSocket listening = new ServerSocket(0, 1, InetAddress.getLoopbackAddress());
@@ -522,10 +541,12 @@
     Thread thread =
         new Thread(
             () -> {
-              try (Socket only = listening.accept()) {
+              try (Socket connection = listening.accept()) {
                 listening.close();
                 closed.complete(null);
-                for (FakePeer.Message m = FakePeer.read(only); m != null; m = FakePeer.read(only)) {
+                for (FakePeer.Message m = FakePeer.read(connection);
+                    m != null;
+                    m = FakePeer.read(connection)) {
                   Thread.sleep(20);
                   m.answer(FakePeer.ok("", "x"));
                 }
@@ -540,25 +561,28 @@
     Socket first = client(node);
     order(first, "t-0");
     closed.get();
-    assertEquals("200", end(first));
+    assertEquals("200", readOutcome(first));
     List<Socket> clients = new ArrayList<>();
     for (int i = 1; i < 4; i++) {
       clients.add(client(node));
       order(clients.get(i - 1), "t-" + i);
     }
     for (Socket client : clients) {
-      assertEquals("200", end(client));
+      assertEquals("200", readOutcome(client));
     }
-    assertEquals(1, figure(node, "connections.archive_servers.open"));
-    assertTrue(figure(node, "connections.archive_servers.reused") >= 3);
+    assertEquals(1, metric(node, "connections.archive_servers.open"));
+    assertTrue(metric(node, "connections.archive_servers.reused") >= 3);
   }
 
-  /** An address that moves: nothing for the new server goes by connections of the old one. */
+  /**
+   * A server that moved to another address gets no request over a connection to its old address.
+   * Another server that took over the old address gets new connections, too.
+   */
   @Test
-  void aServerBackColdOrElsewhereGetsNewConnections() throws Exception {
+  void aMovedServerAndItsReplacementGetNewConnections() throws Exception {
     FakePeer old = peer(m -> m.answer(FakePeer.ok("", "old")));
     FakePeer moved = peer(m -> m.answer(FakePeer.ok("", "new")));
-    CompletableFuture<Void> go = new CompletableFuture<>();
+    CompletableFuture<Void> responsePermit = new CompletableFuture<>();
     String line =
         "{\"revision\":8,\"complete\":true,\"members\":["
             + member("s-9", old.address(), "Ready", System.currentTimeMillis() - 60_000)
@@ -569,7 +593,7 @@
         peer(
             m -> {
               if (m.startLine().contains("after=5")) {
-                go.join();
+                responsePermit.join();
                 m.answer(
                     "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
                         + Integer.toHexString(line.length())
@@ -581,19 +605,21 @@
     EdgeNode node = node(old);
     Socket client = client(node);
     assertEquals("200", ask(client, "t-1"));
-    Socket usedBefore = old.next().socket();
-    go.complete(null);
-    assertNotNull(old.closedConnections.poll(60, TimeUnit.SECONDS), "its idle connection goes");
+    Socket previousConnection = old.next().socket();
+    responsePermit.complete(null);
+    assertNotNull(
+        old.closedConnections.poll(60, TimeUnit.SECONDS),
+        "the idle connection to the old address must be closed");
     for (int i = 0; old.received.isEmpty() || moved.received.isEmpty(); i++) {
       assertEquals("200", ask(client, "u-" + i));
     }
-    assertTrue(old.next().socket() != usedBefore);
+    assertTrue(old.next().socket() != previousConnection);
   }
 
   @Test
-  void limitsThatCanNotBeAreRefusedAndTooLargeOnesClamped() throws Exception {
-    String good = config();
-    Map<String, String> broken =
+  void invalidConnectionLimitsAreRejectedAndTooLargeOnesClamped() throws Exception {
+    String validConfig = config();
+    Map<String, String> messageByConnections =
         new TreeMap<>(
             Map.of(
                 "{\"clients\":0}",
@@ -610,26 +636,30 @@
                 "connections is not an object",
                 "{\"held-bytes\":99999999999}",
                 "connections.held-bytes is not a whole number"));
-    for (Map.Entry<String, String> one : broken.entrySet()) {
-      String text = good.replace("\"counter\"", "\"connections\":" + one.getKey() + ",\"counter\"");
-      String said =
+    for (Map.Entry<String, String> invalid : messageByConnections.entrySet()) {
+      String text =
+          validConfig.replace(
+              "\"counter\"", "\"connections\":" + invalid.getKey() + ",\"counter\"");
+      String message =
           assertThrows(InvalidConfigException.class, () -> NodeConfigParser.parse(text))
               .getMessage();
-      assertTrue(said.startsWith(one.getValue()), said);
-      assertFalse(said.contains("\n"), said);
+      assertTrue(message.startsWith(invalid.getValue()), message);
+      assertFalse(message.contains("\n"), message);
     }
-    EdgeNode node = bounded("{\"clients\":100000}", peer(m -> m.answer(FakePeer.ok("", "x"))));
+    EdgeNode node =
+        startWithLimits("{\"clients\":100000}", peer(m -> m.answer(FakePeer.ok("", "x"))));
     assertEquals(1, node.budget().clamped().size());
-    assertEquals(NodeConfigParser.parse(good).maxDescriptors(), 1_024);
+    assertEquals(NodeConfigParser.parse(validConfig).maxDescriptors(), 1_024);
     assertTrue(node.budget().clients() < 1_024);
   }
 
   /**
-   * The descriptors run out though the budget has room: the operators' address still answers, and
-   * it passes by itself.
+   * The process's limit of descriptors is below the configured budget. While descriptors are
+   * exhausted, the operators' address still answers and the node doesn't retry accepts in a busy
+   * loop; once clients close, it serves again.
    */
   @Test
-  void descriptorsThatRunOutFromOutsideAreSurvived() throws Exception {
+  void theNodeRecoversFromDescriptorExhaustionBelowItsBudget() throws Exception {
     FakePeer server = peer(m -> m.answer(FakePeer.ok("", "x")));
     CompletableFuture<Void> never = new CompletableFuture<>();
     discovery =
@@ -638,116 +668,126 @@
               m.answer("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n1\r\n\n\r\n");
               never.join();
             });
-    int opsPort;
+    int operatorsPort;
     try (ServerSocket free = new ServerSocket(0, 1, InetAddress.getLoopbackAddress())) {
-      opsPort = free.getLocalPort();
+      operatorsPort = free.getLocalPort();
     }
     Path file = folder.resolve("config.json");
     Files.writeString(
         file,
         config(member("s-0", server.address(), "Ready", 0))
-            .replace("\"counter\"", "\"ops\":\"127.0.0.1:" + opsPort + "\",\"counter\""));
+            .replace("\"counter\"", "\"ops\":\"127.0.0.1:" + operatorsPort + "\",\"counter\""));
     Process process = serve(file, List.of("sh", "-c", "ulimit -n 90; exec \"$0\" \"$@\""));
     InetSocketAddress at = servingAt(process);
-    while (!call(opsPort, "check").startsWith("ACK")) {
+    while (!callOperators(operatorsPort, "check").startsWith("ACK")) {
       Thread.sleep(20);
     }
-    List<Socket> all = new ArrayList<>();
+    List<Socket> clients = new ArrayList<>();
     for (int i = 0; i < 200; i++) {
-      all.add(from(1, at));
+      clients.add(connectFrom(1, at));
     }
     long began = System.nanoTime();
-    while (exhausted(opsPort) == 0) {
+    while (descriptorExhaustions(operatorsPort) == 0) {
       Thread.sleep(20);
     }
     Thread.sleep(500);
-    long tries = exhausted(opsPort);
-    long most = (System.nanoTime() - began) / 20_000_000 + 50;
-    assertTrue(tries <= 3 * most, "it spins: " + tries + " of " + most);
-    for (Socket one : all) {
-      one.close();
-    }
-    Socket client = from(2, at);
+    long exhaustions = descriptorExhaustions(operatorsPort);
+    long expectedAccepts = (System.nanoTime() - began) / 20_000_000 + 50;
+    assertTrue(
+        exhaustions <= 3 * expectedAccepts,
+        "accepts are retried too often: "
+            + exhaustions
+            + " times, expected accepts: "
+            + expectedAccepts);
+    for (Socket socket : clients) {
+      socket.close();
+    }
+    Socket client = connectFrom(2, at);
     toClose.add(client);
     assertEquals("200", ask(client, "t-1"));
     assertTrue(process.isAlive());
   }
 
   /**
-   * Idle clients to the brim while discovery is away: its line, the counter's, servers' and
-   * operators' are kept free.
+   * Idle clients use up their share of the descriptors while discovery is unresponsive: the shares
+   * of discovery, the counter, archive servers and operators stay free.
    */
   @Test
-  void idleClientsKeepNobodyElseFromTheDescriptors() throws Exception {
-    FakePeer leaves = peer(m -> m.answer(FakePeer.ok("", "first")));
-    FakePeer stays = peer(m -> m.answer(FakePeer.ok("", "second")));
+  void idleClientsLeaveDescriptorsForAllOtherPeers() throws Exception {
+    FakePeer terminating = peer(m -> m.answer(FakePeer.ok("", "first")));
+    FakePeer ready = peer(m -> m.answer(FakePeer.ok("", "second")));
     CompletableFuture<Void> never = new CompletableFuture<>();
-    AtomicBoolean away = new AtomicBoolean(true);
+    AtomicBoolean unresponsive = new AtomicBoolean(true);
     String change =
         "{\"revision\":6,\"complete\":false,\"members\":["
-            + member("s-0", leaves.address(), "Terminating", 0)
+            + member("s-0", terminating.address(), "Terminating", 0)
             + ","
-            + member("s-1", stays.address(), "Ready", 0)
+            + member("s-1", ready.address(), "Ready", 0)
             + "]}\n";
     discovery =
         peer(
             m -> {
-              if (discovery.received.size() > 1 && away.get()) {
+              if (discovery.received.size() > 1 && unresponsive.get()) {
                 never.join();
               }
-              String told = away.get() ? "\n" : change;
+              String update = unresponsive.get() ? "\n" : change;
               m.answer(
                   "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
-                      + Integer.toHexString(told.length())
+                      + Integer.toHexString(update.length())
                       + "\r\n"
-                      + told
+                      + update
                       + "\r\n");
               never.join();
             });
-    int opsPort;
+    int operatorsPort;
     try (ServerSocket free = new ServerSocket(0, 1, InetAddress.getLoopbackAddress())) {
-      opsPort = free.getLocalPort();
+      operatorsPort = free.getLocalPort();
     }
     Path file = folder.resolve("config.json");
     Files.writeString(
         file,
-        config(member("s-0", leaves.address(), "Ready", 0))
+        config(member("s-0", terminating.address(), "Ready", 0))
             .replace("1024", "256")
-            .replace("\"counter\"", "\"ops\":\"127.0.0.1:" + opsPort + "\",\"counter\""));
+            .replace("\"counter\"", "\"ops\":\"127.0.0.1:" + operatorsPort + "\",\"counter\""));
     Process process = serve(file, List.of("sh", "-c", "ulimit -n 256; exec \"$0\" \"$@\""));
     InetSocketAddress at = servingAt(process);
     List<Socket> idle = new ArrayList<>();
     toClose.add(
         () -> {
-          for (Socket one : idle) {
-            one.close();
+          for (Socket socket : idle) {
+            socket.close();
           }
         });
     for (int i = 0; i < 500; i++) {
-      idle.add(from(1 + i % 4, at));
+      idle.add(connectFrom(1 + i % 4, at));
     }
-    // Until watches were opened, and closed, beside one that hangs.
+    // One watch hangs; the node opens and closes others beside it.
     while (discovery.accepted() < 8) {
-      assertTrue(call(opsPort, "vars").contains("app.connections.open="), "operators are answered");
+      assertTrue(
+          callOperators(operatorsPort, "vars").contains("app.connections.open="),
+          "operators must be answered");
     }
-    assertEquals("first", answered(at));
-    away.set(false);
+    assertEquals("first", requestUntilAnswered(at));
+    unresponsive.set(false);
     String served;
     do {
-      served = answered(at);
+      served = requestUntilAnswered(at);
     } while (!served.equals("second"));
-    assertTrue(counter.accepted() > 0, "the counter is called");
-    assertEquals(0, exhausted(opsPort), "the budget keeps below the bound");
+    assertTrue(counter.accepted() > 0, "the counter must be called");
+    assertEquals(
+        0,
+        descriptorExhaustions(operatorsPort),
+        "the budget must stay below the process's descriptor limit");
     assertTrue(process.isAlive());
   }
 
-  /** The body of the answer to a newcomer, who comes again where a connection ends without one. */
-  private static String answered(InetSocketAddress at) throws IOException {
+  /** Sends a request on a new connection until a connection yields a response; returns its body. */
+  private static String requestUntilAnswered(InetSocketAddress at) throws IOException {
     Map<String, String> headers = headers("t-" + System.nanoTime(), "lookup", "20000");
     headers.put("Cookie", String.format("customer=%016x", System.nanoTime() % 100_000));
     headers.put("X-Quota", "units=1,spread=2,first=0");
     while (true) {
-      try (Socket client = from(9, at)) {
+      try (Socket client = connectFrom(9, at)) {
         write(client, "GET /api", headers, "");
         FakePeer.Message answer = FakePeer.read(client);
         if (answer != null) {
@@ -755,18 +795,18 @@
           return answer.body();
         }
       } catch (SocketException e) {
-        // There was no place: it comes again, as clients do.
+        // Closed for want of capacity: clients retry.
       }
     }
   }
 
-  private static long exhausted(int opsPort) throws IOException {
-    String text = call(opsPort, "vars");
+  private static long descriptorExhaustions(int operatorsPort) throws IOException {
+    String text = callOperators(operatorsPort, "vars");
     int from = text.indexOf("descriptors_exhausted=") + "descriptors_exhausted=".length();
     return Long.parseLong(text.substring(from, text.indexOf('\n', from)));
   }
 
-  private static String call(int port, String line) throws IOException {
+  private static String callOperators(int port, String line) throws IOException {
     try (Socket socket = new Socket("127.0.0.1", port)) {
       socket.setSoTimeout(30_000);
       socket.getOutputStream().write((line + "\n").getBytes(StandardCharsets.UTF_8));
@@ -774,16 +814,16 @@
     }
   }
 
-  /** Connections that end in every way leave nothing: no count, no held byte, no buffer. */
+  /** However connections end, counts and buffered bytes return to 0 and no buffer leaks. */
   @Test
-  void nothingIsLeftOfTwentyThousandConnections() throws Exception {
+  void twentyThousandEndedConnectionsLeakNothing() throws Exception {
     List<String> leaks = new ArrayList<>();
-    Handler listener =
+    Handler leakCollector =
         new Handler() {
           @Override
-          public synchronized void publish(LogRecord said) {
-            if (String.valueOf(said.getMessage()).contains("LEAK")) {
-              leaks.add(said.getMessage());
+          public synchronized void publish(LogRecord entry) {
+            if (String.valueOf(entry.getMessage()).contains("LEAK")) {
+              leaks.add(entry.getMessage());
             }
           }
 
@@ -794,7 +834,7 @@
           public void close() {}
         };
     Logger logger = Logger.getLogger(ResourceLeakDetector.class.getName());
-    logger.addHandler(listener);
+    logger.addHandler(leakCollector);
     ResourceLeakDetector.Level before = ResourceLeakDetector.getLevel();
     ResourceLeakDetector.setLevel(ResourceLeakDetector.Level.PARANOID);
     try {
@@ -811,18 +851,18 @@
       List<Future<?>> done = new ArrayList<>();
       for (int i = 0; i < 20_000; i++) {
         int number = i;
-        done.add(callers.submit(() -> one(node.address(), number)));
+        done.add(callers.submit(() -> runConnection(node.address(), number)));
       }
-      for (Future<?> one : done) {
-        one.get();
+      for (Future<?> connection : done) {
+        connection.get();
       }
-      await(node, "connections.open", 0);
-      await(node, "in_progress", 0);
-      // The last connection left the table in a task that releases its bytes a moment later.
+      awaitMetric(node, "connections.open", 0);
+      awaitMetric(node, "in_progress", 0);
+      // The task that removes the last connection from the table releases its bytes afterwards.
       node.loop.submit(() -> {}).get();
       for (String name :
           List.of("connections.idle", "connections.handshaking", "connections.held_bytes")) {
-        assertEquals(0, figure(node, name), name);
+        assertEquals(0, metric(node, name), name);
       }
       for (int i = 0; i < 5; i++) {
         System.gc();
@@ -831,19 +871,20 @@
       assertEquals(List.of(), leaks);
     } finally {
       ResourceLeakDetector.setLevel(before);
-      logger.removeHandler(listener);
+      logger.removeHandler(leakCollector);
     }
   }
 
-  private static Void one(InetSocketAddress at, int number) throws IOException {
-    try (Socket socket = from(1 + number % 32, at)) {
+  /** Opens a connection that ends in one of ten ways, chosen by the last digit of the number. */
+  private static Void runConnection(InetSocketAddress at, int number) throws IOException {
+    try (Socket socket = connectFrom(1 + number % 32, at)) {
       String id = "t-" + number;
       switch (number % 10) {
         case 0 -> reset(socket);
         case 1 -> socket.getOutputStream().write("POST /api HT".getBytes(StandardCharsets.UTF_8));
         case 2 -> {
           order(socket, id);
-          end(socket);
+          readOutcome(socket);
         }
         case 3 -> {
           order(socket, id);
@@ -852,18 +893,18 @@
         case 4 -> {
           order(socket, id);
           socket.shutdownOutput();
-          end(socket);
+          readOutcome(socket);
         }
         case 5 -> {
           socket.getOutputStream().write("nonsense\r\n\r\n".getBytes(StandardCharsets.UTF_8));
-          end(socket);
+          readOutcome(socket);
         }
         case 6 ->
             socket
                 .getOutputStream()
                 .write(
                     ("POST /api HTTP/1.1\r\n"
-                            + lines(headers(id, "order", "20000"))
+                            + headerLines(headers(id, "order", "20000"))
                             + "Content-Length: 50000\r\n\r\nhalf")
                         .getBytes(StandardCharsets.UTF_8));
         case 7 -> {
@@ -873,16 +914,16 @@
         case 8 -> {
           order(socket, id);
           order(socket, id + "x");
-          end(socket);
-          end(socket);
+          readOutcome(socket);
+          readOutcome(socket);
         }
         default -> {
           write(socket, "GET /_health", Map.of(), "");
-          end(socket);
+          readOutcome(socket);
         }
       }
     } catch (IOException e) {
-      // The node ended it first.
+      // The node closed the connection first.
     }
     return null;
   }
--- a/edge/src/test/java/edgegateway/node/ResponseEndTest.java
+++ b/edge/src/test/java/edgegateway/node/ResponseEndTest.java
@@ -115,7 +115,7 @@
           assertTrue(server.received.isEmpty(), "sent again: " + id);
           // It is closed after a complete response: what is written before that is seen ends as a
           // reset, unread.
-          ConnectionsTest.await(node, "connections.archive_servers.open", 0);
+          ConnectionsTest.awaitMetric(node, "connections.archive_servers.open", 0);
         }
       }
     }
