--- a/edge/src/main/java/edgegateway/node/clients/ClientPresenceCheck.java
+++ b/edge/src/main/java/edgegateway/node/clients/ClientPresenceCheck.java
@@ -99,7 +99,7 @@
   /**
    * Whether a disconnect of the client would have been detected by now, if it happened at least 0.1
    * s ago. While the connection is read, that holds unless the event loop stalled recently. See
-   * ClientDisconnectTest#noAttemptBeginsRightAfterAnEventLoopStallInWhichItsClientLeft.
+   * ClientDisconnectTest#noAttemptStartsAfterTheClientDisconnectedDuringAnEventLoopStall.
    */
   boolean wouldHaveSeenDisconnect() {
     if (!(channel instanceof SocketChannel)) {
