--- a/edge/src/main/java/edgegateway/node/upstream/UpstreamAttempt.java
+++ b/edge/src/main/java/edgegateway/node/upstream/UpstreamAttempt.java
@@ -12,18 +12,22 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * One sending of a request to an archive server. It waits for a connection, is written, and ends
- * exactly once: with a response, at its timeout, at its connection's end, or withdrawn before it
- * was written. Its end is reported to the {@link UpstreamContext#listener}. For the event loop's
- * thread.
+ * One attempt to send a request to an archive server. An attempt waits for a connection, is written
+ * to it, and ends exactly once: with a response, at its timeout, when its connection is lost, or
+ * because it is cancelled. The {@link UpstreamContext#listener} is told of its end or, if a long
+ * response is streamed to the client, of the start of that response. Not thread-safe: used on the
+ * event loop's thread only.
  */
 final class UpstreamAttempt implements ConnectionWaiter {
-  /** What a request may need from its first byte here to its last byte at the archive server. */
-  private static final long TRANSIT_NANOS = TimeUnit.MILLISECONDS.toNanos(20);
+  /**
+   * Assumed maximum time from writing the first byte of a request until the archive server has
+   * received the last one.
+   */
+  private static final long MAX_TRANSIT_NANOS = TimeUnit.MILLISECONDS.toNanos(20);
 
   /**
-   * How often one attempt checks whether its client is still there: it goes on though the event
-   * loop stalls again and again.
+   * Maximum number of checks whether the client is still connected. After these the attempt is
+   * written anyway, so that it makes progress even if the event loop stalls repeatedly.
    */
   private static final int MAX_CLIENT_CHECKS = 2;
 
@@ -32,27 +36,35 @@
   private final String endpointId;
   private final long timeoutNanos;
 
-  /** Null if the endpoint is not listed. */
+  /** The endpoint's connection pool; null if the endpoint is not listed. */
   private final Upstream upstream;
 
-  private final long latestStartNanos;
+  private final long writeDeadlineNanos;
 
-  /** When it was created; if its body was uploaded meanwhile, when the last byte was written. */
+  /** When the attempt was created; after an upload, when the last byte was written. */
   private long sentAtNanos = System.nanoTime();
 
-  /** A long response is being forwarded: the end was reported when that began. */
-  private boolean responseForwarded;
+  /**
+   * Whether a long response is being streamed to the client. The listener was told when it started,
+   * so the end is not reported.
+   */
+  private boolean responseStreaming;
 
+  /** Whether the request was written completely. */
   private boolean written;
+
   private boolean ended;
 
-  /** What it will be written to unless its client turns out to be gone; else null. */
-  private UpstreamConnection reserved;
+  /** The connection reserved while the client's presence is checked; otherwise null. */
+  private UpstreamConnection reservedConnection;
 
   private int clientChecks;
 
-  /** What it was written to; null before that and after the end. */
-  private UpstreamConnectionHandler connection;
+  /**
+   * Handler of the connection that the request is written to; null before that and after a complete
+   * response.
+   */
+  private UpstreamConnectionHandler handler;
 
   private Future<?> timeout;
 
@@ -68,30 +80,31 @@
     this.endpointId = endpointId;
     this.timeoutNanos = timeoutNanos;
     this.upstream = upstream;
-    latestStartNanos = latestStartNanos(requestClass);
+    writeDeadlineNanos = writeDeadlineNanos(requestClass);
   }
 
   /**
-   * After this time it may not be written: nobody waits for it any more, or archive servers have
-   * forgotten the idempotency key of the attempt that it repeats and would execute it once more.
-   * Shown by RaceConditionsTest#aRetryConnectedAfterTheIdempotencyKeyWindowIsNotSent.
+   * The time after which the request must not be written: the attempt has timed out by then, or the
+   * request may have been executed in an earlier attempt and archive servers no longer recognize
+   * its idempotency key, so that they would execute it again. Tested by
+   * RaceConditionsTest#aRetryConnectedAfterTheIdempotencyKeyWindowIsNotSent.
    */
-  private long latestStartNanos(RequestClass requestClass) {
+  private long writeDeadlineNanos(RequestClass requestClass) {
     long timesOutAtNanos = sentAtNanos + timeoutNanos;
-    boolean mayRepeat =
+    boolean needsDeduplication =
         request.firstPossibleExecutionNanos != Long.MIN_VALUE
             && requestClass.idempotency() == Idempotency.KEYED;
-    if (!mayRepeat) {
+    if (!needsDeduplication) {
       return timesOutAtNanos;
     }
-    long keyForgottenAtNanos =
+    long keyExpiresAtNanos =
         request.firstPossibleExecutionNanos + requestClass.idempotencyKeyWindowNanos();
-    return Math.min(timesOutAtNanos, keyForgottenAtNanos - TRANSIT_NANOS);
+    return Math.min(timesOutAtNanos, keyExpiresAtNanos - MAX_TRANSIT_NANOS);
   }
 
-  /** Begins to wait for a connection; its end is reported later, never from within this call. */
+  /** Starts the attempt. Its end may be reported from within this call. */
   void start() {
-    request.cancelUnsentAttempt = this::withdraw;
+    request.cancelUnsentAttempt = this::cancelIfUnsent;
     if (upstream == null) {
       noConnection(true);
       return;
@@ -116,33 +129,36 @@
     return ended;
   }
 
+  /** The time since the attempt was sent; see {@link #sentAtNanos}. */
   long elapsedNanos() {
     return System.nanoTime() - sentAtNanos;
   }
 
-  long timeLeftNanos() {
+  /** The time until the timeout; negative after it. */
+  long remainingNanos() {
     return timeoutNanos - elapsedNanos();
   }
 
   @Override
   public void connectionReady(UpstreamConnection ready) {
-    boolean tooLate = System.nanoTime() - latestStartNanos >= 0;
+    boolean tooLate = System.nanoTime() - writeDeadlineNanos >= 0;
     if (ready.upstream().isRetired() || tooLate) {
-      // Its endpoint terminates; or the event loop stalled, or the timeout comes next.
+      // A retired endpoint must not get new requests. It is too late after a stall of the event
+      // loop, or if the timeout is due next.
       end(Outcome.NOT_SENT, 0, null);
       ready.release(System.nanoTime());
     } else if (clientChecks < MAX_CLIENT_CHECKS && !request.wouldHaveSeenClientDisconnect()) {
       clientChecks++;
-      reserved = ready;
-      request.checkClientPresence(this::clientChecked);
+      reservedConnection = ready;
+      request.checkClientPresence(this::clientPresenceChecked);
     } else {
       ((UpstreamConnectionHandler) ready.transport()).write(this);
     }
   }
 
-  private void clientChecked() {
-    UpstreamConnection ready = reserved;
-    reserved = null;
+  private void clientPresenceChecked() {
+    UpstreamConnection ready = reservedConnection;
+    reservedConnection = null;
     if (ready != null) {
       connectionReady(ready);
     }
@@ -155,26 +171,26 @@
   }
 
   /**
-   * Nobody waits for it any more: it is not written if that has not begun. Shown by
+   * Ends the attempt unless writing its request has begun. Tested by
    * RaceConditionsTest#aWaitingAttemptIsNotSentForADisconnectedClient.
    */
-  private void withdraw() {
-    if (connection == null) {
+  private void cancelIfUnsent() {
+    if (handler == null) {
       end(Outcome.NOT_SENT, 0, null);
     }
   }
 
-  /** It is being written to this connection. */
-  void connectionAssigned(UpstreamConnectionHandler assigned) {
-    connection = assigned;
+  /** Called when the request starts to be written to a connection. */
+  void connectionAssigned(UpstreamConnectionHandler handler) {
+    this.handler = handler;
   }
 
-  /** The connection has a complete response to it and may go to another attempt. */
+  /** Called when the response is complete, so that another attempt may use the connection. */
   void connectionReleased() {
-    connection = null;
+    handler = null;
   }
 
-  /** The last byte is written. */
+  /** Called when the last byte of the request was written. */
   void writeCompleted() {
     written = true;
     context.metrics().attemptWritten();
@@ -185,47 +201,55 @@
     }
   }
 
-  /** The rest of the body can't come: its client is gone, or was answered already. */
+  /**
+   * Called when the rest of a long body cannot be forwarded. Ends the attempt only if the request
+   * already has a response; otherwise the caller reports the lost connection next.
+   */
   void uploadFailed() {
     if (request.answered) {
       end(Outcome.CANCELLED, 0, null);
     }
   }
 
-  /** A long response begins to be forwarded: no timeout binds it any more. */
-  void responseForwarded() {
+  /** Called when a long response starts to be streamed; the attempt has no timeout from then on. */
+  void responseStreamingStarted() {
     timeout.cancel(false);
-    responseForwarded = true;
+    responseStreaming = true;
   }
 
-  /** An archive server begins a request with its last byte: before that it can't have run. */
+  /**
+   * Called when the connection broke or was closed. An archive server starts to execute a request
+   * only when it has received the last byte, so a request that was not written completely cannot
+   * have been executed.
+   */
   void connectionLost() {
     end(written ? Outcome.RESET : Outcome.CONNECT_FAILED, 0, null);
   }
 
   private void timeOut() {
-    if (connection != null && !written && request.upload != null) {
-      // An archive server begins with the last byte: the time for its response has not begun.
+    if (handler != null && !written && request.upload != null) {
+      // The upload is not complete: the timeout for the response starts with the last byte.
       return;
     }
-    UpstreamConnectionHandler used = connection;
+    UpstreamConnectionHandler usedHandler = handler;
     if (written) {
-      used.attemptTimedOut();
+      usedHandler.attemptTimedOut();
     }
-    if (used != null) {
-      // Before the end is reported: another attempt may begin then, and two may not be in flight.
-      // Shown by RaceConditionsTest#theConnectionOfAnEndedAttemptIsClosedBeforeTheNextBegins.
-      used.close();
+    if (usedHandler != null) {
+      // Close before reporting the end: the next attempt may start within that report, and a
+      // request must not have two attempts in flight. Tested by
+      // RaceConditionsTest#theConnectionOfAnEndedAttemptIsClosedBeforeTheNextBegins.
+      usedHandler.close();
     }
     end(written ? Outcome.TIMEOUT : Outcome.CONNECT_FAILED, 0, null);
   }
 
-  /** Nobody waits for its response any more. */
+  /** Ends the attempt because its request already has a response. */
   void cancel() {
     end(Outcome.CANCELLED, 0, null);
   }
 
-  /** A complete response came; the body stays the caller's. */
+  /** Called when the response is complete. The caller keeps ownership of the body. */
   void responseReceived(Outcome outcome, double actualUnits, ByteBuf body) {
     end(outcome, actualUnits, body);
   }
@@ -242,23 +266,24 @@
     if (timeout != null) {
       timeout.cancel(false);
     }
-    leaveConnection();
+    detachFromUpstream();
     if (request.upload != null) {
       request.upload.stopForwarding();
     }
-    if (!responseForwarded) {
+    if (!responseStreaming) {
       context
           .listener()
           .attemptEnded(request, outcome, elapsedNanos(), endpointId, actualUnits, body);
     }
   }
 
-  private void leaveConnection() {
-    if (connection != null) {
-      connection.attemptEnded();
-    } else if (reserved != null) {
-      reserved.release(System.nanoTime());
-      reserved = null;
+  /** Detaches from the connection in use, releases the reserved one, or stops waiting for one. */
+  private void detachFromUpstream() {
+    if (handler != null) {
+      handler.attemptEnded();
+    } else if (reservedConnection != null) {
+      reservedConnection.release(System.nanoTime());
+      reservedConnection = null;
     } else if (upstream != null) {
       upstream.cancel(this);
     }
--- a/edge/src/main/java/edgegateway/node/upstream/UpstreamConnectionHandler.java
+++ b/edge/src/main/java/edgegateway/node/upstream/UpstreamConnectionHandler.java
@@ -18,9 +18,10 @@
 import io.netty.handler.codec.http.LastHttpContent;
 
 /**
- * Last handler of a connection to an archive server: writes one attempt at a time and collects its
- * response. A short body is buffered, so that another attempt may still replace it; a long one is
- * forwarded in pieces. What can't be a response to the attempt closes the connection.
+ * Last channel handler of a connection to an archive server: writes the request of one attempt at a
+ * time and receives the response. A short body is buffered, so that another attempt can still
+ * replace this one; a long body is streamed to the client. Data that cannot be a response to the
+ * attempt closes the connection.
  */
 final class UpstreamConnectionHandler extends SimpleChannelInboundHandler<HttpObject>
     implements TransportHandle {
@@ -30,28 +31,34 @@
   private final StrictHttpResponseDecoder decoder;
   private Channel channel;
 
-  /** This connection in the pool; null until it is established. */
-  private UpstreamConnection pooled;
+  /** The pool's entry for this connection; null until the connection is established. */
+  private UpstreamConnection pooledConnection;
 
-  /** What was written and has not ended; null while the connection is idle. */
+  /** The attempt that uses this connection; null if it is idle or the attempt has ended. */
   private UpstreamAttempt attempt;
 
-  /** The head of the final response; null before it came. */
+  /** The head of the final response; null until received. */
   private HttpResponse response;
 
-  /** The body so far, while it is buffered, and its account; null before its first piece. */
+  /** The buffered part of the body; null before its first chunk and while it is streamed. */
   private ByteBuf body;
 
+  /** The memory accounted for {@link #body}; null before the first chunk. */
   private BufferedBodies.Body bodyAccount;
+
+  /** Whether the last head received is that of an informational (1xx) response. */
   private boolean informational;
 
-  /** Whether the last byte of the response came. */
-  private boolean complete;
+  /** Whether the last byte of the response was received. */
+  private boolean responseComplete;
 
-  /** Whether something followed a response: never reset, for the connection is not used again. */
+  /**
+   * Whether more messages followed a complete response. Never reset, since the connection is then
+   * not reused.
+   */
   private boolean unsolicitedBytes;
 
-  /** Where a long response goes on to; null while the body is buffered. */
+  /** Streams a long response body to the client; null while the body is buffered. */
   private BodyRelay relay;
 
   UpstreamConnectionHandler(UpstreamContext context, StrictHttpResponseDecoder decoder) {
@@ -59,16 +66,16 @@
     this.decoder = decoder;
   }
 
-  /** Not in channelActive: the listeners of a connect run before that. */
+  /** Sets the channel; channelActive would be too late, as the listeners of a connect run first. */
   @Override
   public void handlerAdded(ChannelHandlerContext handlerContext) {
     channel = handlerContext.channel();
   }
 
-  /** The connection is established, and is this one in the pool. */
+  /** Called when the connection is established, with its entry in the pool. */
   void established(UpstreamConnection connection) {
-    pooled = connection;
-    pooled.attachTransport(this);
+    pooledConnection = connection;
+    pooledConnection.attachTransport(this);
   }
 
   @Override
@@ -76,17 +83,17 @@
     channel.close();
   }
 
-  /** The attempt was written completely and had no response in time. */
+  /** Called when the attempt was written completely but got no response in time. */
   void attemptTimedOut() {
-    pooled.timedOut(System.nanoTime());
+    pooledConnection.timedOut(System.nanoTime());
   }
 
-  /** The attempt has ended for another reason than its response. */
+  /** Called when the attempt ended before its response was complete. */
   void attemptEnded() {
     attempt = null;
   }
 
-  /** Writes an attempt; the connection has no other. */
+  /** Writes the request of an attempt. No other attempt may be using the connection. */
   void write(UpstreamAttempt next) {
     attempt = next;
     next.connectionAssigned(this);
@@ -94,29 +101,29 @@
   }
 
   @Override
-  protected void channelRead0(ChannelHandlerContext handlerContext, HttpObject part) {
-    if (complete) {
+  protected void channelRead0(ChannelHandlerContext handlerContext, HttpObject message) {
+    if (responseComplete) {
       unsolicitedBytes = true;
       return;
     }
-    if (part.decoderResult().isFailure()) {
+    if (message.decoderResult().isFailure()) {
       fail();
       return;
     }
-    if (part instanceof HttpResponse head && !headReceived(head)) {
+    if (message instanceof HttpResponse head && !headReceived(head)) {
       fail();
       return;
     }
-    if (part instanceof HttpContent content
+    if (message instanceof HttpContent content
         && !informational
         && response != null
         && attempt != null) {
       bodyReceived(content.content());
-      complete = content instanceof LastHttpContent;
+      responseComplete = content instanceof LastHttpContent;
     }
   }
 
-  /** False if it can't be the head of a response to the attempt. */
+  /** Returns false if this cannot be the head of a response to the attempt. */
   private boolean headReceived(HttpResponse head) {
     informational = UpstreamResponseClassifier.isInformational(head);
     if (informational) {
@@ -126,58 +133,65 @@
       return false;
     }
     if (!attempt.isWritten() && UpstreamResponseClassifier.isSuccess(head)) {
-      // What was not written completely can't have been executed.
+      // A request that was not written completely cannot have been executed.
       return false;
     }
     response = head;
     return true;
   }
 
-  private void bodyReceived(ByteBuf bytes) {
+  private void bodyReceived(ByteBuf chunk) {
     if (relay != null) {
-      relay.forward(bytes.retain());
+      relay.forward(chunk.retain());
       return;
     }
     if (!UpstreamResponseClassifier.isSuccess(response)) {
-      // All that matters of it is its head.
+      // Only the head of an unsuccessful response is used.
       return;
     }
-    long length = HttpUtil.getContentLength(response, -1L);
+    long contentLength = HttpUtil.getContentLength(response, -1L);
     if (body == null) {
-      long wanted = Math.max(length, INITIAL_BODY_BUFFER_BYTES);
+      long wantedBytes = Math.max(contentLength, INITIAL_BODY_BUFFER_BYTES);
       body =
-          channel.alloc().buffer((int) Math.min(UpstreamPool.MAX_BUFFERED_RESPONSE_BYTES, wanted));
+          channel
+              .alloc()
+              .buffer((int) Math.min(UpstreamPool.MAX_BUFFERED_RESPONSE_BYTES, wantedBytes));
       bodyAccount = context.bufferedBodies().newBody(attempt.request().request.customer());
     }
-    body.writeBytes(bytes);
-    boolean accepted = bodyAccount.tryResize(body.capacity());
-    // Not by the length that it announces: a faulty response may announce what never comes, and no
-    // timeout binds one that is forwarded. Shown by
+    body.writeBytes(chunk);
+    boolean withinMemoryLimit = bodyAccount.tryResize(body.capacity());
+    // Compare the bytes received, not the declared length: a faulty response may declare more than
+    // it sends, and a streamed response has no timeout. Tested by
     // LongBodyTest#aResponseShorterThanItsLengthIsNotForwarded.
     boolean tooLong = body.readableBytes() > UpstreamPool.MAX_BUFFERED_RESPONSE_BYTES;
-    if (body.isReadable() && (!accepted || tooLong)) {
-      startForwarding(length);
+    if (body.isReadable() && (!withinMemoryLimit || tooLong)) {
+      startStreaming(contentLength);
     }
   }
 
-  /** From here on the response can't be replaced by that of another attempt. */
-  private void startForwarding(long length) {
-    UpstreamAttempt forwarded = attempt;
+  /**
+   * Starts to stream the response to the client. From then on, no other attempt can replace this
+   * one.
+   *
+   * @param contentLength the declared length of the body in bytes; -1 if there is none
+   */
+  private void startStreaming(long contentLength) {
+    UpstreamAttempt streamedAttempt = attempt;
     Channel client =
         context
             .listener()
             .responseStarted(
-                forwarded.request(),
-                length,
-                forwarded.elapsedNanos(),
-                forwarded.endpointId(),
+                streamedAttempt.request(),
+                contentLength,
+                streamedAttempt.elapsedNanos(),
+                streamedAttempt.endpointId(),
                 channel::close);
     if (client == null) {
-      forwarded.cancel();
+      streamedAttempt.cancel();
       channel.close();
       return;
     }
-    forwarded.responseForwarded();
+    streamedAttempt.responseStreamingStarted();
     relay = context.relays().start(channel, client);
     relay.forward(body);
     body = null;
@@ -185,49 +199,49 @@
   }
 
   /**
-   * A response ends its attempt only when the whole read was decoded: else what follows it would be
-   * taken for the response to the next attempt. Shown by
-   * EdgeNodeTest#whatFollowsAnAnswerIsNobodysAnswer.
+   * Ends the attempt of a complete response. This waits until all data of the read is decoded,
+   * because data that follows the response would otherwise be taken for the response to the next
+   * attempt. Tested by EdgeNodeTest#whatFollowsAnAnswerIsNobodysAnswer.
    */
   @Override
   public void channelReadComplete(ChannelHandlerContext handlerContext) {
     if (relay != null) {
       relay.readComplete();
     }
-    if (complete) {
+    if (responseComplete) {
       finish();
     } else if (attempt == null && decoder.hasUndecodedBytes()) {
       handlerContext.close();
     }
   }
 
-  /** The response is complete: the connection goes back to the pool before the attempt ends. */
+  /** Handles a complete response: returns the connection to the pool, then ends the attempt. */
   private void finish() {
-    HttpResponse finished = response;
+    HttpResponse finishedResponse = response;
     ByteBuf finishedBody = body == null ? Unpooled.EMPTY_BUFFER : body;
     BufferedBodies.Body finishedAccount = bodyAccount;
-    UpstreamAttempt answered = attempt;
-    boolean forwarded = relay != null;
-    if (forwarded) {
+    UpstreamAttempt finishedAttempt = attempt;
+    boolean streamed = relay != null;
+    if (streamed) {
       relay.end();
     }
-    // Another attempt may be written from within the calls that follow.
+    // The calls below may already write another attempt to this connection.
     resetForNextAttempt();
-    answered.connectionReleased();
-    boolean reusable = isReusableAfter(finished, answered);
+    finishedAttempt.connectionReleased();
+    boolean reusable = isReusableAfter(finishedResponse, finishedAttempt);
     if (reusable) {
       channel.config().setAutoRead(true);
     } else {
       channel.close();
     }
-    pooled.responseReceived(System.nanoTime(), reusable);
-    if (forwarded) {
-      answered.request().streamedResponse().endStream(true);
+    pooledConnection.responseReceived(System.nanoTime(), reusable);
+    if (streamed) {
+      finishedAttempt.request().streamedResponse().endStream(true);
     }
-    Outcome outcome = UpstreamResponseClassifier.outcome(finished);
+    Outcome outcome = UpstreamResponseClassifier.outcome(finishedResponse);
     double actualUnits =
-        outcome == Outcome.OK ? UpstreamResponseClassifier.actualUnits(finished) : 0;
-    answered.responseReceived(outcome, actualUnits, finishedBody);
+        outcome == Outcome.OK ? UpstreamResponseClassifier.actualUnits(finishedResponse) : 0;
+    finishedAttempt.responseReceived(outcome, actualUnits, finishedBody);
     finishedBody.release();
     if (finishedAccount != null) {
       finishedAccount.release();
@@ -239,37 +253,37 @@
     body = null;
     bodyAccount = null;
     relay = null;
-    complete = false;
+    responseComplete = false;
     attempt = null;
   }
 
-  private boolean isReusableAfter(HttpResponse finished, UpstreamAttempt answered) {
-    return HttpUtil.isKeepAlive(finished)
+  private boolean isReusableAfter(HttpResponse finishedResponse, UpstreamAttempt finishedAttempt) {
+    return HttpUtil.isKeepAlive(finishedResponse)
         && !unsolicitedBytes
         && !decoder.hasUndecodedBytes()
-        && answered.isWritten()
+        && finishedAttempt.isWritten()
         && channel.isActive();
   }
 
   /**
-   * The connection broke, or its response can't be read: what has come of it is no complete
-   * response. Shown by ResponseEndTest#aResponseCutAtAnyByteIsNoResponse.
+   * Handles a broken connection or invalid data: discards a partial response, closes the connection
+   * and ends the attempt. Tested by ResponseEndTest#aResponseCutAtAnyByteIsNoResponse.
    */
   private void fail() {
-    UpstreamAttempt broken = attempt;
+    UpstreamAttempt failedAttempt = attempt;
     if (relay != null) {
       relay.end();
       relay = null;
-      if (broken != null) {
-        broken.request().streamedResponse().endStream(false);
+      if (failedAttempt != null) {
+        failedAttempt.request().streamedResponse().endStream(false);
       }
     }
     releaseBody();
     response = null;
-    complete = false;
+    responseComplete = false;
     channel.close();
-    if (broken != null) {
-      broken.connectionLost();
+    if (failedAttempt != null) {
+      failedAttempt.connectionLost();
     }
   }
 
@@ -283,13 +297,13 @@
 
   @Override
   public void channelInactive(ChannelHandlerContext handlerContext) {
-    if (complete) {
+    if (responseComplete) {
       finish();
     } else {
       fail();
     }
-    if (pooled != null) {
-      pooled.closed(System.nanoTime());
+    if (pooledConnection != null) {
+      pooledConnection.closed(System.nanoTime());
     }
   }
 
--- a/edge/src/main/java/edgegateway/node/upstream/UpstreamRequestWriter.java
+++ b/edge/src/main/java/edgegateway/node/upstream/UpstreamRequestWriter.java
@@ -12,8 +12,9 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * Writes the request of an attempt, with its body or with an upload that is still coming in, and
- * tells the attempt how that ended. A failed write closes the channel before the attempt ends.
+ * Writes the request of an attempt, with a complete body or with one that is still being received,
+ * and reports to the attempt whether the write completed. A failed write closes the channel before
+ * it ends the attempt.
  */
 final class UpstreamRequestWriter {
   private UpstreamRequestWriter() {}
@@ -31,7 +32,7 @@
     HttpRequest message =
         new DefaultFullHttpRequest(
             HttpVersion.HTTP_1_1, request.method, request.uri, request.body.retainedDuplicate());
-    setHeaders(message, request, attempt.timeLeftNanos());
+    setHeaders(message, request, attempt.remainingNanos());
     if (request.body.isReadable()) {
       message.headers().set(HttpHeaderNames.CONTENT_LENGTH, request.body.readableBytes());
     }
@@ -48,11 +49,14 @@
             });
   }
 
-  /** Writes what came of a long body, and has the rest written as it comes. */
+  /**
+   * Writes the head and the buffered beginning of a long body; the upload writes the rest as it
+   * arrives.
+   */
   private static void writeWithUpload(Channel channel, UpstreamAttempt attempt) {
     InFlightRequest request = attempt.request();
     HttpRequest head = new DefaultHttpRequest(HttpVersion.HTTP_1_1, request.method, request.uri);
-    setHeaders(head, request, attempt.timeLeftNanos());
+    setHeaders(head, request, attempt.remainingNanos());
     if (request.upload.contentLength() < 0) {
       HttpUtil.setTransferEncodingChunked(head, true);
     } else {
@@ -79,14 +83,15 @@
     attempt.connectionLost();
   }
 
-  /** Time left below 1 ms is sent as 1 ms. */
-  private static void setHeaders(HttpRequest message, InFlightRequest request, long timeLeftNanos) {
-    long timeLeftMillis = Math.max(1, TimeUnit.NANOSECONDS.toMillis(timeLeftNanos));
+  /** Sends a remaining time of less than 1 ms as 1 ms. */
+  private static void setHeaders(
+      HttpRequest message, InFlightRequest request, long remainingNanos) {
+    long remainingMillis = Math.max(1, TimeUnit.NANOSECONDS.toMillis(remainingNanos));
     message
         .headers()
         .set(HttpHeaderNames.HOST, UpstreamHeaders.HOST_VALUE)
         .set(UpstreamHeaders.TRACE_ID, request.request.id())
-        .set(UpstreamHeaders.EXPIRES_IN_MILLIS, timeLeftMillis);
+        .set(UpstreamHeaders.EXPIRES_IN_MILLIS, remainingMillis);
     if (request.idempotencyKey != null) {
       message.headers().set(UpstreamHeaders.IDEMPOTENCY_KEY, request.idempotencyKey);
     }
