--- a/edge/src/main/java/edgegateway/node/upstream/ListedEndpoint.java
+++ b/edge/src/main/java/edgegateway/node/upstream/ListedEndpoint.java
@@ -4,10 +4,13 @@
 import edgegateway.policy.api.EndpointState;
 import edgegateway.protocol.EndpointEntry;
 
-/** An entry of the endpoint list, and the connections to it. */
+/** An entry of the endpoint list and its connection pool. */
 record ListedEndpoint(EndpointEntry entry, Upstream upstream) {
-  /** Whether its connections stay of use by the new entry: it has not moved or restarted. */
-  boolean hasSameConnections(EndpointEntry newEntry) {
+  /**
+   * Whether the pool remains valid after an update to this entry: the endpoint has not moved or
+   * restarted, and has not become ready or stopped being ready.
+   */
+  boolean canKeepConnections(EndpointEntry newEntry) {
     return entry.address().equals(newEntry.address())
         && entry.endpoint().startedAtNanos() == newEntry.endpoint().startedAtNanos()
         && isReady() == (newEntry.endpoint().state() == EndpointState.READY);
--- a/edge/src/main/java/edgegateway/node/upstream/UpstreamConnector.java
+++ b/edge/src/main/java/edgegateway/node/upstream/UpstreamConnector.java
@@ -23,14 +23,14 @@
 import java.net.InetSocketAddress;
 import java.util.concurrent.TimeUnit;
 
-/** Opens TCP connections to archive servers and gives them their handlers. */
+/** Opens TCP connections to archive servers and installs their channel handlers. */
 final class UpstreamConnector implements UpstreamTransport {
   private static final EventLog LOG = EventLog.console();
 
   private static final int MIN_READ_BYTES = 64;
   private static final int INITIAL_READ_BYTES = 2 * 1024;
 
-  /** What is decoded of one read is passed on before the next. */
+  /** Limits the size of one read, whose decoded messages are handled before the next read. */
   private static final int MAX_READ_BYTES = 32 * 1024;
 
   private final UpstreamContext context;
@@ -43,7 +43,7 @@
         new Bootstrap()
             .group(context.loop())
             .option(ChannelOption.TCP_NODELAY, true)
-            .option(ChannelOption.RECVBUF_ALLOCATOR, readBufferSizes())
+            .option(ChannelOption.RECVBUF_ALLOCATOR, readBufferAllocator())
             .option(ChannelOption.CONNECT_TIMEOUT_MILLIS, (int) Math.max(1, connectTimeoutMillis))
             .handler(
                 new ChannelInitializer<Channel>() {
@@ -54,11 +54,11 @@
                 });
   }
 
-  private static RecvByteBufAllocator readBufferSizes() {
+  private static RecvByteBufAllocator readBufferAllocator() {
     return new AdaptiveRecvByteBufAllocator(MIN_READ_BYTES, INITIAL_READ_BYTES, MAX_READ_BYTES);
   }
 
-  /** The handlers of one connection, first to last. */
+  /** Creates the handlers of one connection, in pipeline order. */
   ChannelHandler[] handlers() {
     StrictHttpResponseDecoder decoder = new StrictHttpResponseDecoder();
     return new ChannelHandler[] {
@@ -66,7 +66,7 @@
     };
   }
 
-  /** The last of the {@link #handlers} of a channel. */
+  /** Returns the last of the {@link #handlers} of a channel. */
   static UpstreamConnectionHandler handlerOf(Channel channel) {
     return channel.pipeline().get(UpstreamConnectionHandler.class);
   }
@@ -74,9 +74,9 @@
   @Override
   public void connect(UpstreamConnection connection) {
     InetSocketAddress address = (InetSocketAddress) connection.upstream().address();
-    ChannelFuture connecting;
+    ChannelFuture connectFuture;
     try {
-      connecting = OutboundConnector.connect(bootstrap, address);
+      connectFuture = OutboundConnector.connect(bootstrap, address);
     } catch (IOException e) {
       LOG.warn("upstream_connection_not_opened", field("address", address), field("error", e));
       context
@@ -84,22 +84,22 @@
           .execute(() -> connection.connectFailed(System.nanoTime(), ConnectFailure.NO_DESCRIPTOR));
       return;
     }
-    Channel channel = connecting.channel();
+    Channel channel = connectFuture.channel();
     connection.attachTransport(channel::close);
-    connecting.addListener(
+    connectFuture.addListener(
         done -> {
           if (done.isSuccess()) {
             handlerOf(channel).established(connection);
             connection.connected(System.nanoTime());
           } else {
-            connection.connectFailed(System.nanoTime(), failure(done.cause()));
+            connection.connectFailed(System.nanoTime(), failureOf(done.cause()));
           }
         });
   }
 
-  private static ConnectFailure failure(Throwable cause) {
-    boolean unresponsive = cause instanceof ConnectTimeoutException;
-    return unresponsive ? ConnectFailure.UNRESPONSIVE : ConnectFailure.REFUSED;
+  private static ConnectFailure failureOf(Throwable cause) {
+    boolean timedOut = cause instanceof ConnectTimeoutException;
+    return timedOut ? ConnectFailure.UNRESPONSIVE : ConnectFailure.REFUSED;
   }
 
   @Override
--- a/edge/src/main/java/edgegateway/node/upstream/UpstreamContext.java
+++ b/edge/src/main/java/edgegateway/node/upstream/UpstreamContext.java
@@ -6,7 +6,7 @@
 import edgegateway.node.requests.BodyRelay;
 import io.netty.channel.EventLoop;
 
-/** What all attempts and connections of the upstream side share. */
+/** Objects that all attempts and all connections to archive servers of a node share. */
 record UpstreamContext(
     AttemptListener listener,
     EventLoop loop,
--- a/edge/src/main/java/edgegateway/node/upstream/UpstreamPool.java
+++ b/edge/src/main/java/edgegateway/node/upstream/UpstreamPool.java
@@ -26,15 +26,16 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * The archive servers' side of the node: follows the endpoint list and begins attempts. Which
- * connection an attempt gets, and whether a new one is opened, is decided by {@link
- * UpstreamConnectionTable}. All methods are for the event loop's thread.
+ * The upstream side of the node: a connection pool for each endpoint in the endpoint list, on which
+ * attempts are started. {@link Upstream} decides which connection an attempt gets and whether a new
+ * one is opened, within the limits of {@link UpstreamConnectionTable}. Not thread-safe: used on the
+ * event loop's thread only.
  */
 public final class UpstreamPool {
-  /** The longest body that is buffered completely. */
+  /** A longer response body is streamed to the client instead of being buffered completely. */
   public static final int MAX_BUFFERED_RESPONSE_BYTES = 64 * 1024;
 
-  private static final long EXPIRY_PERIOD_NANOS = TimeUnit.SECONDS.toNanos(1);
+  private static final long EXPIRY_CHECK_INTERVAL_NANOS = TimeUnit.SECONDS.toNanos(1);
 
   private final UpstreamContext context;
   private final UpstreamConnector connector;
@@ -43,7 +44,7 @@
   private final long slowStartNanos;
   private final List<RequestClass> requestClasses;
 
-  /** Connects to no endpoint before an attempt needs it. */
+  /** Creates a pool without endpoints; it opens no connection until an attempt needs one. */
   public UpstreamPool(
       AttemptListener listener,
       EventLoop loop,
@@ -61,38 +62,41 @@
             connector, connectionMetrics, config.seed(), config.keepAliveNanos());
     loop.scheduleAtFixedRate(
         () -> connections.closeExpired(System.nanoTime()),
-        EXPIRY_PERIOD_NANOS,
-        EXPIRY_PERIOD_NANOS,
+        EXPIRY_CHECK_INTERVAL_NANOS,
+        EXPIRY_CHECK_INTERVAL_NANOS,
         TimeUnit.NANOSECONDS);
   }
 
-  /** New handlers for one connection to an archive server, first to last. */
+  /** Creates the channel handlers of one connection to an archive server, in pipeline order. */
   public ChannelHandler[] handlers() {
     return connector.handlers();
   }
 
-  /** Takes over an open connection that has these {@link #handlers}, to a listed endpoint. */
+  /**
+   * Adds an open connection to the pool of a listed endpoint, as idle. The channel must have the
+   * {@link #handlers} of this pool.
+   */
   public void adopt(String endpointId, Channel channel) {
     Upstream upstream = endpoints.get(endpointId).upstream();
     UpstreamConnector.handlerOf(channel).established(upstream.adopt(System.nanoTime()));
   }
 
   /**
-   * Follows the endpoint list. Connections to what is removed, has moved, has restarted or
-   * terminates are of no more use: an attempt that waits for one would be sent after the endpoint
-   * started to drain. Shown by
+   * Applies an endpoint list. Retires the connection pool of an endpoint that was removed, has
+   * moved, has restarted or is terminating: otherwise an attempt that waits for a connection would
+   * be sent after the endpoint started to drain. Tested by
    * RaceConditionsTest#anAttemptWaitingForATerminatingEndpointGoesElsewhere.
    *
-   * @param complete whether endpoints that the list does not name are removed
+   * @param complete whether endpoints that are not in the list are removed
    */
   public void updateEndpoints(EndpointList list, boolean complete) {
-    Set<String> named = new HashSet<>();
+    Set<String> listedIds = new HashSet<>();
     for (EndpointEntry entry : list.entries()) {
-      named.add(entry.endpoint().id());
+      listedIds.add(entry.endpoint().id());
       updateEndpoint(entry);
     }
     if (complete) {
-      removeAllBut(named);
+      removeUnlisted(listedIds);
     }
   }
 
@@ -100,12 +104,12 @@
     String id = entry.endpoint().id();
     ListedEndpoint known = endpoints.get(id);
     boolean removed = entry.endpoint().state() == EndpointState.REMOVED;
-    boolean unchanged = known != null && known.hasSameConnections(entry);
-    if (known != null && (removed || !unchanged)) {
+    boolean keepsConnections = known != null && known.canKeepConnections(entry);
+    if (known != null && (removed || !keepsConnections)) {
       known.upstream().retire();
       endpoints.remove(id);
     }
-    if (!removed && !unchanged) {
+    if (!removed && !keepsConnections) {
       addEndpoint(entry);
     }
   }
@@ -122,18 +126,21 @@
     }
   }
 
-  private void removeAllBut(Set<String> named) {
-    Iterator<Map.Entry<String, ListedEndpoint>> known = endpoints.entrySet().iterator();
-    while (known.hasNext()) {
-      Map.Entry<String, ListedEndpoint> next = known.next();
-      if (!named.contains(next.getKey())) {
+  private void removeUnlisted(Set<String> listedIds) {
+    Iterator<Map.Entry<String, ListedEndpoint>> iterator = endpoints.entrySet().iterator();
+    while (iterator.hasNext()) {
+      Map.Entry<String, ListedEndpoint> next = iterator.next();
+      if (!listedIds.contains(next.getKey())) {
         next.getValue().upstream().retire();
-        known.remove();
+        iterator.remove();
       }
     }
   }
 
-  /** Begins an attempt; its end is reported later, never from within this call. */
+  /**
+   * Starts an attempt. Its end is reported to the {@link AttemptListener}, possibly from within
+   * this call.
+   */
   public void send(InFlightRequest request, String endpointId, long timeoutNanos) {
     ListedEndpoint endpoint = endpoints.get(endpointId);
     Upstream upstream = endpoint == null ? null : endpoint.upstream();
@@ -141,18 +148,19 @@
     new UpstreamAttempt(context, request, requestClass, endpointId, timeoutNanos, upstream).start();
   }
 
-  /** Follows a new budget; idle connections beyond it are closed. */
+  /** Applies a new budget; closes idle connections that exceed it. */
   public void applyBudget(DescriptorBudget budget) {
     connections.applyBudget(budget);
   }
 
-  /** How many endpoints the list holds. */
+  /** The number of listed endpoints. */
   public int endpointCount() {
     return endpoints.size();
   }
 
   /**
-   * An operator ejected it: attempts that wait for it go elsewhere, idle connections are closed.
+   * Called when an operator ejected an endpoint: ends the attempts that wait for one of its
+   * connections, so that they can go to another endpoint, and closes its idle connections.
    */
   public void endpointEjected(String endpointId) {
     ListedEndpoint endpoint = endpoints.get(endpointId);
--- a/edge/src/main/java/edgegateway/node/upstream/UpstreamResponseClassifier.java
+++ b/edge/src/main/java/edgegateway/node/upstream/UpstreamResponseClassifier.java
@@ -3,7 +3,7 @@
 import edgegateway.policy.api.Outcome;
 import io.netty.handler.codec.http.HttpResponse;
 
-/** What the head of an archive server's complete response says of the attempt. */
+/** Reads the outcome of an attempt from the head of an archive server's response. */
 final class UpstreamResponseClassifier {
   private static final int OK = 200;
   private static final int SERVICE_UNAVAILABLE = 503;
@@ -11,31 +11,37 @@
 
   private UpstreamResponseClassifier() {}
 
-  /** Whether a final response follows this one. */
+  /** Whether the response is informational (1xx), so that a final response follows. */
   static boolean isInformational(HttpResponse response) {
     int status = response.status().code();
     return status >= 100 && status < 200;
   }
 
-  /** Whether the request was executed; only then the response's body goes to the client. */
+  /**
+   * Whether the request was executed successfully. Only the body of such a response is sent to the
+   * client.
+   */
   static boolean isSuccess(HttpResponse response) {
     return response.status().code() == OK;
   }
 
-  /** {@link Outcome#OK}, {@link Outcome#REJECTED} if it was not executed, else ERROR. */
+  /**
+   * Returns {@link Outcome#OK} for a success, {@link Outcome#REJECTED} if the archive server
+   * declares that it did not execute the request, otherwise {@link Outcome#ERROR}.
+   */
   static Outcome outcome(HttpResponse response) {
     if (isSuccess(response)) {
       return Outcome.OK;
     }
     int status = response.status().code();
-    boolean mayTellNeverRan = status == SERVICE_UNAVAILABLE || status == GATEWAY_TIMEOUT;
-    boolean neverRan =
-        mayTellNeverRan
+    boolean canDeclareNotExecuted = status == SERVICE_UNAVAILABLE || status == GATEWAY_TIMEOUT;
+    boolean notExecuted =
+        canDeclareNotExecuted
             && UpstreamHeaders.TRUE.equals(response.headers().get(UpstreamHeaders.NEVER_RAN));
-    return neverRan ? Outcome.REJECTED : Outcome.ERROR;
+    return notExecuted ? Outcome.REJECTED : Outcome.ERROR;
   }
 
-  /** The quota units charged; 0 if the response names no positive number. */
+  /** Returns the charged quota units; 0 if the response does not name a positive finite number. */
   static double actualUnits(HttpResponse response) {
     String charged = response.headers().get(UpstreamHeaders.UNITS_CHARGED);
     if (charged == null) {
--- a/edge/src/main/java/edgegateway/node/upstream/package-info.java
+++ b/edge/src/main/java/edgegateway/node/upstream/package-info.java
@@ -1,2 +1,2 @@
-/** The archive servers' side: attempts on pooled connections. */
+/** The upstream side of the proxy: attempts on pooled connections to archive servers. */
 package edgegateway.node.upstream;
