--- a/edge/src/test/java/edgegateway/node/upstream/UpstreamConnectionHandlerTest.java
+++ b/edge/src/test/java/edgegateway/node/upstream/UpstreamConnectionHandlerTest.java
@@ -34,11 +34,14 @@
 import java.util.concurrent.TimeUnit;
 import org.junit.jupiter.api.Test;
 
-/** One connection and its attempts, without a socket. */
+/** Tests one connection and its attempts on an in-memory channel. */
 class UpstreamConnectionHandlerTest implements AttemptListener, UpstreamTransport {
   private static final long TIMEOUT_NANOS = TimeUnit.SECONDS.toNanos(20);
-  private final List<String> ends = new ArrayList<>();
-  private boolean openAtEnd;
+
+  /** The calls of {@link AttemptListener}, as text. */
+  private final List<String> results = new ArrayList<>();
+
+  private boolean channelOpenAtEnd;
   private final EmbeddedChannel channel = new EmbeddedChannel();
   private final ConnectionMetrics connectionMetrics = new ConnectionMetrics();
   private final BufferedBodies bufferedBodies = new BufferedBodies(connectionMetrics);
@@ -83,8 +86,8 @@
       double actualUnits,
       ByteBuf body) {
     String text = body == null ? "" : " " + body.toString(StandardCharsets.US_ASCII);
-    ends.add(request.request.id() + " " + outcome + " " + actualUnits + text);
-    openAtEnd = channel.isActive();
+    results.add(request.request.id() + " " + outcome + " " + actualUnits + text);
+    channelOpenAtEnd = channel.isActive();
   }
 
   @Override
@@ -94,11 +97,11 @@
       long durationNanos,
       String server,
       Runnable onClientGone) {
-    ends.add(request.request.id() + " forwarded " + length);
+    results.add(request.request.id() + " forwarded " + length);
     return null;
   }
 
-  /** Begins an attempt of an idempotent request; its client need not be checked. */
+  /** Starts an attempt of an idempotent request whose client is known to be connected. */
   private InFlightRequest send(String id) {
     RequestClass lookup = new RequestClass(1, 1, Idempotency.IDEMPOTENT, null, 0, 0, 1);
     InFlightRequest request =
@@ -110,12 +113,13 @@
             Unpooled.copiedBuffer("book", StandardCharsets.US_ASCII),
             bufferedBodies.newBody(7),
             null,
-            new PresentClient());
+            new ConnectedClient());
     new UpstreamAttempt(context, request, lookup, "s-0", TIMEOUT_NANOS, upstream).start();
     return request;
   }
 
-  private String written() {
+  /** Removes and returns all bytes written to the channel. */
+  private String takeWritten() {
     StringBuilder text = new StringBuilder();
     for (ByteBuf part = channel.readOutbound(); part != null; part = channel.readOutbound()) {
       text.append(part.toString(StandardCharsets.US_ASCII));
@@ -124,11 +128,11 @@
     return text.toString();
   }
 
-  private void read(String text) {
+  private void receive(String text) {
     channel.writeInbound(Unpooled.copiedBuffer(text, StandardCharsets.US_ASCII));
   }
 
-  private static String ok(String body) {
+  private static String okResponse(String body) {
     return "HTTP/1.1 200 OK\r\nX-Units-Charged: 2\r\nContent-Length: "
         + body.length()
         + "\r\n\r\n"
@@ -136,9 +140,9 @@
   }
 
   @Test
-  void theRequestCarriesTheAttemptsHeadersAndItsBody() {
+  void theWrittenRequestHasTheAttemptHeadersAndTheBody() {
     send("t-1");
-    String sent = written();
+    String sent = takeWritten();
     assertTrue(sent.startsWith("POST /api HTTP/1.1\r\n"), sent);
     assertTrue(sent.endsWith("\r\n\r\nbook"), sent);
     assertTrue(sent.contains("host: app.svc\r\n"), sent);
@@ -151,93 +155,93 @@
   @Test
   void aCompleteResponseEndsTheAttemptAndTheConnectionIsReused() {
     send("t-1");
-    read(ok("body"));
-    assertEquals(List.of("t-1 OK 2.0 body"), ends);
-    written();
+    receive(okResponse("body"));
+    assertEquals(List.of("t-1 OK 2.0 body"), results);
+    takeWritten();
     send("t-2");
-    assertTrue(written().contains("X-Trace-Id: t-2"));
-    read("HTTP/1.1 503 No\r\nX-Never-Ran: 1\r\nContent-Length: 0\r\n\r\n");
-    assertEquals("t-2 REJECTED 0.0 ", ends.get(1));
+    assertTrue(takeWritten().contains("X-Trace-Id: t-2"));
+    receive("HTTP/1.1 503 No\r\nX-Never-Ran: 1\r\nContent-Length: 0\r\n\r\n");
+    assertEquals("t-2 REJECTED 0.0 ", results.get(1));
     assertTrue(channel.isActive());
   }
 
   @Test
-  void bytesAfterAResponseInTheSameReadEndTheReuseOfItsConnection() {
+  void bytesAfterAResponseInTheSameReadCloseTheConnection() {
     send("t-1");
-    read(ok("body") + ok("stray"));
-    assertEquals(List.of("t-1 OK 2.0 body"), ends);
+    receive(okResponse("body") + okResponse("stray"));
+    assertEquals(List.of("t-1 OK 2.0 body"), results);
     assertFalse(channel.isActive());
   }
 
   @Test
   void bytesOnAnIdleConnectionCloseIt() {
-    read("H");
+    receive("H");
     assertFalse(channel.isActive());
-    assertEquals(List.of(), ends);
+    assertEquals(List.of(), results);
   }
 
   @Test
   void anInformationalResponseIsSkipped() {
     send("t-1");
-    read("HTTP/1.1 100 Continue\r\n\r\n");
-    assertEquals(List.of(), ends);
-    read(ok("body"));
-    assertEquals(List.of("t-1 OK 2.0 body"), ends);
+    receive("HTTP/1.1 100 Continue\r\n\r\n");
+    assertEquals(List.of(), results);
+    receive(okResponse("body"));
+    assertEquals(List.of("t-1 OK 2.0 body"), results);
   }
 
   @Test
-  void aResponseThatCannotBeReadIsAReset() {
+  void aMalformedResponseEndsTheAttemptAsReset() {
     send("t-1");
-    read("nonsense\r\n\r\n");
-    assertEquals(List.of("t-1 RESET 0.0"), ends);
+    receive("nonsense\r\n\r\n");
+    assertEquals(List.of("t-1 RESET 0.0"), results);
     assertFalse(channel.isActive());
   }
 
   @Test
-  void aResponseThatIsCutIsAReset() {
+  void aTruncatedResponseEndsTheAttemptAsReset() {
     send("t-1");
-    read(ok("body").replace("body", "bo"));
+    receive(okResponse("body").replace("body", "bo"));
     channel.close();
-    assertEquals(List.of("t-1 RESET 0.0"), ends);
+    assertEquals(List.of("t-1 RESET 0.0"), results);
   }
 
   @Test
   void aTimeoutClosesTheConnectionBeforeTheAttemptEnds() {
     send("t-1");
-    openAtEnd = true;
+    channelOpenAtEnd = true;
     channel.advanceTimeBy(TIMEOUT_NANOS / 2, TimeUnit.NANOSECONDS);
     channel.runScheduledPendingTasks();
-    assertEquals(List.of(), ends);
+    assertEquals(List.of(), results);
     channel.advanceTimeBy(TIMEOUT_NANOS / 2, TimeUnit.NANOSECONDS);
     channel.runScheduledPendingTasks();
-    // A socket reports its end later, and the outcome is TIMEOUT; a channel in memory reports it
-    // from within the close.
-    assertEquals(List.of("t-1 RESET 0.0"), ends);
-    assertFalse(openAtEnd);
+    // RESET, because an EmbeddedChannel reports that it is closed from within close(). A socket
+    // reports it later, so that the outcome is TIMEOUT there.
+    assertEquals(List.of("t-1 RESET 0.0"), results);
+    assertFalse(channelOpenAtEnd);
   }
 
   @Test
-  void aWaitingAttemptThatIsWithdrawnIsNotSent() {
+  void aCancelledWaitingAttemptIsNotSent() {
     send("t-1");
     InFlightRequest waiting = send("t-2");
-    written();
+    takeWritten();
     waiting.cancelUnsentAttempt();
-    assertEquals(List.of("t-2 NOT_SENT 0.0"), ends);
-    read(ok("body"));
-    assertEquals("", written());
+    assertEquals(List.of("t-2 NOT_SENT 0.0"), results);
+    receive(okResponse("body"));
+    assertEquals("", takeWritten());
     assertNull(waiting.cancelUnsentAttempt);
   }
 
   @Test
-  void anAttemptWhoseClientIsGoneWhenALongResponseStartsIsCancelled() {
+  void aLongResponseToADisconnectedClientCancelsTheAttempt() {
     send("t-1");
-    read("HTTP/1.1 200 OK\r\nContent-Length: 100000\r\n\r\n" + "x".repeat(70_000));
-    assertEquals(List.of("t-1 forwarded 100000", "t-1 CANCELLED 0.0"), ends);
+    receive("HTTP/1.1 200 OK\r\nContent-Length: 100000\r\n\r\n" + "x".repeat(70_000));
+    assertEquals(List.of("t-1 forwarded 100000", "t-1 CANCELLED 0.0"), results);
     assertFalse(channel.isActive());
   }
 
-  /** A client that is known to be there and takes no response. */
-  private static final class PresentClient implements InFlightRequest.ResponseWriter {
+  /** A client that is known to be connected and ignores every response. */
+  private static final class ConnectedClient implements InFlightRequest.ResponseWriter {
     @Override
     public void sendResponse(ByteBuf body) {}
 
--- a/edge/src/test/java/edgegateway/node/upstream/UpstreamResponseClassifierTest.java
+++ b/edge/src/test/java/edgegateway/node/upstream/UpstreamResponseClassifierTest.java
@@ -38,7 +38,7 @@
   }
 
   @Test
-  void onlyA503OrA504MayTellThatTheRequestNeverRan() {
+  void theNeverRanHeaderCountsOnlyInA503Or504Response() {
     assertEquals(Outcome.REJECTED, outcome(503, "1"));
     assertEquals(Outcome.REJECTED, outcome(504, "1"));
     assertEquals(Outcome.ERROR, outcome(503, "0"));
@@ -47,16 +47,16 @@
   }
 
   @Test
-  void unitsThatAreNoPositiveNumberCountAsNone() {
+  void chargedUnitsThatAreNotAPositiveFiniteNumberCountAsZero() {
     assertEquals(2.5, units("2.5"));
-    for (String none : List.of("", "x", "-1", "0", "NaN", "Infinity")) {
-      assertEquals(0, units(none), none);
+    for (String invalid : List.of("", "x", "-1", "0", "NaN", "Infinity")) {
+      assertEquals(0, units(invalid), invalid);
     }
     assertEquals(0, UpstreamResponseClassifier.actualUnits(response(200)));
   }
 
   @Test
-  void aFinalResponseFollowsThoseFrom100To199() {
+  void statuses100To199AreInformational() {
     assertTrue(UpstreamResponseClassifier.isInformational(response(100)));
     assertTrue(UpstreamResponseClassifier.isInformational(response(199)));
     assertFalse(UpstreamResponseClassifier.isInformational(response(200)));
