--- a/edge/src/main/java/edgegateway/node/InFlightRequestTable.java
+++ b/edge/src/main/java/edgegateway/node/InFlightRequestTable.java
@@ -59,8 +59,8 @@
   }
 
   @Override
-  public long policyDeadlineNanos(long nowNanos, long waitNanos) {
-    return nowNanos + Math.max(MIN_WAIT_NANOS, waitNanos - POLICY_DEADLINE_MARGIN_NANOS);
+  public long policyDeadlineNanos(long nowNanos, long clientTimeoutNanos) {
+    return nowNanos + Math.max(MIN_WAIT_NANOS, clientTimeoutNanos - POLICY_DEADLINE_MARGIN_NANOS);
   }
 
   @Override
@@ -104,9 +104,9 @@
   }
 
   @Override
-  public void uploadCompleted(InFlightRequest request, long waitNanos) {
-    if (!request.answered) {
-      scheduleDeadline(request, nowNanos() + waitNanos);
+  public void uploadCompleted(InFlightRequest request, long clientTimeoutNanos) {
+    if (!request.responseClaimed) {
+      scheduleDeadline(request, nowNanos() + clientTimeoutNanos);
       runEvent(request, (policy, now) -> policy.uploadCompleted(now, request.request.id()));
     }
   }
@@ -178,7 +178,7 @@
       long length,
       long durationNanos,
       String endpointId,
-      Runnable onClientGone) {
+      Runnable onClientDisconnect) {
     // Does not update the metrics: a streamed response is counted when it ends.
     InFlightRequest.ResponseWriter response = request.claimResponse();
     if (response == null) {
@@ -189,7 +189,7 @@
     reportAttemptEnd(request, Outcome.OK, durationNanos, endpointId, 0);
     request.attemptInFlight = false;
     removeIfFinished(request);
-    Channel client = response.startStream(length, onClientGone);
+    Channel client = response.startStream(length, onClientDisconnect);
     request.clientDeadlineTimer =
         policyEvents.scheduleAt(
             request.clientDeadlineNanos - LOCAL_FAILURE_MARGIN_NANOS,
@@ -204,7 +204,7 @@
       String endpointId,
       double units) {
     // Read here because the event may run in a later iteration of the event loop.
-    boolean requestComplete = request.answered;
+    boolean requestComplete = request.responseClaimed;
     int attemptIndex = request.attempts - 1;
     runEvent(
         request,
@@ -234,7 +234,7 @@
     if (request == null) {
       return null;
     }
-    if (request.answered || request.attemptInFlight) {
+    if (request.responseClaimed || request.attemptInFlight) {
       LOG.warn("attempt_not_allowed", field("error", new IllegalStateException(id)));
       return null;
     }
@@ -296,7 +296,7 @@
 
   /** Removes a request if it is answered and has no attempt in flight. */
   private void removeIfFinished(InFlightRequest request) {
-    if (request.answered
+    if (request.responseClaimed
         && !request.attemptInFlight
         && inFlight.remove(request.request.id(), request)) {
       cancelDeadline(request);
@@ -322,7 +322,7 @@
   }
 
   private void deadlineReached(InFlightRequest request) {
-    if (!request.answered) {
+    if (!request.responseClaimed) {
       fail(request);
       policyEvents.run((policy, now) -> policy.clientDisconnected(now, request.request.id()));
       request.cancelUnsentAttempt();
--- a/edge/src/main/java/edgegateway/node/WarmUp.java
+++ b/edge/src/main/java/edgegateway/node/WarmUp.java
@@ -150,7 +150,7 @@
   }
 
   private void connect() {
-    client = new EmbeddedChannel(node.clients.handlers());
+    client = new EmbeddedChannel(node.clients.newHandlers());
     for (EndpointEntry entry : config.knownEndpoints().entries()) {
       EmbeddedChannel server = new EmbeddedChannel(node.upstreamPool.handlers());
       node.upstreamPool.adopt(entry.endpoint().id(), server);
--- a/edge/src/main/java/edgegateway/node/upstream/UpstreamAttempt.java
+++ b/edge/src/main/java/edgegateway/node/upstream/UpstreamAttempt.java
@@ -104,7 +104,7 @@
 
   /** Starts the attempt. Its end may be reported from within this call. */
   void start() {
-    request.cancelUnsentAttempt = this::cancelIfUnsent;
+    request.unsentAttemptCancellation = this::cancelIfUnsent;
     if (upstream == null) {
       noConnection(true);
       return;
@@ -206,7 +206,7 @@
    * already has a response; otherwise the caller reports the lost connection next.
    */
   void uploadFailed() {
-    if (request.answered) {
+    if (request.responseClaimed) {
       end(Outcome.CANCELLED, 0, null);
     }
   }
@@ -259,7 +259,7 @@
       return;
     }
     ended = true;
-    request.cancelUnsentAttempt = null;
+    request.unsentAttemptCancellation = null;
     if (!outcome.provesNotExecuted() && request.firstPossibleExecutionNanos == Long.MIN_VALUE) {
       request.firstPossibleExecutionNanos = sentAtNanos;
     }
--- a/edge/src/test/java/edgegateway/node/upstream/UpstreamConnectionHandlerTest.java
+++ b/edge/src/test/java/edgegateway/node/upstream/UpstreamConnectionHandlerTest.java
@@ -96,7 +96,7 @@
       long length,
       long durationNanos,
       String server,
-      Runnable onClientGone) {
+      Runnable onClientDisconnect) {
     results.add(request.request.id() + " forwarded " + length);
     return null;
   }
@@ -229,7 +229,7 @@
     assertEquals(List.of("t-2 NOT_SENT 0.0"), results);
     receive(okResponse("body"));
     assertEquals("", takeWritten());
-    assertNull(waiting.cancelUnsentAttempt);
+    assertNull(waiting.unsentAttemptCancellation);
   }
 
   @Test
@@ -252,7 +252,7 @@
     public void sendFailure() {}
 
     @Override
-    public Channel startStream(long length, Runnable onClientGone) {
+    public Channel startStream(long length, Runnable onClientDisconnect) {
       return null;
     }
 
