--- a/edge/src/main/java/edgegateway/node/clients/ClientHttpServer.java
+++ b/edge/src/main/java/edgegateway/node/clients/ClientHttpServer.java
@@ -54,6 +54,7 @@
   /** Completed when the last connection is closed; null until {@link #stop} is called. */
   private volatile CompletableFuture<Void> drained;
 
+  /** Whether another process of this node has taken over accepting clients. */
   private volatile boolean superseded;
 
   /** The result of binding the listening socket; null before that. */
@@ -172,9 +173,7 @@
     return acceptor.address();
   }
 
-  /**
-   * Whether the server is draining, so that its health check fails. May be called on any thread.
-   */
+  /** Whether the server is draining or stopped. May be called on any thread. */
   public boolean isDraining() {
     return draining;
   }
@@ -220,10 +219,10 @@
    * once if another process of the node has taken over.
    *
    * @param done completed when the last connection is closed
-   * @param bySuccessor whether another process of the node has taken over accepting clients
+   * @param hasSuccessor whether another process of the node has taken over accepting clients
    */
-  public void stop(CompletableFuture<Void> done, boolean bySuccessor) {
-    superseded = bySuccessor;
+  public void stop(CompletableFuture<Void> done, boolean hasSuccessor) {
+    superseded = hasSuccessor;
     setDraining(true);
     drained = done;
     if (binding == null) {
@@ -232,7 +231,7 @@
       completeDrain();
       return;
     }
-    if (bySuccessor) {
+    if (hasSuccessor) {
       acceptor.close(this::completeDrain);
     }
     loop.schedule(this::endDrainGrace, DRAIN_GRACE_MILLIS, TimeUnit.MILLISECONDS);
@@ -257,7 +256,7 @@
     }
 
     @Override
-    public void connectionAccepted() {
+    public void connectionOpened() {
       if (connections.isFull()) {
         acceptor.pauseAccepting();
       }
--- a/edge/src/main/java/edgegateway/node/clients/ClientPresenceCheck.java
+++ b/edge/src/main/java/edgegateway/node/clients/ClientPresenceCheck.java
@@ -74,7 +74,7 @@
   }
 
   /** Reading of the connection stops now; until now, a disconnect would have been detected. */
-  void readingPaused() {
+  void readingStopped() {
     lastKnownPresentNanos = System.nanoTime();
   }
 
@@ -97,8 +97,8 @@
   }
 
   /**
-   * Whether a disconnect of the client would have been detected by now, if it happened at least 0.1
-   * s ago. While the connection is read, that holds unless the event loop stalled recently. See
+   * Whether a disconnect at least 0.1 s ago would have been detected by now. While the connection
+   * is read, that holds unless the event loop stalled recently. See
    * ClientDisconnectTest#noAttemptBeginsRightAfterAnEventLoopStallInWhichItsClientLeft.
    */
   boolean wouldHaveSeenDisconnect() {
@@ -133,7 +133,10 @@
     }
   }
 
-  /** For a client that cannot be probed: HTTP/1.0 has no interim responses, or the limit is hit. */
+  /**
+   * Used if the client cannot be probed, because HTTP/1.0 has no interim responses or the probes
+   * are used up.
+   */
   private void reportPossiblyDisconnected(InFlightRequest request, Runnable then) {
     handler.clientPossiblyDisconnected(request);
     then.run();
--- a/edge/src/main/java/edgegateway/node/clients/ClientResponseWriter.java
+++ b/edge/src/main/java/edgegateway/node/clients/ClientResponseWriter.java
@@ -76,7 +76,7 @@
   @Override
   public Channel startStream(long length, Runnable onClientDisconnect) {
     streamedRequest = session.currentRequest();
-    session.streamStarted(onClientDisconnect);
+    session.startStreaming(onClientDisconnect);
     closeDelimited = responses.startStream(length);
     return channel;
   }
--- a/edge/src/main/java/edgegateway/node/clients/ClientSession.java
+++ b/edge/src/main/java/edgegateway/node/clients/ClientSession.java
@@ -87,7 +87,7 @@
       closing = true;
       channel.close();
     }
-    context.server().connectionAccepted();
+    context.server().connectionOpened();
   }
 
   /** Closes the socket; called by the connection table. */
@@ -113,7 +113,7 @@
     } else {
       pipelined.add(ReferenceCountUtil.retain(message));
       if (updateReadAhead()) {
-        pauseReading();
+        stopReading();
       }
     }
   }
@@ -133,9 +133,9 @@
   }
 
   /** Stops reading the connection; while it is not read, no close or reset is detected. */
-  void pauseReading() {
+  void stopReading() {
     if (channel.config().isAutoRead()) {
-      presence.readingPaused();
+      presence.readingStopped();
       channel.config().setAutoRead(false);
     }
   }
@@ -359,7 +359,7 @@
    *
    * @param onDisconnect run if the client disconnects before {@link #endStreaming}
    */
-  void streamStarted(Runnable onDisconnect) {
+  void startStreaming(Runnable onDisconnect) {
     onClientDisconnect = onDisconnect;
   }
 
--- a/edge/src/main/java/edgegateway/node/clients/ClientSessionContext.java
+++ b/edge/src/main/java/edgegateway/node/clients/ClientSessionContext.java
@@ -38,7 +38,7 @@
     boolean isDraining();
 
     /** A connection was opened, whether or not the connection table accepted it. */
-    void connectionAccepted();
+    void connectionOpened();
 
     /** A connection left the connection table by its close, which frees a slot for another one. */
     void connectionRemoved();
--- a/edge/src/main/java/edgegateway/node/clients/PipelinedMessages.java
+++ b/edge/src/main/java/edgegateway/node/clients/PipelinedMessages.java
@@ -20,8 +20,8 @@
   private static final int MAX_UNCOUNTED_BYTES = 4 * 1024;
 
   /**
-   * Reading stops once the queue exceeds this size; below it, reading continues only while less
-   * than half of the capacity for buffered bodies is used.
+   * Reading stops once the queue exceeds this size. Between {@link #MAX_UNCOUNTED_BYTES} and this
+   * size, reading continues only while less than half of the capacity for buffered bodies is used.
    */
   private static final int MAX_READ_AHEAD_BYTES = 128 * 1024;
 
--- a/edge/src/main/java/edgegateway/node/clients/RequestBodyUpload.java
+++ b/edge/src/main/java/edgegateway/node/clients/RequestBodyUpload.java
@@ -85,7 +85,7 @@
       onAborted.run();
       return;
     }
-    session.pauseReading();
+    session.stopReading();
     relay = relays.start(channel, upstream);
     forwardQueued();
     if (relay != null) {
--- a/edge/src/main/java/edgegateway/node/requests/InFlightRequest.java
+++ b/edge/src/main/java/edgegateway/node/requests/InFlightRequest.java
@@ -54,10 +54,7 @@
      */
     void endStream(boolean complete);
 
-    /**
-     * Whether a disconnect of the client would have been detected by now, if it happened at least
-     * 0.1 s ago.
-     */
+    /** Whether a disconnect of the client at least 0.1 s ago would have been detected by now. */
     boolean wouldHaveSeenDisconnect();
 
     /**
--- a/edge/src/test/java/edgegateway/node/clients/ClientSessionTest.java
+++ b/edge/src/test/java/edgegateway/node/clients/ClientSessionTest.java
@@ -45,7 +45,7 @@
   /** Counts the events of sessions. */
   private static final class FakeServerEvents implements ClientSessionContext.ServerEvents {
     private boolean draining;
-    private int accepted;
+    private int opened;
     private int removed;
     private int ended;
 
@@ -55,8 +55,8 @@
     }
 
     @Override
-    public void connectionAccepted() {
-      accepted++;
+    public void connectionOpened() {
+      opened++;
     }
 
     @Override
@@ -145,7 +145,7 @@
   }
 
   @Test
-  void aRequestIsAcceptedAndItsResponseWritten() {
+  void aRequestIsAcceptedAndTheResponseWritten() {
     receive(request("t-1", ""));
     assertEquals("t-1", handler.accepted.get(0).request.id());
     respond(0, "done");
@@ -217,7 +217,7 @@
     receive(request("t-1", ""));
     channel.close();
     assertEquals(handler.accepted, handler.disconnected);
-    assertEquals(List.of(1, 1, 1), List.of(server.accepted, server.removed, server.ended));
+    assertEquals(List.of(1, 1, 1), List.of(server.opened, server.removed, server.ended));
     assertEquals(0, connections.openCount());
   }
 
