--- a/edge/src/main/java/edgegateway/node/requests/AttemptListener.java
+++ b/edge/src/main/java/edgegateway/node/requests/AttemptListener.java
@@ -17,7 +17,7 @@
    * called for it.
    *
    * @param durationNanos time since the attempt was sent
-   * @param server the endpoint's id
+   * @param endpointId the endpoint's id
    * @param actualUnits the quota units that the server charged, which replace the estimate; 0 if
    *     the response does not name them
    * @param body the complete body of a successful response, otherwise null; the caller keeps
@@ -27,7 +27,7 @@
       InFlightRequest request,
       Outcome outcome,
       long durationNanos,
-      String server,
+      String endpointId,
       double actualUnits,
       ByteBuf body);
 
@@ -37,7 +37,7 @@
    *
    * @param length the body's length in bytes; -1 if the response does not declare one
    * @param durationNanos time since the attempt was sent
-   * @param server the endpoint's id
+   * @param endpointId the endpoint's id
    * @param onClientDisconnect run if the client disconnects before the response has ended
    * @return the client's channel, to which the body is written; null if the request already has a
    *     response
@@ -46,6 +46,6 @@
       InFlightRequest request,
       long length,
       long durationNanos,
-      String server,
+      String endpointId,
       Runnable onClientDisconnect);
 }
