--- a/testbed/src/main/java/edgegateway/testbed/fleet/NodeConfigWriter.java
+++ b/testbed/src/main/java/edgegateway/testbed/fleet/NodeConfigWriter.java
@@ -43,13 +43,13 @@
       classes
           .addObject()
           .put("name", one.name())
-          .put("aim-ns", one.aim())
-          .put("deadline-ns", one.deadline())
-          .put("idempotency", one.keyed() ? "dedup" : "retryable")
+          .put("aim-ns", one.latencyObjectiveNanos())
+          .put("deadline-ns", one.deadlineNanos())
+          .put("idempotency", one.hasIdempotencyKey() ? "dedup" : "retryable")
           .put("group", "all")
           .put("key-ttl-ns", load.keyLife())
           .put("late-value", 0)
-          .put("worth", one.worth());
+          .put("worth", one.priorityWeight());
     }
     ArrayNode plans = settings.putArray("tariffs");
     for (CustomerPlan one : load.plans()) {
--- a/testbed/src/main/java/edgegateway/testbed/scale/RequestStatistics.java
+++ b/testbed/src/main/java/edgegateway/testbed/scale/RequestStatistics.java
@@ -68,7 +68,7 @@
     for (int i = 0; i < modest.length; i++) {
       modest[i] = scenario.plans().get(i).use() <= 1;
     }
-    aims = scenario.classes().stream().mapToLong(kind -> kind.aim()).toArray();
+    aims = scenario.classes().stream().mapToLong(kind -> kind.latencyObjectiveNanos()).toArray();
   }
 
   @Override
--- a/testbed/src/main/java/edgegateway/testbed/scale/sockets/SocketScaleRun.java
+++ b/testbed/src/main/java/edgegateway/testbed/scale/sockets/SocketScaleRun.java
@@ -194,7 +194,7 @@
             file.servers(),
             file.counter(),
             callTimeout,
-            id -> works.getOrDefault(ClientRetryPolicy.request(id), 1.0))) {
+            id -> works.getOrDefault(ClientRetryPolicy.requestId(id), 1.0))) {
       standIns = stand;
       List<String> configurations = configurations(load, seed);
       long begun = System.nanoTime();
--- a/testbed/src/main/java/edgegateway/testbed/scenario/RunResult.java
+++ b/testbed/src/main/java/edgegateway/testbed/scenario/RunResult.java
@@ -124,11 +124,11 @@
         history.stream().sorted(Comparator.comparingLong(HistoryEvent::at)).toList();
     for (HistoryEvent event : inOrder) {
       if (event instanceof HistoryEvent.RequestSent asked) {
-        askedAt.putIfAbsent(ClientRetryPolicy.request(asked.id()), asked.at());
+        askedAt.putIfAbsent(ClientRetryPolicy.requestId(asked.id()), asked.at());
         tries++;
       } else if (event instanceof HistoryEvent.ResponseReceived answered) {
         answers.merge(
-            ClientRetryPolicy.request(answered.id()),
+            ClientRetryPolicy.requestId(answered.id()),
             answered,
             (first, next) -> first.status() == OK ? first : next);
       } else if (event instanceof HistoryEvent.AttemptReceived sent) {
@@ -157,7 +157,7 @@
         times.recordValue(Math.min(took, MOST));
         in.times.recordValue(Math.min(took, MOST));
         in.served++;
-        in.good += took <= classes.get(one.requestClass()).aim() ? its : 0;
+        in.good += took <= classes.get(one.requestClass()).latencyObjectiveNanos() ? its : 0;
       } else if (answer != null
           && (answer.status() == TOO_MANY || answer.status() == UNAVAILABLE)) {
         in.refused++;
--- a/testbed/src/main/java/edgegateway/testbed/scenario/Scenario.java
+++ b/testbed/src/main/java/edgegateway/testbed/scenario/Scenario.java
@@ -433,7 +433,7 @@
             .map(
                 kind ->
                     new InvariantSettings.RetryRule(
-                        kind.keyed()
+                        kind.hasIdempotencyKey()
                             ? InvariantSettings.RetryRule.Kind.KEYED
                             : InvariantSettings.RetryRule.Kind.SAFE,
                         told.keyLife()))
--- a/testbed/src/main/java/edgegateway/testbed/scenario/ScenarioRun.java
+++ b/testbed/src/main/java/edgegateway/testbed/scenario/ScenarioRun.java
@@ -101,7 +101,7 @@
                 scenario.servers().terms(),
                 scenario.counter().terms(),
                 scenario.told(),
-                id -> works.getOrDefault(ClientRetryPolicy.request(id), 1L)),
+                id -> works.getOrDefault(ClientRetryPolicy.requestId(id), 1L)),
             this,
             scenario.seed())) {
       fleet = started;
--- a/testbed/src/main/java/edgegateway/testbed/simulation/FleetSimulation.java
+++ b/testbed/src/main/java/edgegateway/testbed/simulation/FleetSimulation.java
@@ -112,7 +112,7 @@
                   counter,
                   idleTimeoutNanos,
                   meter,
-                  id -> ArrivalGenerator.of(arrivals, id).work(),
+                  id -> ArrivalGenerator.findByAttemptId(arrivals, id).work(),
                   this::recordNotification,
                   (who, text) ->
                       log.accept(
--- a/testbed/src/main/java/edgegateway/testbed/simulation/SimulatedClients.java
+++ b/testbed/src/main/java/edgegateway/testbed/simulation/SimulatedClients.java
@@ -67,7 +67,7 @@
           begun + one.at(),
           () -> {
             next(arrivals, begun);
-            new ClientAttempt(behavior.first(one, clock.now())).start();
+            new ClientAttempt(behavior.firstAttempt(one, clock.now())).start();
           });
     }
   }
@@ -82,7 +82,7 @@
             asked.peer(),
             () -> {
               if (asked.ready()) {
-                network.send(asked.peer(), peer, () -> behavior.front().healthy(node));
+                network.send(asked.peer(), peer, () -> behavior.front().markHealthy(node));
               }
             });
       }
@@ -112,7 +112,7 @@
 
     @Override
     public void connectFailed() {
-      behavior.front().connectRefused(clock.now(), request.node());
+      behavior.front().connectFailed(clock.now(), request.node());
       if (request.sent()) {
         history.accept(new HistoryEvent.ClientDisconnected(clock.now(), request.id()));
       }
@@ -153,7 +153,7 @@
                       arrival.first(),
                       false),
                   waitNanos,
-                  request.requestClass().keyed(),
+                  request.requestClass().hasIdempotencyKey(),
                   this);
             } else {
               processDied();
--- a/testbed/src/main/java/edgegateway/testbed/workload/ArrivalGenerator.java
+++ b/testbed/src/main/java/edgegateway/testbed/workload/ArrivalGenerator.java
@@ -9,145 +9,161 @@
 import java.util.SplittableRandom;
 
 /**
- * All requests of a play, in the order of their times: Poisson arrivals of each customer, unevenly
- * spread over its edge nodes, with weights that change. The same seed draws the same ones.
+ * Draws all requests of a run, in order of arrival time. Each customer's requests are a Poisson
+ * process, spread over the customer's edge nodes by uneven weights that change during the run. The
+ * same seed gives the same requests.
  */
 public final class ArrivalGenerator {
-  private static final double SECOND = 1e9;
-  private static final long CUSTOMERS = 1L << 33;
+  private static final double NANOS_PER_SECOND = 1e9;
+  private static final long CUSTOMER_ID_LIMIT = 1L << 33;
 
   /**
-   * What is drawn.
+   * The workload to draw.
    *
-   * @param span for how long, in nanoseconds
-   * @param nodes how many edge nodes there are
-   * @param shift the mean span between changes of a customer's weights, in nanoseconds, above 0
-   * @param skew how uneven the weights are: 0 even, 1 and more with most on one node
+   * @param durationNanos length of the run, in nanoseconds
+   * @param nodes number of edge nodes
+   * @param meanWeightChangeNanos mean time between changes of a customer's node weights, in
+   *     nanoseconds, above 0
+   * @param skew how uneven the node weights are: 0 is even; with 1 or more, one node gets most of
+   *     the requests
    */
   public record Settings(
-      long span,
+      long durationNanos,
       int nodes,
       List<WorkloadClass> classes,
       List<CustomerPlan> plans,
-      long shift,
+      long meanWeightChangeNanos,
       double skew) {}
 
-  private final Settings terms;
-  private final List<RequestArrival> drawn = new ArrayList<>();
+  private final Settings settings;
+  private final List<RequestArrival> arrivals = new ArrayList<>();
 
-  /** The classes' shares, and their sum. */
+  /** The share of each request class. */
   private final double[] shares;
 
-  private final double whole;
+  private final double shareSum;
 
-  private ArrivalGenerator(Settings terms) {
-    this.terms = terms;
-    shares = terms.classes.stream().mapToDouble(WorkloadClass::share).toArray();
-    whole = terms.classes.stream().mapToDouble(WorkloadClass::share).sum();
+  private ArrivalGenerator(Settings settings) {
+    this.settings = settings;
+    shares = settings.classes.stream().mapToDouble(WorkloadClass::share).toArray();
+    shareSum = settings.classes.stream().mapToDouble(WorkloadClass::share).sum();
   }
 
-  /** Draws all; the ids begin with {@code r}. */
-  public static List<RequestArrival> draw(Settings terms, long seed) {
-    ArrivalGenerator all = new ArrivalGenerator(terms);
-    SplittableRandom chance = new SplittableRandom(seed);
-    for (int plan = 0; plan < terms.plans.size(); plan++) {
-      for (int i = 0; i < terms.plans.get(plan).customers(); i++) {
-        // Each has a source of its own: one more customer changes nobody else's requests.
-        all.customer(plan, chance.split());
+  /**
+   * Draws all arrivals, sorted by time and then by customer. The id of an arrival is {@code r} and
+   * its index in the list.
+   */
+  public static List<RequestArrival> draw(Settings settings, long seed) {
+    ArrivalGenerator generator = new ArrivalGenerator(settings);
+    SplittableRandom random = new SplittableRandom(seed);
+    for (int plan = 0; plan < settings.plans.size(); plan++) {
+      for (int i = 0; i < settings.plans.get(plan).customers(); i++) {
+        // A separate random source per customer: how many values one customer draws doesn't change
+        // the requests of the others, nor does a customer added to the last plan.
+        generator.drawCustomer(plan, random.split());
       }
     }
-    all.drawn.sort(
+    generator.arrivals.sort(
         (a, b) ->
             a.at() != b.at()
                 ? Long.compare(a.at(), b.at())
                 : Long.compare(a.customer(), b.customer()));
-    for (int i = 0; i < all.drawn.size(); i++) {
-      RequestArrival one = all.drawn.get(i);
-      all.drawn.set(
+    for (int i = 0; i < generator.arrivals.size(); i++) {
+      RequestArrival withoutId = generator.arrivals.get(i);
+      generator.arrivals.set(
           i,
           new RequestArrival(
-              one.at(),
+              withoutId.at(),
               "r" + i,
-              one.customer(),
-              one.plan(),
-              one.requestClass(),
-              one.first(),
-              one.node(),
-              one.deadline(),
-              one.work()));
+              withoutId.customer(),
+              withoutId.plan(),
+              withoutId.requestClass(),
+              withoutId.first(),
+              withoutId.node(),
+              withoutId.deadline(),
+              withoutId.work()));
     }
-    return List.copyOf(all.drawn);
+    return List.copyOf(generator.arrivals);
   }
 
-  /** The request, of those that {@link #draw} drew, that a try's id belongs to. */
-  public static RequestArrival of(List<RequestArrival> drawn, String id) {
-    return drawn.get(Integer.parseInt(ClientRetryPolicy.request(id).substring(1)));
+  /**
+   * Returns the arrival that an attempt belongs to.
+   *
+   * @param arrivals the complete list that {@link #draw} returned
+   * @param attemptId an id as from {@link ClientRetryPolicy#attemptId}
+   */
+  public static RequestArrival findByAttemptId(List<RequestArrival> arrivals, String attemptId) {
+    return arrivals.get(Integer.parseInt(ClientRetryPolicy.requestId(attemptId).substring(1)));
   }
 
-  private void customer(int plan, SplittableRandom chance) {
-    CustomerPlan of = terms.plans.get(plan);
-    long customer = chance.nextLong(CUSTOMERS);
-    int first = chance.nextInt(terms.nodes);
-    int spread = Math.min(of.spread(), terms.nodes);
-    double rate = of.rate() * of.use();
-    double[] weights = weights(spread, chance);
-    long shiftAt = exponential(terms.shift, chance);
-    for (long at = exponential(SECOND / rate, chance);
-        rate > 0 && at < terms.span;
-        at += exponential(SECOND / rate, chance)) {
-      while (shiftAt <= at) {
-        weights = weights(spread, chance);
-        shiftAt += exponential(terms.shift, chance);
+  private void drawCustomer(int planIndex, SplittableRandom random) {
+    CustomerPlan plan = settings.plans.get(planIndex);
+    long customer = random.nextLong(CUSTOMER_ID_LIMIT);
+    int first = random.nextInt(settings.nodes);
+    int spread = Math.min(plan.spread(), settings.nodes);
+    double requestsPerSecond = plan.rate() * plan.use();
+    double[] weights = drawWeights(spread, random);
+    long weightChangeAt = drawExponential(settings.meanWeightChangeNanos, random);
+    for (long at = drawExponential(NANOS_PER_SECOND / requestsPerSecond, random);
+        requestsPerSecond > 0 && at < settings.durationNanos;
+        at += drawExponential(NANOS_PER_SECOND / requestsPerSecond, random)) {
+      while (weightChangeAt <= at) {
+        weights = drawWeights(spread, random);
+        weightChangeAt += drawExponential(settings.meanWeightChangeNanos, random);
       }
-      int kind = pick(shares, whole, chance);
-      WorkloadClass as = terms.classes.get(kind);
-      drawn.add(
+      int classIndex = drawIndex(shares, shareSum, random);
+      WorkloadClass requestClass = settings.classes.get(classIndex);
+      arrivals.add(
           new RequestArrival(
               at,
               "",
               customer,
-              plan,
-              kind,
+              planIndex,
+              classIndex,
               first,
-              (first + pick(weights, 1, chance)) % terms.nodes,
-              (long) (as.deadline() * (0.5 + chance.nextDouble() / 2)),
-              exponential(as.work(), chance)));
+              (first + drawIndex(weights, 1, random)) % settings.nodes,
+              (long) (requestClass.deadlineNanos() * (0.5 + random.nextDouble() / 2)),
+              drawExponential(requestClass.meanWorkNanos(), random)));
     }
   }
 
-  /** Weights that sum to 1: the k-th of a random order has 1 / (1 + k)^skew before. */
-  private double[] weights(int spread, SplittableRandom chance) {
-    double[] weights = new double[spread];
+  /**
+   * Returns weights that sum to 1, in random order. Before scaling, the weight of rank k, from 0,
+   * is 1 / (1 + k)^skew.
+   */
+  private double[] drawWeights(int count, SplittableRandom random) {
+    double[] weights = new double[count];
     double sum = 0;
-    for (int i = 0; i < spread; i++) {
-      weights[i] = StrictMath.pow(1 + i, -terms.skew);
+    for (int i = 0; i < count; i++) {
+      weights[i] = StrictMath.pow(1 + i, -settings.skew);
       sum += weights[i];
     }
-    for (int i = spread - 1; i >= 0; i--) {
-      int j = chance.nextInt(i + 1);
-      double other = weights[j];
+    for (int i = count - 1; i >= 0; i--) {
+      int j = random.nextInt(i + 1);
+      double swapped = weights[j];
       weights[j] = weights[i];
-      weights[i] = other / sum;
+      weights[i] = swapped / sum;
     }
     return weights;
   }
 
-  private static int pick(double[] weights, double sum, SplittableRandom chance) {
-    double left = chance.nextDouble() * sum;
-    int at = 0;
-    while (at < weights.length - 1 && left >= weights[at]) {
-      left -= weights[at++];
+  /** Draws an index with a probability proportional to its weight. */
+  private static int drawIndex(double[] weights, double sum, SplittableRandom random) {
+    double remaining = random.nextDouble() * sum;
+    int index = 0;
+    while (index < weights.length - 1 && remaining >= weights[index]) {
+      remaining -= weights[index++];
     }
-    return at;
+    return index;
   }
 
-  private static long exponential(double mean, SplittableRandom chance) {
-    return 1 + (long) (-mean * StrictMath.log(1 - chance.nextDouble()));
+  private static long drawExponential(double mean, SplittableRandom random) {
+    return 1 + (long) (-mean * StrictMath.log(1 - random.nextDouble()));
   }
 
   /**
-   * A fingerprint of what was drawn: equal if and only if the arrivals are, for all practical
-   * purposes.
+   * Returns a fingerprint of the arrivals, their SHA-256 in hex: the same for equal arrivals, and
+   * for all practical purposes different for others.
    */
   public static String digest(List<RequestArrival> arrivals) {
     try {
@@ -156,11 +172,11 @@
           arrival -> digest.update(digestForm(arrival).getBytes(StandardCharsets.UTF_8)));
       return HexFormat.of().formatHex(digest.digest());
     } catch (NoSuchAlgorithmException e) {
-      throw new IllegalStateException("every JDK has SHA-256", e);
+      throw new IllegalStateException("SHA-256 is missing, which every JDK must provide", e);
     }
   }
 
-  /** The type was once called Arrival, and digests on record hold that name. */
+  /** Returns the record's text under its former type name, Arrival, as in recorded digests. */
   private static String digestForm(RequestArrival arrival) {
     return arrival.toString().replaceFirst("^RequestArrival", "Arrival");
   }
--- a/testbed/src/main/java/edgegateway/testbed/workload/ClientBehavior.java
+++ b/testbed/src/main/java/edgegateway/testbed/workload/ClientBehavior.java
@@ -4,13 +4,13 @@
 import java.util.List;
 
 /**
- * How clients ask, whatever carries their requests: by which edge node, under which id, until when,
- * and when again. Times are nanoseconds of the caller's clock; not thread-safe.
+ * The behavior of clients, independent of the transport: the edge node, id, deadline and retries of
+ * each request. Times are nanoseconds of the caller's clock; not thread-safe.
  */
 public final class ClientBehavior {
   /**
-   * So long after its time a client still looks for the answer, to tell one that is late from none;
-   * nanoseconds.
+   * How long after its deadline a client still waits for the response, so that the history tells a
+   * late response from a missing one.
    */
   public static final long LATE_RESPONSE_WAIT_NANOS = 500_000_000L;
 
@@ -21,8 +21,11 @@
   private final FrontLoadBalancer front;
 
   /**
-   * All nodes are up; {@code notice} is how long the front sends to a dead one after its first
-   * refusal.
+   * Starts with all nodes up.
+   *
+   * @param nodes the names of the edge nodes
+   * @param detectionNanos time from the first failed connection to a node until the front load
+   *     balancer removes the node
    */
   public ClientBehavior(
       List<String> nodes,
@@ -37,22 +40,22 @@
     front = new FrontLoadBalancer(nodes.size(), detectionNanos);
   }
 
-  /** What it knows of the edge nodes. */
+  /** The load balancer that picks the edge node of each attempt. */
   public FrontLoadBalancer front() {
     return front;
   }
 
-  /** How many edge nodes there are. */
-  public int nodes() {
+  /** The number of edge nodes. */
+  public int nodeCount() {
     return nodes.size();
   }
 
-  /** The first try of a request that arrives now. */
-  public ClientRequest first(RequestArrival arrival, long nowNanos) {
+  /** Creates the first attempt of a request that arrives now. */
+  public ClientRequest firstAttempt(RequestArrival arrival, long nowNanos) {
     return new ClientRequest(arrival, 0, 0, nowNanos);
   }
 
-  /** One try of a request. */
+  /** One attempt of a request. */
   public final class ClientRequest {
     private final RequestArrival arrival;
     private final String id;
@@ -62,66 +65,71 @@
     private long deadlineNanos;
     private boolean sent;
 
-    /** {@code until} is the first try's deadline; 0 for the first one itself. */
+    /** {@code firstDeadlineNanos} is the first attempt's deadline; 0 for the first attempt. */
     private ClientRequest(
         RequestArrival arrival, int attempt, long firstDeadlineNanos, long nowNanos) {
       this.arrival = arrival;
       this.attempt = attempt;
-      id = ClientRetryPolicy.id(arrival.id(), attempt);
+      id = ClientRetryPolicy.attemptId(arrival.id(), attempt);
       deadlineNanos = firstDeadlineNanos;
       spread = Math.min(plans.get(arrival.plan()).spread(), nodes.size());
       node = front.pick(nowNanos, arrival, spread);
     }
 
-    /** The request. */
+    /** The request that this is an attempt of. */
     public RequestArrival arrival() {
       return arrival;
     }
 
-    /** The try's own id. */
+    /** The id of this attempt. */
     public String id() {
       return id;
     }
 
-    /** The number of the edge node that is asked. */
+    /** The index of the edge node that this attempt is sent to. */
     public int node() {
       return node;
     }
 
-    /** Through how many edge nodes in a row its customer comes. */
+    /** The number of consecutive edge nodes that the customer's requests come through. */
     public int spread() {
       return spread;
     }
 
-    /** Its class. */
+    /** The request's class. */
     public WorkloadClass requestClass() {
       return classes.get(arrival.requestClass());
     }
 
-    /** Its plan. */
+    /** The customer's plan. */
     public CustomerPlan plan() {
       return plans.get(arrival.plan());
     }
 
-    /** When its client stops waiting; told once it was written. */
+    /** When the client stops waiting; 0 until the first attempt was written or has failed. */
     public long deadlineNanos() {
       return deadlineNanos;
     }
 
-    /** Whether it was written to a connection. */
+    /** Whether this attempt was written to a connection. */
     public boolean sent() {
       return sent;
     }
 
-    /** It is about to be written; whether for the first time. */
+    /**
+     * Records that this attempt is about to be written to a connection, and sets the deadline if
+     * the request has none.
+     *
+     * @return whether this is the attempt's first write
+     */
     public boolean markSent(long nowNanos) {
-      boolean first = !sent;
+      boolean firstWrite = !sent;
       sent = true;
       deadlineNanos = deadlineNanos == 0 ? nowNanos + arrival.deadline() : deadlineNanos;
-      return first;
+      return firstWrite;
     }
 
-    /** That it was written, for the judge. */
+    /** Returns the history event for a write of this attempt. */
     public HistoryEvent.RequestSent sentEvent(long nowNanos) {
       return new HistoryEvent.RequestSent(
           nowNanos,
@@ -134,10 +142,10 @@
     }
 
     /**
-     * It came to nothing now: how long its client pauses before {@link #nextAttempt}, in
-     * nanoseconds, or -1 if it asks no more. Who never reached a node has all its time from now on.
+     * Returns the backoff before {@link #nextAttempt} after this attempt failed, in nanoseconds, or
+     * -1 if the client doesn't retry. If no attempt was written so far, the deadline starts now.
      *
-     * @param retryAfterNanos as it was told, in nanoseconds; 0 for none
+     * @param retryAfterNanos the response's {@code Retry-After}, in nanoseconds; 0 for none
      */
     public long retryDelayNanos(long nowNanos, long retryAfterNanos) {
       deadlineNanos = deadlineNanos == 0 ? nowNanos + arrival.deadline() : deadlineNanos;
@@ -145,7 +153,7 @@
           arrival.id(), attempt + 1, retryAfterNanos, deadlineNanos - nowNanos);
     }
 
-    /** The next try, after its pause. */
+    /** Creates the next attempt; called when the backoff is over. */
     public ClientRequest nextAttempt(long nowNanos) {
       return new ClientRequest(arrival, attempt + 1, deadlineNanos, nowNanos);
     }
--- a/testbed/src/main/java/edgegateway/testbed/workload/CustomerPlan.java
+++ b/testbed/src/main/java/edgegateway/testbed/workload/CustomerPlan.java
@@ -1,15 +1,17 @@
 package edgegateway.testbed.workload;
 
 /**
- * A plan, as the settings name it, and the customers who have it.
+ * A quota plan and the demand of the customers who have it. Error messages name the settings of the
+ * scenario file.
  *
- * @param customers how many
- * @param rate requests a second that each is allowed, above 0
- * @param burst units that its store holds, above 0
- * @param price its worth factor, above 0
- * @param ceiling how many times rate and burst make its hard ceiling; 0 for none
- * @param use which part of that each asks for on average; above 1 is beyond the quota
- * @param spread through how many edge nodes in a row each comes, 1 or more
+ * @param name the plan's name in the edge nodes' settings
+ * @param customers number of customers with this plan
+ * @param rate requests per second in each customer's quota, above 0
+ * @param burst capacity of each customer's token bucket, in units, above 0
+ * @param price factor on the priority weight of the plan's requests, above 0
+ * @param ceiling factor on rate and burst that gives the hard ceiling; 0 for no ceiling
+ * @param use each customer's mean request rate as a fraction of {@code rate}; above 1 is over quota
+ * @param spread number of consecutive edge nodes that a customer's requests come through, 1 or more
  */
 public record CustomerPlan(
     String name,
@@ -20,11 +22,11 @@
     double ceiling,
     double use,
     int spread) {
-  /** Checks its ranges; the message names the figure. */
+  /** Validates the ranges; an error message names the setting. */
   public CustomerPlan {
-    WorkloadClass.above(name, "rate", rate);
-    WorkloadClass.above(name, "burst", burst);
-    WorkloadClass.above(name, "price", price);
+    WorkloadClass.requirePositive(name, "rate", rate);
+    WorkloadClass.requirePositive(name, "burst", burst);
+    WorkloadClass.requirePositive(name, "price", price);
     if (customers < 0 || !(ceiling >= 0) || !(use >= 0) || spread < 1) {
       throw new IllegalArgumentException(
           name
--- a/testbed/src/main/java/edgegateway/testbed/workload/FrontLoadBalancer.java
+++ b/testbed/src/main/java/edgegateway/testbed/workload/FrontLoadBalancer.java
@@ -3,55 +3,63 @@
 import java.util.Arrays;
 
 /**
- * The front that shares requests out among edge nodes: it goes on sending to a node that died until
- * it notices, and takes it in again once its health has said yes. Times are nanoseconds of the
- * caller's clock; not thread-safe.
+ * Model of the load balancer in front of the edge nodes. It keeps sending to a node that died until
+ * the detection delay has passed, and uses the node again once a health check has succeeded. Times
+ * are nanoseconds of the caller's clock; not thread-safe.
  */
 public final class FrontLoadBalancer {
   private static final long UP = Long.MAX_VALUE;
 
   private final long detectionNanos;
 
-  /** Since when nobody could connect to a node. */
-  private final long[] refusedSinceNanos;
+  /** Per node, when the first connection failed since the node was last healthy, or {@link #UP}. */
+  private final long[] failedSinceNanos;
 
-  /** All of so many nodes are up; a dead one is noticed {@code notice} after its first refusal. */
+  /**
+   * Starts with all nodes up.
+   *
+   * @param nodes number of edge nodes
+   * @param detectionNanos time from the first failed connection to a node until the node is removed
+   */
   public FrontLoadBalancer(int nodes, long detectionNanos) {
     this.detectionNanos = detectionNanos;
-    refusedSinceNanos = new long[nodes];
-    Arrays.fill(refusedSinceNanos, UP);
+    failedSinceNanos = new long[nodes];
+    Arrays.fill(failedSinceNanos, UP);
   }
 
-  /** A connection to the node did not come up. */
-  public void connectRefused(long nowNanos, int node) {
-    refusedSinceNanos[node] = Math.min(refusedSinceNanos[node], nowNanos);
+  /** Records that a connection to the node was not established. */
+  public void connectFailed(long nowNanos, int node) {
+    failedSinceNanos[node] = Math.min(failedSinceNanos[node], nowNanos);
   }
 
-  /** The node's health said yes. */
-  public void healthy(int node) {
-    refusedSinceNanos[node] = UP;
+  /** Records that a health check of the node succeeded. */
+  public void markHealthy(int node) {
+    failedSinceNanos[node] = UP;
   }
 
-  /** Whether it is taken for dead. */
-  public boolean removed(long nowNanos, int node) {
-    return refusedSinceNanos[node] != UP && nowNanos - refusedSinceNanos[node] >= detectionNanos;
+  /** Returns whether the node is out of rotation. */
+  public boolean isRemoved(long nowNanos, int node) {
+    return failedSinceNanos[node] != UP && nowNanos - failedSinceNanos[node] >= detectionNanos;
   }
 
-  /** Whether its health is to be asked: a connection was refused, and no yes has come since. */
+  /** Returns whether a connection has failed and no health check has succeeded since. */
   public boolean needsHealthCheck(int node) {
-    return refusedSinceNanos[node] != UP;
+    return failedSinceNanos[node] != UP;
   }
 
   /**
-   * The node for a request: the one drawn, or the next of its set that is not out; the drawn one if
-   * all are.
+   * Picks the node for a request: the arrival's own node, or else the next node of the customer's
+   * set that is not removed, wrapping around at the end of the set. If all nodes of the set are
+   * removed, returns the arrival's own node.
+   *
+   * @param spread number of consecutive nodes in the customer's set
    */
   public int pick(long nowNanos, RequestArrival arrival, int spread) {
     for (int i = 0; i < spread; i++) {
       int offset =
-          Math.floorMod(arrival.node() - arrival.first() + i, refusedSinceNanos.length) % spread;
-      int node = (arrival.first() + offset) % refusedSinceNanos.length;
-      if (!removed(nowNanos, node)) {
+          Math.floorMod(arrival.node() - arrival.first() + i, failedSinceNanos.length) % spread;
+      int node = (arrival.first() + offset) % failedSinceNanos.length;
+      if (!isRemoved(nowNanos, node)) {
         return node;
       }
     }
--- a/testbed/src/main/java/edgegateway/testbed/workload/HttpClients.java
+++ b/testbed/src/main/java/edgegateway/testbed/workload/HttpClients.java
@@ -32,16 +32,17 @@
 import java.util.function.IntFunction;
 
 /**
- * Sends arrivals to edge nodes as {@link ClientBehavior} says (protocol, Clients to edge nodes),
- * all on one event loop. A connection carries one request at a time; a client leaves when its time
- * is up, and comes again if it may.
+ * Sends requests to edge nodes over HTTP/1.1 as {@link ClientBehavior} says (protocol, Clients to
+ * edge nodes), all on one event loop. A connection carries one request at a time and is reused. A
+ * client that has no response some time after its deadline closes the connection; a failed attempt
+ * is retried as the retry policy allows.
  */
 public final class HttpClients {
   private static final long NANOS_PER_MILLI = 1_000_000L;
   private static final double NANOS_PER_SECOND = 1e9;
   private static final int MAX_BODY_BYTES = 1 << 16;
   private static final int CONNECT_TIMEOUT_MILLIS = 1_000;
-  private static final int HEALTH_CHECK_MILLIS = 100;
+  private static final int HEALTH_CHECK_INTERVAL_MILLIS = 100;
   private static final int STATUS_OK = 200;
   private static final String HEALTH_PATH = "/_health";
 
@@ -49,18 +50,27 @@
   private final IntFunction<InetSocketAddress> addressOf;
   private final ClientBehavior behavior;
   private final Consumer<HistoryEvent> history;
+
+  /** The open connections without a request, per edge node; the last one used is reused first. */
   private final List<ArrayDeque<Channel>> idle = new ArrayList<>();
+
   private final CompletableFuture<Void> done = new CompletableFuture<>();
   private List<RequestArrival> arrivals;
   private long startNanos;
-  private int next;
-  private int open;
+
+  /** Index of the next arrival to send. */
+  private int nextArrival;
+
+  /** Attempts that have not ended, including those that wait for their backoff. */
+  private int unfinishedAttempts;
 
   /**
-   * Nothing is sent yet.
+   * Sends nothing before {@link #sendAll}.
    *
-   * @param addressOf where the front reaches a node, by number; asked for each connection
-   * @param history hears what was asked and answered, on the loop
+   * @param addressOf returns the address of the edge node with an index; called on the event loop
+   *     for each new connection
+   * @param history receives an event for each request sent, response received and failure, on the
+   *     event loop
    */
   public HttpClients(
       EventLoop loop,
@@ -71,49 +81,54 @@
     this.addressOf = addressOf;
     this.behavior = behavior;
     this.history = history;
-    for (int i = 0; i < behavior.nodes(); i++) {
+    for (int i = 0; i < behavior.nodeCount(); i++) {
       idle.add(new ArrayDeque<>());
     }
   }
 
-  /** Sends all at their times from now on; completes when each has ended. */
-  public CompletableFuture<Void> sendAll(List<RequestArrival> all) {
+  /**
+   * Sends each request at its arrival time, counted from now; called once per instance. The future
+   * completes when all requests were sent and no attempt is unfinished.
+   */
+  public CompletableFuture<Void> sendAll(List<RequestArrival> requests) {
     loop.execute(
         () -> {
-          arrivals = all;
+          arrivals = requests;
           startNanos = System.nanoTime();
-          loop.schedule(this::checkHealth, HEALTH_CHECK_MILLIS, TimeUnit.MILLISECONDS);
-          send();
+          loop.schedule(this::checkHealth, HEALTH_CHECK_INTERVAL_MILLIS, TimeUnit.MILLISECONDS);
+          sendDue();
         });
     return done;
   }
 
-  private void send() {
+  /** Starts the requests whose arrival time has come, and schedules itself for the next one. */
+  private void sendDue() {
     long now = System.nanoTime() - startNanos;
-    while (next < arrivals.size() && arrivals.get(next).at() <= now) {
-      open++;
-      new ClientAttempt(behavior.first(arrivals.get(next++), System.nanoTime())).start();
+    while (nextArrival < arrivals.size() && arrivals.get(nextArrival).at() <= now) {
+      unfinishedAttempts++;
+      new ClientAttempt(behavior.firstAttempt(arrivals.get(nextArrival++), System.nanoTime()))
+          .start();
     }
-    if (next < arrivals.size()) {
-      loop.schedule(this::send, arrivals.get(next).at() - now, TimeUnit.NANOSECONDS);
-    } else if (open == 0) {
+    if (nextArrival < arrivals.size()) {
+      loop.schedule(this::sendDue, arrivals.get(nextArrival).at() - now, TimeUnit.NANOSECONDS);
+    } else if (unfinishedAttempts == 0) {
       done.complete(null);
     }
   }
 
   private void checkHealth() {
-    for (int i = 0; i < behavior.nodes(); i++) {
+    for (int i = 0; i < behavior.nodeCount(); i++) {
       if (behavior.front().needsHealthCheck(i)) {
         int node = i;
         connect(node, new HealthCheck(node));
       }
     }
     if (!done.isDone()) {
-      loop.schedule(this::checkHealth, HEALTH_CHECK_MILLIS, TimeUnit.MILLISECONDS);
+      loop.schedule(this::checkHealth, HEALTH_CHECK_INTERVAL_MILLIS, TimeUnit.MILLISECONDS);
     }
   }
 
-  private ChannelFuture connect(int node, SimpleChannelInboundHandler<FullHttpResponse> user) {
+  private ChannelFuture connect(int node, SimpleChannelInboundHandler<FullHttpResponse> handler) {
     return new Bootstrap()
         .group(loop)
         .channel(NioSocketChannel.class)
@@ -122,18 +137,20 @@
         .handler(
             new ChannelInitializer<Channel>() {
               @Override
-              protected void initChannel(Channel made) {
-                made.pipeline()
-                    .addLast(new HttpClientCodec(), new HttpObjectAggregator(MAX_BODY_BYTES), user);
+              protected void initChannel(Channel channel) {
+                channel
+                    .pipeline()
+                    .addLast(
+                        new HttpClientCodec(), new HttpObjectAggregator(MAX_BODY_BYTES), handler);
               }
             })
         .connect(addressOf.apply(node));
   }
 
-  /** What {@code Retry-After} says, in nanoseconds; 0 if nothing that can be used. */
-  private static long retryAfterNanos(FullHttpResponse answer) {
+  /** Returns {@code Retry-After} in nanoseconds; 0 if it is missing or no positive number. */
+  private static long retryAfterNanos(FullHttpResponse response) {
     try {
-      double seconds = Double.parseDouble(answer.headers().get(HttpHeaderNames.RETRY_AFTER, "0"));
+      double seconds = Double.parseDouble(response.headers().get(HttpHeaderNames.RETRY_AFTER, "0"));
       return seconds > 0 ? (long) Math.min(Long.MAX_VALUE, seconds * NANOS_PER_SECOND) : 0;
     } catch (NumberFormatException e) {
       return 0;
@@ -147,7 +164,7 @@
     return request;
   }
 
-  /** One look at a node's health, on a connection of its own. */
+  /** One health check of an edge node, on a connection that is closed afterwards. */
   private final class HealthCheck extends SimpleChannelInboundHandler<FullHttpResponse> {
     private final int node;
 
@@ -163,7 +180,7 @@
     @Override
     protected void channelRead0(ChannelHandlerContext context, FullHttpResponse response) {
       if (response.status().code() == STATUS_OK) {
-        behavior.front().healthy(node);
+        behavior.front().markHealthy(node);
       }
       context.close();
     }
@@ -174,14 +191,16 @@
     }
   }
 
-  /** A connection: it carries one try after another. */
+  /** A keep-alive connection to an edge node; it carries one attempt at a time. */
   private final class ClientConnection extends SimpleChannelInboundHandler<FullHttpResponse> {
     private final int node;
+
+    /** The attempt that waits for its response; null while the connection is idle. */
     private ClientAttempt current;
 
-    ClientConnection(int node, ClientAttempt first) {
+    ClientConnection(int node, ClientAttempt firstAttempt) {
       this.node = node;
-      current = first;
+      current = firstAttempt;
     }
 
     @Override
@@ -212,12 +231,15 @@
     }
   }
 
-  /** One request on its way. */
+  /** One attempt of a request: from the choice of a connection to its response or failure. */
   private final class ClientAttempt {
     private final ClientRequest request;
     private final int node;
     private Channel channel;
+
+    /** Whether the connection had carried an earlier attempt. */
     private boolean reused;
+
     private boolean ended;
 
     ClientAttempt(ClientRequest request) {
@@ -226,28 +248,28 @@
     }
 
     void start() {
-      Channel free = idle.get(node).poll();
-      if (free != null) {
+      Channel idleChannel = idle.get(node).poll();
+      if (idleChannel != null) {
         reused = true;
-        free.pipeline().get(ClientConnection.class).current = this;
-        write(free);
+        idleChannel.pipeline().get(ClientConnection.class).current = this;
+        write(idleChannel);
       } else {
-        open();
+        connectAndWrite();
       }
     }
 
-    private void open() {
+    private void connectAndWrite() {
       connect(node, new ClientConnection(node, this))
           .addListener(
               (ChannelFutureListener)
-                  made -> {
-                    if (made.isSuccess()) {
-                      write(made.channel());
+                  connected -> {
+                    if (connected.isSuccess()) {
+                      write(connected.channel());
                     } else {
-                      behavior.front().connectRefused(System.nanoTime(), node);
+                      behavior.front().connectFailed(System.nanoTime(), node);
                       if (request.sent()) {
-                        // Written once to a connection that was closed already, and nobody is there
-                        // now.
+                        // The attempt was written to an idle connection that the node had closed,
+                        // and the new connection for the second write failed.
                         history.accept(
                             new HistoryEvent.ClientDisconnected(System.nanoTime(), request.id()));
                       }
@@ -257,8 +279,8 @@
                   });
     }
 
-    private void write(Channel to) {
-      channel = to;
+    private void write(Channel target) {
+      channel = target;
       long now = System.nanoTime();
       if (request.markSent(now)) {
         loop.schedule(
@@ -266,7 +288,7 @@
             request.deadlineNanos() - now + ClientBehavior.LATE_RESPONSE_WAIT_NANOS,
             TimeUnit.NANOSECONDS);
       }
-      boolean hasIdempotencyKey = request.requestClass().keyed();
+      boolean hasIdempotencyKey = request.requestClass().hasIdempotencyKey();
       DefaultFullHttpRequest message =
           request(hasIdempotencyKey ? HttpMethod.POST : HttpMethod.GET, "/api");
       message
@@ -283,7 +305,7 @@
         message.headers().set("Idempotency-Key", "k" + request.arrival().id());
       }
       history.accept(request.sentEvent(now));
-      to.writeAndFlush(message);
+      target.writeAndFlush(message);
     }
 
     void responseReceived(int status, long retryAfterNanos) {
@@ -294,11 +316,11 @@
       end();
     }
 
-    /** Asks again after a pause, if it may. */
+    /** Schedules the next attempt after its backoff, if the retry policy allows one. */
     private void scheduleRetry(long retryAfterNanos) {
       long delayNanos = ended ? -1 : request.retryDelayNanos(System.nanoTime(), retryAfterNanos);
       if (delayNanos >= 0) {
-        open++;
+        unfinishedAttempts++;
         loop.schedule(
             () -> new ClientAttempt(request.nextAttempt(System.nanoTime())).start(),
             delayNanos,
@@ -307,13 +329,14 @@
     }
 
     /**
-     * The close of an idle connection may have crossed the request: that is sent once more on a new
-     * one (protocol).
+     * Handles the loss of the connection before the response. The node may have closed a reused
+     * connection as idle while the request was under way, so the request is written once more, on a
+     * new connection (protocol).
      */
     void connectionBroken() {
       if (reused && !ended) {
         reused = false;
-        open();
+        connectAndWrite();
         return;
       }
       if (!ended) {
@@ -323,6 +346,7 @@
       end();
     }
 
+    /** Records that the client stopped waiting, and closes the connection; no effect if ended. */
     private void giveUp() {
       if (!ended) {
         history.accept(new HistoryEvent.ClientDisconnected(System.nanoTime(), request.id()));
@@ -336,8 +360,8 @@
     private void end() {
       if (!ended) {
         ended = true;
-        open--;
-        if (open == 0 && next == arrivals.size()) {
+        unfinishedAttempts--;
+        if (unfinishedAttempts == 0 && nextArrival == arrivals.size()) {
           done.complete(null);
         }
       }
--- a/testbed/src/main/java/edgegateway/testbed/workload/WorkloadClass.java
+++ b/testbed/src/main/java/edgegateway/testbed/workload/WorkloadClass.java
@@ -1,29 +1,37 @@
 package edgegateway.testbed.workload;
 
 /**
- * A class of requests, as the settings name it.
+ * The workload of one request class. Error messages name the settings of the scenario file.
  *
- * @param share its part of all requests, above 0; shares need not sum to 1
- * @param keyed whether its requests carry an idempotency key; others are safe to repeat
- * @param aim an answer after this span is worth nothing, in nanoseconds
- * @param deadline for how long a client waits at most, in nanoseconds
- * @param work mean work, in nanoseconds of a core
- * @param worth what an answer is worth, above 0
+ * @param name the class's name in the edge nodes' settings
+ * @param share its share of all requests, above 0; shares need not sum to 1
+ * @param hasIdempotencyKey whether its requests carry an idempotency key; requests of other classes
+ *     are safe to retry without one
+ * @param latencyObjectiveNanos a response after this time has no value, in nanoseconds
+ * @param deadlineNanos the longest time that a client waits, in nanoseconds
+ * @param meanWorkNanos mean service time of a request on one core, in nanoseconds
+ * @param priorityWeight the value of a response, above 0
  */
 public record WorkloadClass(
-    String name, double share, boolean keyed, long aim, long deadline, double work, double worth) {
-  /** Checks its ranges; the message names the figure. */
+    String name,
+    double share,
+    boolean hasIdempotencyKey,
+    long latencyObjectiveNanos,
+    long deadlineNanos,
+    double meanWorkNanos,
+    double priorityWeight) {
+  /** Validates the ranges; an error message names the setting. */
   public WorkloadClass {
-    above(name, "share", share);
-    above(name, "aim", aim);
-    above(name, "deadline", deadline);
-    above(name, "work", work);
-    above(name, "worth", worth);
+    requirePositive(name, "share", share);
+    requirePositive(name, "aim", latencyObjectiveNanos);
+    requirePositive(name, "deadline", deadlineNanos);
+    requirePositive(name, "work", meanWorkNanos);
+    requirePositive(name, "worth", priorityWeight);
   }
 
-  static void above(String name, String figure, double value) {
+  static void requirePositive(String owner, String setting, double value) {
     if (!(value > 0)) {
-      throw new IllegalArgumentException(name + ": " + figure + " is not above 0");
+      throw new IllegalArgumentException(owner + ": " + setting + " is not above 0");
     }
   }
 }
--- a/testbed/src/main/java/edgegateway/testbed/workload/package-info.java
+++ b/testbed/src/main/java/edgegateway/testbed/workload/package-info.java
@@ -1,2 +1,5 @@
-/** What clients ask for, drawn ahead from a seed ({@code docs/design/testbed.md}). */
+/**
+ * The client workload: request arrivals that are drawn from a seed before a run, and the clients
+ * that send them ({@code docs/design/testbed.md}).
+ */
 package edgegateway.testbed.workload;
--- a/testbed/src/test/java/edgegateway/testbed/scale/ScaleFileTest.java
+++ b/testbed/src/test/java/edgegateway/testbed/scale/ScaleFileTest.java
@@ -38,7 +38,7 @@
           scenario.plans().stream().mapToInt(plan -> plan.customers()).sum(),
           scenario.plans().size());
       double work =
-          scenario.classes().stream().mapToDouble(kind -> kind.share() * kind.work()).sum()
+          scenario.classes().stream().mapToDouble(kind -> kind.share() * kind.meanWorkNanos()).sum()
               / scenario.classes().stream().mapToDouble(WorkloadClass::share).sum();
       assertEquals(
           file.busy(), asked * work / 1e9 / (size.servers() * file.servers().cores()), 1e-6);
--- a/testbed/src/test/java/edgegateway/testbed/workload/FrontLoadBalancerTest.java
+++ b/testbed/src/test/java/edgegateway/testbed/workload/FrontLoadBalancerTest.java
@@ -7,26 +7,27 @@
 import org.junit.jupiter.api.Test;
 
 class FrontLoadBalancerTest {
-  private static RequestArrival to(int first, int node) {
+  private static RequestArrival arrivalFor(int first, int node) {
     return new RequestArrival(0, "r", 1, 0, 0, first, node, 1, 1);
   }
 
   @Test
-  void aDeadNodeIsNoticedLateAndTakenInByItsHealth() {
+  void deadNodeIsRemovedAfterTheDetectionDelayAndReturnsWhenHealthy() {
     FrontLoadBalancer front = new FrontLoadBalancer(5, 100);
     assertFalse(front.needsHealthCheck(4));
-    front.connectRefused(10, 4);
-    front.connectRefused(90, 4);
+    front.connectFailed(10, 4);
+    front.connectFailed(90, 4);
     assertTrue(front.needsHealthCheck(4));
-    assertEquals(4, front.pick(109, to(3, 4), 3));
-    assertEquals(0, front.pick(110, to(3, 4), 3), "the next of its set, counted round");
-    assertEquals(3, front.pick(110, to(3, 3), 3));
-    front.connectRefused(200, 0);
-    assertEquals(3, front.pick(300, to(3, 4), 3));
-    front.connectRefused(200, 3);
-    assertEquals(4, front.pick(300, to(3, 4), 3), "all are out");
-    front.healthy(4);
-    assertEquals(4, front.pick(300, to(3, 4), 3));
+    assertEquals(4, front.pick(109, arrivalFor(3, 4), 3));
+    assertEquals(
+        0, front.pick(110, arrivalFor(3, 4), 3), "the next node of the set, wrapping around");
+    assertEquals(3, front.pick(110, arrivalFor(3, 3), 3));
+    front.connectFailed(200, 0);
+    assertEquals(3, front.pick(300, arrivalFor(3, 4), 3));
+    front.connectFailed(200, 3);
+    assertEquals(4, front.pick(300, arrivalFor(3, 4), 3), "all nodes of the set are removed");
+    front.markHealthy(4);
+    assertEquals(4, front.pick(300, arrivalFor(3, 4), 3));
     assertFalse(front.needsHealthCheck(4));
   }
 }
