--- a/edge/src/test/java/edgegateway/node/UpgradeTest.java
+++ b/edge/src/test/java/edgegateway/node/UpgradeTest.java
@@ -23,103 +23,111 @@
 import org.junit.jupiter.api.Timeout;
 import org.junit.jupiter.api.io.TempDir;
 
-/** Two processes of one edge node, here two nodes with one folder, at one clients' address. */
+/**
+ * An upgrade: the old and the new process of an edge node listen at the same address. Here they are
+ * two nodes in one process that share a folder.
+ */
 @Timeout(60)
 class UpgradeTest extends NodeTest {
-  @TempDir Path folder;
+  @TempDir Path sharedFolder;
 
   /**
-   * Connections in the old process's line once were reset, and its health once sent the front away.
+   * Guards against two faults: the connections in the accept queue of the old process were reset
+   * when it ended, and its failing health check made the load balancer stop sending clients.
    */
   @Test
-  void noConnectionIsLostAndHealthSaysYesThroughout() throws Exception {
+  void noConnectionIsLostAndTheHealthCheckNeverFails() throws Exception {
     FakePeer server = peer(m -> m.answer(FakePeer.ok("", "x")));
-    EdgeNode first = start(config(member("s-0", server.address(), "Ready", 0)), folder);
-    first.admit();
-    while (!first.ready()) {
-      assertFalse(Thread.interrupted(), "it takes no clients");
+    EdgeNode oldNode = start(config(member("s-0", server.address(), "Ready", 0)), sharedFolder);
+    oldNode.admit();
+    while (!oldNode.ready()) {
+      assertFalse(Thread.interrupted(), "the old node does not become ready for clients");
     }
-    Socket kept = client(first);
-    assertEquals("200", ask(kept, "t-0"));
-    assertFalse(first.slots.isOtherProcessAlive());
-    EdgeNode next =
+    Socket persistentClient = client(oldNode);
+    assertEquals("200", ask(persistentClient, "t-0"));
+    assertFalse(oldNode.slots.isOtherProcessAlive());
+    EdgeNode newNode =
         new EdgeNode(
             NodeConfigParser.parse(
                 config(member("s-0", server.address(), "Ready", 0))
-                    .replace("127.0.0.1:0", "127.0.0.1:" + first.address().getPort())),
-            folder);
-    toClose.add(next);
-    assertTrue(next.slots.isOtherProcessAlive());
-    assertTrue(first.slots.isOtherProcessAlive());
-    assertFalse(first.slots.isOtherProcessAccepting());
-    next.startAsSuccessor();
-    assertTrue(first.slots.isOtherProcessAccepting());
+                    .replace("127.0.0.1:0", "127.0.0.1:" + oldNode.address().getPort())),
+            sharedFolder);
+    toClose.add(newNode);
+    assertTrue(newNode.slots.isOtherProcessAlive());
+    assertTrue(oldNode.slots.isOtherProcessAlive());
+    assertFalse(oldNode.slots.isOtherProcessAccepting());
+    newNode.startAsSuccessor();
+    assertTrue(oldNode.slots.isOtherProcessAccepting());
     List<Socket> clients = new ArrayList<>();
-    // The old process is busy: what the kernel gives it stays in its line, and SIGTERM comes
-    // behind.
-    CompletableFuture<Void> busy = new CompletableFuture<>();
-    first.loop.execute(busy::join);
+    // While the event loop of the old node is blocked, the connections that the kernel assigns to
+    // this node stay in its accept queue. The stop, as on SIGTERM, comes after them.
+    CompletableFuture<Void> unblockLoop = new CompletableFuture<>();
+    oldNode.loop.execute(unblockLoop::join);
     for (int i = 0; i < 50; i++) {
-      Socket client = client(next);
+      Socket client = client(newNode);
       clients.add(client);
       write(client, "GET /_health", Map.of(), "");
     }
-    order(kept, "t-1");
+    order(persistentClient, "t-1");
     CompletableFuture<CompletableFuture<Void>> stopping =
         CompletableFuture.supplyAsync(
             () -> {
               try {
-                return first.stop();
+                return oldNode.stop();
               } catch (Exception e) {
                 throw new IllegalStateException(e);
               }
             });
-    busy.complete(null);
+    unblockLoop.complete(null);
     CompletableFuture<Void> stopped = stopping.get(60, TimeUnit.SECONDS);
-    assertEquals("200", status(FakePeer.read(kept)), "a kept connection is answered once more");
-    assertNull(FakePeer.read(kept));
+    assertEquals(
+        "200",
+        status(FakePeer.read(persistentClient)),
+        "a persistent connection gets one more response");
+    assertNull(FakePeer.read(persistentClient));
     for (Socket client : clients) {
       assertEquals("200", status(FakePeer.read(client)));
     }
     stopped.get(60, TimeUnit.SECONDS);
-    assertEquals("200", ask(client(next), "t-2"));
-    next.importPredecessorState();
-    assertFalse(Files.exists(folder.resolve("handover")), "it is read and gone");
+    assertEquals("200", ask(client(newNode), "t-2"));
+    newNode.importPredecessorState();
+    assertFalse(
+        Files.exists(sharedFolder.resolve("handover")), "the handover file was not deleted");
   }
 
   @Test
-  void aLeftoverOfAnEarlierUpgradeIsNoOtherProcess() throws Exception {
-    Files.write(folder.resolve("slots"), new byte[] {1, 1, 1, 1});
-    Files.write(folder.resolve("handover"), new byte[] {1});
-    EdgeNode node = start(config(), folder);
+  void filesOfAnEarlierUpgradeDoNotCountAsAnotherProcess() throws Exception {
+    Files.write(sharedFolder.resolve("slots"), new byte[] {1, 1, 1, 1});
+    Files.write(sharedFolder.resolve("handover"), new byte[] {1});
+    EdgeNode node = start(config(), sharedFolder);
     assertFalse(node.slots.isOtherProcessAlive());
     assertFalse(node.slots.isOtherProcessAccepting());
   }
 
   @Test
-  void whatIsHandedOverIsReadOnceAndWholeOrNotAtAll() throws IOException {
-    HandoverFile file = new HandoverFile(folder);
+  void theHandoverFileIsReadOnceAndOnlyIfComplete() throws IOException {
+    HandoverFile file = new HandoverFile(sharedFolder);
     assertNull(file.read());
-    StateTransfer told =
+    StateTransfer state =
         new StateTransfer(
             3.5,
             List.of(0.2, 0.3),
             List.of(
                 new QuotaUsage(7, 1, 2, -3, 0.5, 1.5, 2.5, 3.5, 4.5, 5.5, 6.5, 123_456_789_012L)));
-    file.write(told);
-    assertEquals(told, file.read());
+    file.write(state);
+    assertEquals(state, file.read());
     assertNull(file.read());
-    file.write(told);
-    byte[] whole = Files.readAllBytes(folder.resolve("handover"));
-    Files.write(folder.resolve("handover"), Arrays.copyOf(whole, whole.length - 3));
+    file.write(state);
+    byte[] bytes = Files.readAllBytes(sharedFolder.resolve("handover"));
+    Files.write(sharedFolder.resolve("handover"), Arrays.copyOf(bytes, bytes.length - 3));
     assertNull(file.read());
-    whole[3] ^= 1;
-    Files.write(folder.resolve("handover"), whole);
+    bytes[3] ^= 1;
+    Files.write(sharedFolder.resolve("handover"), bytes);
     assertNull(file.read());
-    file.write(told);
+    file.write(state);
     file.discard();
-    // A folder that is gone must not keep the old process from its end.
-    new HandoverFile(folder.resolve("gone")).write(told);
+    // A failed write must not throw, or it would prevent the old process from exiting.
+    new HandoverFile(sharedFolder.resolve("missing")).write(state);
     assertNull(file.read());
   }
 }
