--- a/edge/src/test/java/edgegateway/node/SignalsTest.java
+++ b/edge/src/test/java/edgegateway/node/SignalsTest.java
@@ -24,39 +24,40 @@
 import org.junit.jupiter.api.io.TempDir;
 
 /**
- * An edge node in a process of its own that was begun with signals ignored, as nohup and some
- * supervisors do it.
+ * Edge nodes in processes of their own. Most are started with signals ignored, as nohup and some
+ * supervisors do; a process inherits ignored signals. Also tests classes that such a process uses.
  */
 @Timeout(value = 60, threadMode = Timeout.ThreadMode.SEPARATE_THREAD)
 class SignalsTest extends NodeTest {
   @TempDir Path folder;
 
-  private static List<String> ignoring(String signals, String... then) {
-    List<String> words =
+  /** Returns a shell command that ignores the signals and then executes the given command. */
+  private static List<String> commandIgnoring(String signals, String... command) {
+    List<String> shellCommand =
         new ArrayList<>(List.of("sh", "-c", "trap '' " + signals + "; exec \"$@\"", "sh"));
-    words.addAll(List.of(then));
-    return words;
+    shellCommand.addAll(List.of(command));
+    return shellCommand;
   }
 
-  private Path written(String name) throws Exception {
-    return Files.writeString(folder.resolve(name), config());
+  private Path writeConfig(String fileName) throws Exception {
+    return Files.writeString(folder.resolve(fileName), config());
   }
 
   /**
-   * Discovery's old address went on being watched to the process's end, and servers that drained
-   * were sent to.
+   * Guards against a node that watches discovery at the old address until it exits and so sends
+   * requests to archive servers that drain.
    */
   @Test
-  void aNodeThatNoSighupReachesFollowsItsNewConfiguration() throws Exception {
+  void aProcessThatIgnoresSighupPollsForANewConfiguration() throws Exception {
     CompletableFuture<Void> never = new CompletableFuture<>();
     discovery = peer(m -> never.join());
-    Path file = written("node.json");
-    Process process = serve(file, ignoring("HUP"));
+    Path file = writeConfig("node.json");
+    Process process = serve(file, commandIgnoring("HUP"));
     said(process, "signal_ignored signal=SIGHUP config_poll_ms=500");
     servingAt(process);
     discovery.next();
     discovery = peer(m -> never.join());
-    Files.move(written("next.json"), file, StandardCopyOption.REPLACE_EXISTING);
+    Files.move(writeConfig("next.json"), file, StandardCopyOption.REPLACE_EXISTING);
     signal(process, "HUP");
     assertTrue(discovery.next().first().contains("watch=1"));
     process.destroy();
@@ -64,19 +65,19 @@
   }
 
   @Test
-  void aNodeThatNoSigtermReachesSaysSoAndDrainsByHand() throws Exception {
-    Path file = written("node.json");
+  void aProcessThatIgnoresSigtermLogsThisAndAcceptsADrainCall() throws Exception {
+    Path file = writeConfig("node.json");
     Files.writeString(
         file, Files.readString(file).replaceFirst("\\{", "{\"ops\":\"127.0.0.1:0\","));
-    Process process = serve(file, ignoring("TERM"));
-    Matcher ops =
+    Process process = serve(file, commandIgnoring("TERM"));
+    Matcher listening =
         Pattern.compile("operators_listening address=.*:(\\d+)")
             .matcher(said(process, "operators_listening"));
-    assertTrue(ops.matches());
+    assertTrue(listening.matches());
     said(process, "signal_ignored signal=SIGTERM");
     servingAt(process);
     signal(process, "TERM");
-    try (Socket call = new Socket("127.0.0.1", Integer.parseInt(ops.group(1)))) {
+    try (Socket call = new Socket("127.0.0.1", Integer.parseInt(listening.group(1)))) {
       call.getOutputStream().write("drain-on\n".getBytes());
       assertEquals("ACK\n", new String(call.getInputStream().readAllBytes()));
     }
@@ -84,29 +85,29 @@
   }
 
   /**
-   * The words before java are those of the deploy file: with them it does not matter how the node
-   * was begun.
+   * The part of the run command in deploy/balancer.toml before {@code java} makes the process
+   * handle signals that its parent ignores.
    */
   @Test
-  void begunAsTheDeployFileSaysItCatchesWhatWasIgnored() throws Exception {
+  void theDeployCommandStartsAProcessThatHandlesInheritedIgnoredSignals() throws Exception {
     String run =
         Files.readAllLines(Path.of("../deploy/balancer.toml")).stream()
             .filter(line -> line.startsWith("run = "))
             .findFirst()
             .orElseThrow();
-    Matcher words = Pattern.compile("run = \"exec (.*) java .*").matcher(run);
-    assertTrue(words.matches(), run);
+    Matcher wrapper = Pattern.compile("run = \"exec (.*) java .*").matcher(run);
+    assertTrue(wrapper.matches(), run);
     CompletableFuture<Void> never = new CompletableFuture<>();
     discovery = peer(m -> never.join());
-    Path file = written("node.json");
-    Process process = serve(file, ignoring("HUP INT TERM", words.group(1).split(" ")));
+    Path file = writeConfig("node.json");
+    Process process = serve(file, commandIgnoring("HUP INT TERM", wrapper.group(1).split(" ")));
     servingAt(process);
     assertFalse(
         SignalDispositions.parse(Files.readString(Path.of("/proc/" + process.pid() + "/status")))
             .isIgnored(SignalDispositions.SIGHUP));
     discovery.next();
     discovery = peer(m -> never.join());
-    Files.move(written("next.json"), file, StandardCopyOption.REPLACE_EXISTING);
+    Files.move(writeConfig("next.json"), file, StandardCopyOption.REPLACE_EXISTING);
     signal(process, "HUP");
     assertTrue(discovery.next().first().contains("watch=1"));
     signal(process, "TERM");
@@ -116,22 +117,25 @@
     assertEquals(0, process.waitFor());
   }
 
-  /** On-call staff once had to notice two lines that did not come. */
+  /**
+   * Guards against an outage of discovery that on-call staff could only notice by the absence of
+   * two log lines.
+   */
   @Test
-  void aDiscoveryThatIsNotHeardForTooLongIsInTheLogAndInTheFigures() throws Exception {
+  void anUnreachableDiscoveryIsLoggedAndShownInTheMetrics() throws Exception {
     discovery.close();
-    Process process = serve(written("node.json"), List.of());
+    Process process = serve(writeConfig("node.json"), List.of());
     servingAt(process);
-    Matcher silence =
+    Matcher unreachable =
         Pattern.compile("discovery_unreachable silent_ms=(\\d+) address=\\S+ revision=\\d+")
             .matcher(said(process, "discovery_unreachable"));
-    assertTrue(silence.matches());
-    assertTrue(Long.parseLong(silence.group(1)) >= 6_000, silence.group());
-    CompletableFuture<Void> go = new CompletableFuture<>();
+    assertTrue(unreachable.matches());
+    assertTrue(Long.parseLong(unreachable.group(1)) >= 6_000, unreachable.group());
+    CompletableFuture<Void> startAnswering = new CompletableFuture<>();
     discovery =
         peer(
             m -> {
-              go.join();
+              startAnswering.join();
               m.answer("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n");
               while (true) {
                 m.answer("1\r\n\n\r\n");
@@ -145,50 +149,51 @@
         Pattern.compile("^app.discovery.silent_ms=\\d+$", Pattern.MULTILINE)
             .matcher(node.metrics.render())
             .find());
-    go.complete(null);
+    startAnswering.complete(null);
     while (node.metrics.millisSinceDiscoveryMessage() >= 50) {
       assertNull(process.onExit().getNow(null));
     }
   }
 
   @Test
-  void theKernelsMaskIsReadBySignal() {
-    SignalDispositions read =
+  void theMaskOfIgnoredSignalsIsParsed() {
+    SignalDispositions dispositions =
         SignalDispositions.parse(
             "SigBlk:\t0000000000000000\nSigIgn:\t0000000000004001\nSigCgt:\t01\n");
-    assertTrue(read.isIgnored(SignalDispositions.SIGHUP));
-    assertTrue(read.isIgnored(SignalDispositions.SIGTERM));
-    assertFalse(read.isIgnored(2));
+    assertTrue(dispositions.isIgnored(SignalDispositions.SIGHUP));
+    assertTrue(dispositions.isIgnored(SignalDispositions.SIGTERM));
+    assertFalse(dispositions.isIgnored(2));
     assertFalse(SignalDispositions.parse("").isIgnored(SignalDispositions.SIGHUP));
   }
 
   @Test
-  void aChangeIsSeenOnceHoweverTheFileChanges() throws Exception {
+  void eachChangeOfTheConfigurationFileIsReportedOnce() throws Exception {
     Path file = Files.writeString(folder.resolve("c"), "one");
-    ConfigFileWatcher watch = new ConfigFileWatcher(file, "one");
-    assertFalse(watch.pollForChange());
-    FileTime time = Files.getLastModifiedTime(file);
+    ConfigFileWatcher watcher = new ConfigFileWatcher(file, "one");
+    assertFalse(watcher.pollForChange());
+    FileTime firstWriteTime = Files.getLastModifiedTime(file);
     Files.writeString(file, "two");
-    Files.setLastModifiedTime(file, time);
-    assertTrue(watch.pollForChange(), "the same length, within one tick of the file's time");
-    assertFalse(watch.pollForChange());
+    Files.setLastModifiedTime(file, firstWriteTime);
+    assertTrue(
+        watcher.pollForChange(), "a change that keeps length and modification time was missed");
+    assertFalse(watcher.pollForChange());
     Files.delete(file);
-    assertFalse(watch.pollForChange());
+    assertFalse(watcher.pollForChange());
     Files.writeString(file, "two");
-    assertFalse(watch.pollForChange(), "the same text as before");
-    Path old = Files.writeString(folder.resolve("d"), "six");
-    Files.setLastModifiedTime(old, FileTime.from(1_000, TimeUnit.SECONDS));
-    Files.move(old, file, StandardCopyOption.REPLACE_EXISTING);
-    assertTrue(watch.pollForChange(), "by another file with an old time");
-    assertFalse(watch.pollForChange());
+    assertFalse(watcher.pollForChange(), "the same content was reported as a change");
+    Path replacement = Files.writeString(folder.resolve("d"), "six");
+    Files.setLastModifiedTime(replacement, FileTime.from(1_000, TimeUnit.SECONDS));
+    Files.move(replacement, file, StandardCopyOption.REPLACE_EXISTING);
+    assertTrue(watcher.pollForChange(), "a replacement with an older modification time was missed");
+    assertFalse(watcher.pollForChange());
   }
 
   @Test
-  void theArchiveOfTheBuildIsToldFromThatOfTheJdk() {
-    String base = "7fff-8000 rw-p 0 00:00 1 /jdk/lib/server/classes.jsa\n";
-    assertFalse(ClassArchive.isMapped(base, "/jdk"));
+  void theClassArchiveOfTheBuildIsDistinguishedFromThatOfTheJdk() {
+    String jdkArchiveLine = "7fff-8000 rw-p 0 00:00 1 /jdk/lib/server/classes.jsa\n";
+    assertFalse(ClassArchive.isMapped(jdkArchiveLine, "/jdk"));
     assertTrue(
         ClassArchive.isMapped(
-            base + "8000-9000 r--p 0 00:00 2 /srv/target/edge-gateway.jsa\n", "/jdk"));
+            jdkArchiveLine + "8000-9000 r--p 0 00:00 2 /srv/target/edge-gateway.jsa\n", "/jdk"));
   }
 }
