--- a/edge/src/test/java/edgegateway/node/OperatorServerTest.java
+++ b/edge/src/test/java/edgegateway/node/OperatorServerTest.java
@@ -21,7 +21,7 @@
 import org.junit.jupiter.api.Timeout;
 import org.junit.jupiter.api.io.TempDir;
 
-/** What operators ask of an edge node, on loopback sockets. */
+/** Calls of operators to an edge node over loopback sockets. */
 @Timeout(60)
 class OperatorServerTest extends NodeTest {
   @TempDir Path folder;
@@ -41,36 +41,37 @@
     }
   }
 
-  private static String word(OperatorServer ops, String line) throws IOException {
+  /** Sends a line and returns the first word of the answer, {@code ACK} or {@code NAK}. */
+  private static String ackOrNak(OperatorServer ops, String line) throws IOException {
     return call(ops, line + "\n").split("\\s")[0];
   }
 
   private static Map<String, String> vars(OperatorServer ops) throws IOException {
     String text = call(ops, "vars\r\n");
     assertTrue(text.endsWith("\n--\n"), text);
-    Map<String, String> figures = new TreeMap<>();
+    Map<String, String> metrics = new TreeMap<>();
     for (String line : text.substring(0, text.length() - 3).split("\n")) {
-      figures.put(line.split("=")[0], line.split("=")[1]);
+      metrics.put(line.split("=")[0], line.split("=")[1]);
     }
-    return figures;
+    return metrics;
   }
 
-  /** Asks until a figure is as wanted: figures may lag. */
-  private static void awaitFigure(OperatorServer ops, String name, String value)
+  /** Polls until a metric has the given value, since metrics are updated with a delay. */
+  private static void awaitMetric(OperatorServer ops, String name, String value)
       throws IOException {
     while (!value.equals(vars(ops).get(name))) {
-      assertFalse(Thread.interrupted(), name + " is not " + value);
+      assertFalse(Thread.interrupted(), "metric " + name + " does not become " + value);
     }
   }
 
-  private static void awaitTaking(OperatorServer ops) throws IOException {
-    while (!word(ops, "check").equals("ACK")) {
-      assertFalse(Thread.interrupted(), "it takes no clients");
+  private static void awaitReady(OperatorServer ops) throws IOException {
+    while (!ackOrNak(ops, "check").equals("ACK")) {
+      assertFalse(Thread.interrupted(), "the node does not become ready for clients");
     }
   }
 
   @Test
-  void whatIsNoCallGetsANo() throws Exception {
+  void anInvalidCallIsAnsweredWithNak() throws Exception {
     OperatorServer ops = ops(node(peer(m -> m.answer(FakePeer.ok("", "x")))));
     for (String line :
         List.of(
@@ -86,22 +87,22 @@
             "set-up never",
             "drain-on 5",
             "x".repeat(5_000))) {
-      assertEquals("NAK", word(ops, line), line);
+      assertEquals("NAK", ackOrNak(ops, line), line);
     }
-    try (Socket half = new Socket(ops.address().getAddress(), ops.address().getPort())) {
-      half.getOutputStream().write("vars".getBytes(StandardCharsets.UTF_8));
-      half.shutdownOutput();
+    try (Socket client = new Socket(ops.address().getAddress(), ops.address().getPort())) {
+      client.getOutputStream().write("vars".getBytes(StandardCharsets.UTF_8));
+      client.shutdownOutput();
       assertTrue(
-          new String(half.getInputStream().readAllBytes(), StandardCharsets.UTF_8)
+          new String(client.getInputStream().readAllBytes(), StandardCharsets.UTF_8)
               .startsWith("NAK"));
     }
   }
 
   @Test
-  void aStandstillOfTheLoopIsAmongTheFigures() throws Exception {
+  void anEventLoopStallAppearsInTheMetrics() throws Exception {
     EdgeNode node = node(peer(m -> m.answer(FakePeer.ok("", "x"))));
     OperatorServer ops = ops(node);
-    CompletableFuture<Void> stood = new CompletableFuture<>();
+    CompletableFuture<Void> stallEnded = new CompletableFuture<>();
     node.loop.execute(
         () -> {
           try {
@@ -109,10 +110,10 @@
           } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
           }
-          stood.complete(null);
+          stallEnded.complete(null);
         });
-    stood.get();
-    // The module's timer, asked for each 10 ms, came due meanwhile.
+    stallEnded.get();
+    // The timer of the policy fires every 10 ms, so it became due during the stall.
     while (Long.parseLong(vars(ops).get("app.loop.longest_standstill_ms")) < 200) {
       assertFalse(Thread.interrupted(), vars(ops).toString());
     }
@@ -122,32 +123,32 @@
   }
 
   @Test
-  void checkSaysYesOnceTheNodeTakesClients() throws Exception {
+  void checkIsAcknowledgedOnceTheNodeIsReadyForClients() throws Exception {
     EdgeNode node = node(peer(m -> m.answer(FakePeer.ok("", "x"))));
     OperatorServer ops = ops(node);
-    assertEquals("NAK", word(ops, "check"));
+    assertEquals("NAK", ackOrNak(ops, "check"));
     node.admit();
-    awaitTaking(ops);
+    awaitReady(ops);
   }
 
-  /** Callers that say nothing keep no place from the others. */
+  /** Connections that send no call must not exhaust the connections allowed for operators. */
   @Test
-  void silentCallersAreNotInTheWay() throws Exception {
+  void idleConnectionsDoNotBlockFurtherCalls() throws Exception {
     OperatorServer ops = ops(node(peer(m -> m.answer(FakePeer.ok("", "x")))));
     for (int i = 0; i < 100; i++) {
       toClose.add(new Socket(ops.address().getAddress(), ops.address().getPort()));
     }
-    assertEquals("NAK", word(ops, "nonsense"));
+    assertEquals("NAK", ackOrNak(ops, "nonsense"));
   }
 
   @Test
-  void figuresCountEachRequestByItsEnd() throws Exception {
-    CompletableFuture<Void> go = new CompletableFuture<>();
+  void metricsCountRequestsByClassAndResult() throws Exception {
+    CompletableFuture<Void> finish = new CompletableFuture<>();
     FakePeer server =
         peer(
             m -> {
               if (m.headers().get("x-trace-id").equals("t-slow")) {
-                go.join();
+                finish.join();
               }
               m.answer(
                   m.headers().get("x-trace-id").equals("t-bad")
@@ -156,10 +157,10 @@
             });
     EdgeNode node = node(server);
     OperatorServer ops = ops(node);
-    Map<String, String> first = vars(ops);
+    Map<String, String> initial = vars(ops);
     for (String requestClass : List.of("lookup", "order", "strict")) {
       for (String end : List.of("passed", "dropped", "bad_gateway")) {
-        assertEquals("0", first.get("app.handled." + requestClass + "." + end));
+        assertEquals("0", initial.get("app.handled." + requestClass + "." + end));
       }
     }
     Socket client = client(node);
@@ -171,62 +172,65 @@
     write(client, "GET /api", headers("t-2", "lookup", "1"), "");
     assertEquals("503", status(FakePeer.read(client)));
     order(client, "t-slow");
-    awaitFigure(ops, "app.upstream_tries", "3");
-    Map<String, String> then = vars(ops);
-    assertEquals("1", then.get("app.handled.order.passed"));
-    assertEquals("1", then.get("app.handled.strict.bad_gateway"));
-    assertEquals("1", then.get("app.handled.lookup.dropped"));
-    assertEquals("1", then.get("app.in_progress"));
-    assertEquals("1", then.get("app.known_archive_servers"));
-    assertEquals("0", then.get("app.skipped_archive_servers"));
-    go.complete(null);
+    awaitMetric(ops, "app.upstream_tries", "3");
+    Map<String, String> afterwards = vars(ops);
+    assertEquals("1", afterwards.get("app.handled.order.passed"));
+    assertEquals("1", afterwards.get("app.handled.strict.bad_gateway"));
+    assertEquals("1", afterwards.get("app.handled.lookup.dropped"));
+    assertEquals("1", afterwards.get("app.in_progress"));
+    assertEquals("1", afterwards.get("app.known_archive_servers"));
+    assertEquals("0", afterwards.get("app.skipped_archive_servers"));
+    finish.complete(null);
     assertEquals("200", status(FakePeer.read(client)));
-    awaitFigure(ops, "app.in_progress", "0");
+    awaitMetric(ops, "app.in_progress", "0");
   }
 
   @Test
-  void aServerOutByHandIsNotUsedUntilItIsCalledBack() throws Exception {
-    FakePeer one = peer(m -> m.answer(FakePeer.ok("", "x")));
-    FakePeer two = peer(m -> m.answer(FakePeer.ok("", "x")));
+  void anEndpointSetDownByAnOperatorIsNotUsedUntilSetUp() throws Exception {
+    FakePeer first = peer(m -> m.answer(FakePeer.ok("", "x")));
+    FakePeer second = peer(m -> m.answer(FakePeer.ok("", "x")));
     EdgeNode node =
         start(
             config(
-                member("s-0", one.address(), "Ready", 0), member("s-1", two.address(), "Ready", 0)),
+                member("s-0", first.address(), "Ready", 0),
+                member("s-1", second.address(), "Ready", 0)),
             folder);
     OperatorServer ops = ops(node);
-    assertEquals("ACK", word(ops, "set-down s-0"));
-    assertEquals("ACK", word(ops, "set-down s-0"));
-    awaitFigure(ops, "app.skipped_archive_servers", "1");
+    assertEquals("ACK", ackOrNak(ops, "set-down s-0"));
+    assertEquals("ACK", ackOrNak(ops, "set-down s-0"));
+    awaitMetric(ops, "app.skipped_archive_servers", "1");
     Socket client = client(node);
     for (int i = 0; i < 20; i++) {
       assertEquals("200", ask(client, "t-" + i));
     }
-    assertTrue(one.seen.isEmpty());
-    // The next process of an upgrade takes it over; what one process is told the other follows.
-    EdgeNode next =
+    assertTrue(first.seen.isEmpty());
+    // The new process of an upgrade takes the ejection over, and each process follows calls to the
+    // other.
+    EdgeNode successor =
         start(
             config(
-                member("s-0", one.address(), "Ready", 0), member("s-1", two.address(), "Ready", 0)),
+                member("s-0", first.address(), "Ready", 0),
+                member("s-1", second.address(), "Ready", 0)),
             folder);
-    OperatorServer nextOps = ops(next);
-    awaitFigure(nextOps, "app.skipped_archive_servers", "1");
-    assertEquals("ACK", word(nextOps, "set-up s-0"));
-    awaitFigure(ops, "app.skipped_archive_servers", "0");
-    assertEquals("ACK", word(ops, "set-up s-0"));
-    for (int i = 0; one.seen.isEmpty(); i++) {
-      assertFalse(Thread.interrupted(), "it is not used again");
+    OperatorServer successorOps = ops(successor);
+    awaitMetric(successorOps, "app.skipped_archive_servers", "1");
+    assertEquals("ACK", ackOrNak(successorOps, "set-up s-0"));
+    awaitMetric(ops, "app.skipped_archive_servers", "0");
+    assertEquals("ACK", ackOrNak(ops, "set-up s-0"));
+    for (int i = 0; first.seen.isEmpty(); i++) {
+      assertFalse(Thread.interrupted(), "the readmitted endpoint gets no request");
       assertEquals("200", ask(client, "u-" + i));
     }
   }
 
   @Test
-  void aZoneOutByHandIsNotUsedUntilItIsCalledBack() throws Exception {
-    FakePeer one = peer(m -> m.answer(FakePeer.ok("", "x")));
-    FakePeer two = peer(m -> m.answer(FakePeer.ok("", "x")));
+  void aZoneEjectedByAnOperatorIsNotUsedUntilReadmitted() throws Exception {
+    FakePeer first = peer(m -> m.answer(FakePeer.ok("", "x")));
+    FakePeer second = peer(m -> m.answer(FakePeer.ok("", "x")));
     String config =
         config(
-            member("s-0", one.address(), "Ready", 0),
-            member("s-1", two.address(), "Ready", 0)
+            member("s-0", first.address(), "Ready", 0),
+            member("s-1", second.address(), "Ready", 0)
                 .replace("\"locality\":\"a\"", "\"locality\":\"b\""));
     EdgeNode node = start(config, folder);
     OperatorServer ops = ops(node);
@@ -240,89 +244,90 @@
             "zone-in a 10000",
             "zone-out a 5",
             "zones a")) {
-      assertEquals("NAK", word(ops, line), line);
+      assertEquals("NAK", ackOrNak(ops, line), line);
     }
     assertEquals(
         "a state=in share=1.00 servers=1 usable=1\nb state=in share=1.00 servers=1 usable=1\n--\n",
         call(ops, "zones\n"));
-    assertEquals("ACK", word(ops, "zone-out a"));
+    assertEquals("ACK", ackOrNak(ops, "zone-out a"));
     assertEquals("NAK no server of another zone could be sent to\n", call(ops, "zone-out b\n"));
     Socket client = client(node);
     for (int i = 0; i < 20; i++) {
       assertEquals("200", ask(client, "t-" + i));
     }
-    assertTrue(one.seen.isEmpty());
+    assertTrue(first.seen.isEmpty());
     assertTrue(
         call(ops, "zones\n")
             .matches(
                 "a state=out share=0.00 servers=1 usable=0 since_s=\\d+ why=hand\nb state=in (.*)\n--\n"),
         call(ops, "zones\n"));
-    // The next process of an upgrade takes it over; what one process is told the other follows.
-    EdgeNode next = start(config, folder);
-    OperatorServer nextOps = ops(next);
-    awaitFigure(nextOps, "app.skipped_archive_servers", "1");
-    assertEquals("ACK", word(nextOps, "zone-in a 1"));
-    awaitFigure(ops, "app.skipped_archive_servers", "0");
+    // The new process of an upgrade takes the ejection over, and each process follows calls to the
+    // other.
+    EdgeNode successor = start(config, folder);
+    OperatorServer successorOps = ops(successor);
+    awaitMetric(successorOps, "app.skipped_archive_servers", "1");
+    assertEquals("ACK", ackOrNak(successorOps, "zone-in a 1"));
+    awaitMetric(ops, "app.skipped_archive_servers", "0");
     assertTrue(call(ops, "zones\n").startsWith("a state=returning "), call(ops, "zones\n"));
-    for (int i = 0; one.seen.isEmpty(); i++) {
-      assertFalse(Thread.interrupted(), "it is not used again");
+    for (int i = 0; first.seen.isEmpty(); i++) {
+      assertFalse(Thread.interrupted(), "the readmitted endpoint gets no request");
       assertEquals("200", ask(client, "u-" + i));
     }
   }
 
   @Test
-  void aBrokenFileOfServersOutByHandIsPassedOver() throws Exception {
+  void anInvalidFileOfSetDownEndpointsIsIgnored() throws Exception {
     Files.writeString(folder.resolve("left-out.json"), "{half");
-    FakePeer one = peer(m -> m.answer(FakePeer.ok("", "x")));
-    EdgeNode node = start(config(member("s-0", one.address(), "Ready", 0)), folder);
+    FakePeer first = peer(m -> m.answer(FakePeer.ok("", "x")));
+    EdgeNode node = start(config(member("s-0", first.address(), "Ready", 0)), folder);
     assertEquals("200", ask(client(node), "t-1"));
-    assertEquals("ACK", word(ops(node), "set-down s-0"));
+    assertEquals("ACK", ackOrNak(ops(node), "set-down s-0"));
     assertEquals("[\"s-0\"]", Files.readString(folder.resolve("left-out.json")));
   }
 
   @Test
-  void aDrainEndsConnectionsAndKeepsAnsweringHealth() throws Exception {
-    CompletableFuture<Void> go = new CompletableFuture<>();
+  void aDrainClosesConnectionsAndKeepsAnsweringHealthChecks() throws Exception {
+    CompletableFuture<Void> finish = new CompletableFuture<>();
     FakePeer server =
         peer(
             m -> {
               if (m.headers().get("x-trace-id").equals("t-2")) {
-                go.join();
+                finish.join();
               }
               m.answer(FakePeer.ok("", "x"));
             });
     EdgeNode node = node(server);
     OperatorServer ops = ops(node);
     node.admit();
-    awaitTaking(ops);
-    Socket used = client(node);
-    assertEquals("200", ask(used, "t-1"));
+    awaitReady(ops);
+    Socket busy = client(node);
+    assertEquals("200", ask(busy, "t-1"));
     server.next();
-    order(used, "t-2");
+    order(busy, "t-2");
     server.next();
     Socket idle = client(node);
-    assertEquals("ACK", word(ops, "drain-on"));
-    assertEquals("ACK", word(ops, "drain-on"));
-    assertEquals("NAK", word(ops, "check"));
-    go.complete(null);
-    FakePeer.Message answer = FakePeer.read(used);
+    assertEquals("ACK", ackOrNak(ops, "drain-on"));
+    assertEquals("ACK", ackOrNak(ops, "drain-on"));
+    assertEquals("NAK", ackOrNak(ops, "check"));
+    finish.complete(null);
+    FakePeer.Message answer = FakePeer.read(busy);
     assertEquals("200", status(answer));
     assertEquals("close", answer.headers().get("connection"));
-    assertNull(FakePeer.read(idle), "an idle connection must end");
-    Socket front = client(node);
-    write(front, "GET /_health", Map.of(), "");
-    assertEquals("503", status(FakePeer.read(front)));
+    assertNull(FakePeer.read(idle), "the drain does not close an idle connection");
+    Socket healthCheck = client(node);
+    write(healthCheck, "GET /_health", Map.of(), "");
+    assertEquals("503", status(FakePeer.read(healthCheck)));
     assertEquals("200", ask(client(node), "t-3"));
-    assertEquals("ACK", word(ops, "drain-off"));
-    assertEquals("ACK", word(ops, "check"));
-    Socket kept = client(node);
+    assertEquals("ACK", ackOrNak(ops, "drain-off"));
+    assertEquals("ACK", ackOrNak(ops, "check"));
+    Socket persistentClient = client(node);
     for (String id : List.of("t-4", "t-5")) {
-      order(kept, id);
-      assertFalse(FakePeer.read(kept).headers().containsKey("connection"));
+      order(persistentClient, id);
+      assertFalse(FakePeer.read(persistentClient).headers().containsKey("connection"));
     }
     CompletableFuture<Void> stopped = node.stop();
-    assertEquals("NAK", word(ops, "drain-off"));
-    assertNull(FakePeer.read(kept));
+    assertEquals("NAK", ackOrNak(ops, "drain-off"));
+    assertNull(FakePeer.read(persistentClient));
     stopped.get(60, TimeUnit.SECONDS);
   }
 }
