--- a/edge/src/test/java/edgegateway/node/DiscoveryRaceTest.java
+++ b/edge/src/test/java/edgegateway/node/DiscoveryRaceTest.java
@@ -24,32 +24,35 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
 
-/** Endpoint lists that come late, in pieces or not at all; each order of events is forced. */
+/**
+ * Endpoint lists that arrive late, split into chunks or not at all. Each test forces the order of
+ * events instead of waiting for it to occur.
+ */
 @Timeout(60)
 class DiscoveryRaceTest extends NodeTest {
-  /** The cached list may name an endpoint that was told to leave since. */
+  /** An endpoint of the cached list may have started to terminate since the list was stored. */
   @Test
   void noClientIsServedByTheCachedListBeforeDiscoveryResponds() throws Exception {
-    CompletableFuture<Void> go = new CompletableFuture<>();
-    FakePeer leaves = peer(m -> m.answer(FakePeer.ok("", "leaves")));
-    FakePeer stays = peer(m -> m.answer(FakePeer.ok("", "stays")));
-    String listed =
+    CompletableFuture<Void> respond = new CompletableFuture<>();
+    FakePeer terminating = peer(m -> m.answer(FakePeer.ok("", "terminating")));
+    FakePeer ready = peer(m -> m.answer(FakePeer.ok("", "ready")));
+    String updated =
         list(
             6,
             true,
-            member("s-0", leaves.address(), "Terminating", 0),
-            member("s-1", stays.address(), "Ready", 0));
+            member("s-0", terminating.address(), "Terminating", 0),
+            member("s-1", ready.address(), "Ready", 0));
     discovery =
         peer(
             m -> {
-              go.join();
-              m.answer(WATCH + chunk(listed));
+              respond.join();
+              m.answer(WATCH + chunk(updated));
             });
     int port = freePort();
     EdgeNode node =
         new EdgeNode(
             NodeConfigParser.parse(
-                config(member("s-0", leaves.address(), "Ready", 0))
+                config(member("s-0", terminating.address(), "Ready", 0))
                     .replace("127.0.0.1:0", "127.0.0.1:" + port)),
             null);
     toClose.add(node);
@@ -58,18 +61,18 @@
     assertThrows(
         TimeoutException.class,
         () -> started.get(200, TimeUnit.MILLISECONDS),
-        "it has begun to serve");
+        "the node started before discovery responded");
     assertThrows(IOException.class, () -> new Socket("127.0.0.1", port).close());
-    go.complete(null);
+    respond.complete(null);
     started.get();
     Socket client = client(node);
     order(client, "t-1");
-    assertEquals("stays", FakePeer.read(client).body());
+    assertEquals("ready", FakePeer.read(client).body());
   }
 
   private static int freePort() throws IOException {
-    try (ServerSocket free = new ServerSocket(0, 1, InetAddress.getLoopbackAddress())) {
-      return free.getLocalPort();
+    try (ServerSocket socket = new ServerSocket(0, 1, InetAddress.getLoopbackAddress())) {
+      return socket.getLocalPort();
     }
   }
 
@@ -85,14 +88,14 @@
   }
 
   /**
-   * Lists of any layout, split anywhere; a watch that hangs, and one that ends within a list, hold
-   * nobody up.
+   * Discovery may format a list in any way and split it at any byte. A watch that gets no response
+   * and one that ends in the middle of a list must not keep the node from starting.
    */
   @Test
-  void listsMayBeIndentedAndSplitAndWatchesMayHang() throws Exception {
+  void listsMayBeIndentedSplitAtAnyByteOrCutOffAndAWatchMayHang() throws Exception {
     FakePeer first = peer(m -> m.answer(FakePeer.ok("", "first")));
     FakePeer second = peer(m -> m.answer(FakePeer.ok("", "second")));
-    BlockingQueue<Integer> calls = new LinkedBlockingQueue<>(List.of(0, 1, 2));
+    BlockingQueue<Integer> watchNumbers = new LinkedBlockingQueue<>(List.of(0, 1, 2));
     String complete = indented(list(6, true, member("s-0", first.address(), "Ready", 0))) + "\n";
     String change =
         indented(
@@ -102,39 +105,39 @@
                     member("s-0", first.address(), "Terminating", 0),
                     member("s-1", second.address(), "Ready", 0)))
             .replace("\n", "\r\n");
-    CompletableFuture<Void> go = new CompletableFuture<>();
+    CompletableFuture<Void> sendChange = new CompletableFuture<>();
     discovery =
         peer(
             m -> {
-              int call = Objects.requireNonNullElse(calls.poll(), 2);
-              if (call == 0) {
+              int watchNumber = Objects.requireNonNullElse(watchNumbers.poll(), 2);
+              if (watchNumber == 0) {
                 return;
               }
               m.answer(WATCH);
-              if (call == 1) {
+              if (watchNumber == 1) {
                 m.answer(chunk(complete.substring(0, complete.length() / 2)));
                 m.socket().close();
                 return;
               }
               answerByteByByte(m, complete);
-              go.join();
+              sendChange.join();
               answerByteByByte(m, change);
             });
     EdgeNode node = start(config());
     Socket client = client(node);
     orderUntil(client, "first");
-    go.complete(null);
+    sendChange.complete(null);
     orderUntil(client, "second");
-    assertTrue(calls.isEmpty());
+    assertTrue(watchNumbers.isEmpty());
   }
 
   private static String indented(String list) throws IOException {
     return Json.read(list).toPrettyString();
   }
 
-  private static void answerByteByByte(FakePeer.Message to, String text) throws IOException {
-    for (byte next : text.getBytes(StandardCharsets.UTF_8)) {
-      to.answer(chunk(String.valueOf((char) next)));
+  private static void answerByteByByte(FakePeer.Message message, String text) throws IOException {
+    for (byte character : text.getBytes(StandardCharsets.UTF_8)) {
+      message.answer(chunk(String.valueOf((char) character)));
     }
   }
 
