--- a/edge/src/test/java/edgegateway/node/ResponseEndTest.java
+++ b/edge/src/test/java/edgegateway/node/ResponseEndTest.java
@@ -13,25 +13,28 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
 
-/** A response is forwarded whole or not at all, wherever its connection or its client's ends. */
+/**
+ * A response is forwarded as complete only if all of it arrived, wherever in the response the
+ * connection to the archive server or to the client ends.
+ */
 @Timeout(60)
 class ResponseEndTest extends NodeTest {
   /**
-   * A close over what the client sent in that moment once took back what it had not read of its
-   * answer.
+   * Closing a socket with unread input resets the connection. When the client sent more data during
+   * the close, this discarded the part of the response that the client had not read yet.
    */
   @Test
   void aResponseIsCompleteThoughMoreArrivesDuringTheClose() throws Exception {
-    // All of it is with the system at once, and little of it with the client.
+    // The kernel accepts it in one write, but the receive buffer of the client holds little of it.
     String body = "x".repeat(8_000);
-    BlockingQueue<CompletableFuture<Void>> goes = new LinkedBlockingQueue<>();
-    BlockingQueue<Integer> answered = new LinkedBlockingQueue<>();
+    BlockingQueue<CompletableFuture<Void>> scriptedResponses = new LinkedBlockingQueue<>();
+    BlockingQueue<Integer> responsesWritten = new LinkedBlockingQueue<>();
     FakePeer server =
         peer(
             m -> {
-              goes.take().join();
+              scriptedResponses.take().join();
               m.answer(FakePeer.ok("", body));
-              answered.add(1);
+              responsesWritten.add(1);
             });
     EdgeNode node = node(server);
     node.operatorCommands().drain(true).get();
@@ -43,26 +46,30 @@
       toClose.add(client);
       order(client, "t-" + round);
       assertEquals("t-" + round, server.next().headers().get("x-trace-id"));
-      CompletableFuture<Void> busy = new CompletableFuture<>();
-      CompletableFuture<Void> go = new CompletableFuture<>();
-      node.loop.execute(busy::join);
-      // Both wait at the sockets when the loop goes on: the answer and what comes behind the
-      // request.
-      goes.add(go);
-      go.complete(null);
-      answered.take();
+      CompletableFuture<Void> unblockLoop = new CompletableFuture<>();
+      CompletableFuture<Void> respond = new CompletableFuture<>();
+      node.loop.execute(unblockLoop::join);
+      // When the event loop continues, both the response and the data after the request are
+      // readable at its sockets.
+      scriptedResponses.add(respond);
+      respond.complete(null);
+      responsesWritten.take();
       client.getOutputStream().write("GET /api HTTP/1.1\r\nHost".getBytes(StandardCharsets.UTF_8));
-      busy.complete(null);
-      String all = new String(client.getInputStream().readAllBytes(), StandardCharsets.UTF_8);
+      unblockLoop.complete(null);
+      String received = new String(client.getInputStream().readAllBytes(), StandardCharsets.UTF_8);
       assertTrue(
-          all.startsWith("HTTP/1.1 200") && all.endsWith(body),
-          "round " + round + ": cut after " + all.length() + " bytes");
+          received.startsWith("HTTP/1.1 200") && received.endsWith(body),
+          "round " + round + ": response was truncated after " + received.length() + " bytes");
       client.close();
     }
-    assertTrue(server.seen.isEmpty(), "what came after the last answer was sent on");
+    assertTrue(server.seen.isEmpty(), "the data after the last request was forwarded");
   }
 
-  /** Its end was the node's own doing, and no end of the answer. */
+  /**
+   * A body without length ends when the archive server closes the connection. Here the archive
+   * server stalls and the node closes the connection itself, which must not count as the end of the
+   * body.
+   */
   @Test
   void aStalledResponseWithoutLengthIsNotForwardedAsComplete() throws Exception {
     FakePeer server =
@@ -70,51 +77,52 @@
     EdgeNode node = node(server);
     Socket client = client(node);
     write(client, "GET /api", headers("t-1", "lookup", "50000"), "");
-    String all = new String(client.getInputStream().readAllBytes(), StandardCharsets.UTF_8);
-    assertTrue(all.contains("chunked"), all.substring(0, 200));
-    assertFalse(all.endsWith("0\r\n\r\n"), "a part was passed on as the whole");
+    String received = new String(client.getInputStream().readAllBytes(), StandardCharsets.UTF_8);
+    assertTrue(received.contains("chunked"), received.substring(0, 200));
+    assertFalse(received.endsWith("0\r\n\r\n"), "a truncated response was forwarded as complete");
   }
 
   /**
-   * Whatever its form: a close before its end, or a reset anywhere, does not complete it, and an
-   * unsafe request is not sent again.
+   * However the end of the body is marked, a response is incomplete after a close before its end or
+   * a reset at any byte. The client then gets status 502, and a request that is not idempotent is
+   * not retried.
    */
   @Test
   void aResponseCutAtAnyByteIsNoResponse() throws Exception {
-    List<String> forms =
+    List<String> fullResponses =
         List.of(
             "HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\nbody",
             "HTTP/1.1 200 OK\r\nConnection: close\r\n\r\nbody",
             "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n4\r\nbody\r\n0\r\n\r\n");
-    BlockingQueue<String> parts = new LinkedBlockingQueue<>();
+    BlockingQueue<String> responses = new LinkedBlockingQueue<>();
     BlockingQueue<Boolean> resets = new LinkedBlockingQueue<>();
     FakePeer server =
         peer(
             m -> {
-              m.answer(parts.take());
+              m.answer(responses.take());
               m.socket().setSoLinger(resets.take(), 0);
               m.socket().close();
             });
     EdgeNode node = node(server);
     Socket client = client(node);
-    for (String form : forms) {
-      for (int cut = 0; cut <= form.length(); cut++) {
+    for (String response : fullResponses) {
+      for (int cutAt = 0; cutAt <= response.length(); cutAt++) {
         for (boolean reset : new boolean[] {false, true}) {
-          if (isAmbiguous(form, cut, reset)) {
+          if (isAmbiguous(response, cutAt, reset)) {
             continue;
           }
-          parts.add(form.substring(0, cut));
+          responses.add(response.substring(0, cutAt));
           resets.add(reset);
-          boolean complete = !reset && cut == form.length();
-          String id = "t-" + forms.indexOf(form) + "-" + cut + reset;
+          boolean complete = !reset && cutAt == response.length();
+          String id = "t-" + fullResponses.indexOf(response) + "-" + cutAt + reset;
           write(client, "POST /api", headers(id, "strict", "20000"), "book");
           FakePeer.Message answer = FakePeer.read(client);
           assertEquals(complete ? "200" : "502", status(answer), id);
           assertEquals(complete ? "body" : "", answer.body(), id);
           assertEquals(id, server.next().headers().get("x-trace-id"));
-          assertTrue(server.seen.isEmpty(), "sent again: " + id);
-          // It is closed after a complete response: what is written before that is seen ends as a
-          // reset, unread.
+          assertTrue(server.seen.isEmpty(), "retried: " + id);
+          // The archive server closes the connection also after a complete response. A request
+          // that the node writes before it detects the close would be lost to a reset.
           ConnectionsTest.await(node, "connections.archive_servers.open", 0);
         }
       }
@@ -122,14 +130,15 @@
   }
 
   /**
-   * Whether the node can't tell: a body without a length ends with its connection, and a reset may
-   * arrive before or after what it resets.
+   * Whether the node cannot tell if the response is complete: a body without length is delimited by
+   * the close of the connection, and a reset after the last byte may arrive before or after the
+   * node has read that byte.
    */
-  private static boolean isAmbiguous(String form, int cut, boolean reset) {
+  private static boolean isAmbiguous(String response, int cutAt, boolean reset) {
     if (reset) {
-      return cut == form.length();
+      return cutAt == response.length();
     }
-    int bodyStart = form.indexOf("\r\n\r\n") + 4;
-    return form.contains("Connection") && cut >= bodyStart && cut < form.length();
+    int bodyStart = response.indexOf("\r\n\r\n") + 4;
+    return response.contains("Connection") && cutAt >= bodyStart && cutAt < response.length();
   }
 }
