--- a/edge/src/test/java/edgegateway/node/RaceConditionsTest.java
+++ b/edge/src/test/java/edgegateway/node/RaceConditionsTest.java
@@ -29,144 +29,153 @@
 import org.junit.jupiter.api.Timeout;
 
 /**
- * What happens if a request, an answer or a signal comes between two steps; each crossing is
- * forced, not waited for.
+ * Requests, responses, list changes and signals that arrive between two steps of the node. Each
+ * test forces the order of events instead of expecting it to occur by chance.
  */
 @Timeout(60)
 class RaceConditionsTest extends NodeTest {
-  /** Discovery that sends these, each when it is put here. */
+  /** Starts a discovery peer that sends each list that is added to the returned queue. */
   private BlockingQueue<String> discoverySending() throws IOException {
-    BlockingQueue<String> lines = new LinkedBlockingQueue<>();
+    BlockingQueue<String> messages = new LinkedBlockingQueue<>();
     discovery =
         peer(
             m -> {
               m.answer(WATCH + chunk("\n"));
               while (true) {
-                m.answer(chunk(lines.take()));
+                m.answer(chunk(messages.take()));
               }
             });
-    return lines;
+    return messages;
   }
 
-  /** One connection to each archive server: the next attempt at one has to wait. */
+  /**
+   * Allows one connection for each endpoint, so that an attempt waits while another is in flight.
+   */
   private EdgeNode nodeWithOneConnectionPerEndpoint(String... members) throws Exception {
     return start(
         config(members)
             .replace("\"counter\"", "\"connections\":{\"per-archive-server\":1},\"counter\""));
   }
 
-  private static void awaitLog(EdgeNode node, String figure) {
-    while (!node.metrics.render().contains(figure + "\n")) {
+  private static void awaitMetric(EdgeNode node, String line) {
+    while (!node.metrics.render().contains(line + "\n")) {
       assertFalse(Thread.interrupted(), node.metrics.render());
     }
   }
 
-  /** An archive server that answers when it is let go. */
-  private FakePeer held(CompletableFuture<Void> go) throws IOException {
+  /** Starts an archive server that responds once the future is complete. */
+  private FakePeer peerAnsweringAfter(CompletableFuture<Void> respond) throws IOException {
     return peer(
         m -> {
-          go.join();
+          respond.join();
           m.answer(FakePeer.ok("", "held"));
         });
   }
 
-  /** Chosen before the change, it once went out when a connection was free, however long after. */
+  /**
+   * Guards against an attempt that waits for a connection when its endpoint starts to terminate,
+   * and is still sent there when the connection becomes free.
+   */
   @Test
   void anAttemptWaitingForATerminatingEndpointGoesElsewhere() throws Exception {
-    BlockingQueue<String> lines = discoverySending();
-    CompletableFuture<Void> go = new CompletableFuture<>();
-    FakePeer leaves = held(go);
-    FakePeer stays = peer(m -> m.answer(FakePeer.ok("", "other")));
-    EdgeNode node = nodeWithOneConnectionPerEndpoint(member("s-0", leaves.address(), "Ready", 0));
+    BlockingQueue<String> messages = discoverySending();
+    CompletableFuture<Void> respond = new CompletableFuture<>();
+    FakePeer terminating = peerAnsweringAfter(respond);
+    FakePeer other = peer(m -> m.answer(FakePeer.ok("", "other")));
+    EdgeNode node =
+        nodeWithOneConnectionPerEndpoint(member("s-0", terminating.address(), "Ready", 0));
     Socket first = client(node);
     order(first, "t-1");
-    leaves.next();
+    terminating.next();
     Socket second = client(node);
     order(second, "t-2");
-    awaitLog(node, "app.in_progress=2");
-    lines.add(
+    awaitMetric(node, "app.in_progress=2");
+    messages.add(
         list(
             6,
             false,
-            member("s-0", leaves.address(), "Terminating", 0),
-            member("s-1", stays.address(), "Ready", 0)));
-    awaitLog(node, "app.known_archive_servers=2");
-    go.complete(null);
+            member("s-0", terminating.address(), "Terminating", 0),
+            member("s-1", other.address(), "Ready", 0)));
+    awaitMetric(node, "app.known_archive_servers=2");
+    respond.complete(null);
     assertEquals("held", FakePeer.read(first).body());
     assertEquals("other", FakePeer.read(second).body());
-    assertTrue(leaves.seen.isEmpty(), "sent to a server that was told to leave");
-    // Ready again, it is used again.
-    lines.add(
+    assertTrue(terminating.seen.isEmpty(), "an attempt was sent to a terminating endpoint");
+    // An endpoint that is ready again gets requests again.
+    messages.add(
         list(
             7,
             false,
-            member("s-0", leaves.address(), "Ready", 0),
-            member("s-1", stays.address(), "Terminating", 0)));
+            member("s-0", terminating.address(), "Ready", 0),
+            member("s-1", other.address(), "Terminating", 0)));
     do {
       order(first, "t-" + System.nanoTime());
     } while (!FakePeer.read(first).body().equals("held"));
   }
 
-  /** What has not begun when its client leaves once began when a connection was free. */
+  /**
+   * Guards against an attempt that waits for a connection when its client disconnects, and is still
+   * sent when the connection becomes free.
+   */
   @Test
   void aWaitingAttemptIsNotSentForADisconnectedClient() throws Exception {
-    CompletableFuture<Void> go = new CompletableFuture<>();
-    FakePeer server = held(go);
+    CompletableFuture<Void> respond = new CompletableFuture<>();
+    FakePeer server = peerAnsweringAfter(respond);
     EdgeNode node = nodeWithOneConnectionPerEndpoint(member("s-0", server.address(), "Ready", 0));
     Socket first = client(node);
     order(first, "t-1");
     server.next();
-    for (String how : List.of("close", "reset", "behind")) {
+    for (String ending : List.of("close", "reset", "close-with-pipelined-request")) {
       Socket second = client(node);
-      order(second, "t-" + how);
-      if (how.equals("behind")) {
+      order(second, "t-" + ending);
+      if (ending.equals("close-with-pipelined-request")) {
         order(second, "t-more");
       }
-      awaitLog(node, "app.in_progress=2");
-      second.setSoLinger(how.equals("reset"), 0);
+      awaitMetric(node, "app.in_progress=2");
+      second.setSoLinger(ending.equals("reset"), 0);
       second.close();
-      awaitLog(node, "app.in_progress=1");
+      awaitMetric(node, "app.in_progress=1");
     }
     Socket third = client(node);
     order(third, "t-3");
-    go.complete(null);
+    respond.complete(null);
     assertEquals("held", FakePeer.read(first).body());
     assertEquals("held", FakePeer.read(third).body());
     assertEquals("t-3", server.next().headers().get("x-trace-id"));
   }
 
   /**
-   * A peer of HTTP/1.0 can't be asked whether it is still there: nothing begins for it, and it is
-   * answered.
+   * An HTTP/1.0 client that half-closed its connection cannot be probed for its presence. It still
+   * gets a response, but no attempt begins for it.
    */
   @Test
   void anHttp10ClientThatHalfClosesGetsTheResponseInFlightAndNoFurtherAttempt() throws Exception {
-    CompletableFuture<Void> go = new CompletableFuture<>();
-    FakePeer server = held(go);
+    CompletableFuture<Void> respond = new CompletableFuture<>();
+    FakePeer server = peerAnsweringAfter(respond);
     EdgeNode node = nodeWithOneConnectionPerEndpoint(member("s-0", server.address(), "Ready", 0));
     Socket first = client(node);
     orderByHttp10(first, "t-1");
     server.next();
     first.shutdownOutput();
-    awaitLog(node, "app.connections.half_closed=1");
+    awaitMetric(node, "app.connections.half_closed=1");
     Socket second = client(node);
     orderByHttp10(second, "t-2");
-    awaitLog(node, "app.in_progress=2");
+    awaitMetric(node, "app.in_progress=2");
     second.shutdownOutput();
     assertEquals("503", status(FakePeer.read(second)));
-    go.complete(null);
+    respond.complete(null);
     assertEquals("held", FakePeer.read(first).body());
     assertTrue(server.seen.isEmpty());
   }
 
-  /** An attempt that failed is not made again for it, nor does it go without an answer. */
+  /** A failed attempt is not retried for such a client, but the client gets the failure status. */
   @Test
   void anHttp10ClientThatHalfClosesGetsTheLastAttemptsFailure() throws Exception {
-    CompletableFuture<Void> go = new CompletableFuture<>();
+    CompletableFuture<Void> respond = new CompletableFuture<>();
     FakePeer server =
         peer(
             m -> {
-              go.join();
+              respond.join();
               m.answer("HTTP/1.1 500 No\r\nContent-Length: 0\r\n\r\n");
             });
     EdgeNode node = nodeWithOneConnectionPerEndpoint(member("s-0", server.address(), "Ready", 0));
@@ -174,8 +183,8 @@
     orderByHttp10(client, "t-1");
     server.next();
     client.shutdownOutput();
-    awaitLog(node, "app.connections.half_closed=1");
-    go.complete(null);
+    awaitMetric(node, "app.connections.half_closed=1");
+    respond.complete(null);
     assertEquals("502", status(FakePeer.read(client)));
     assertTrue(server.seen.isEmpty());
   }
@@ -189,17 +198,17 @@
   }
 
   /**
-   * The dial came up after the time in which the servers drop repeats: the repeat would have run
-   * once more.
+   * Guards against a retry whose connection is established only after the time in which archive
+   * servers recognize the idempotency key: the request would be executed twice.
    */
   @Test
   void aRetryConnectedAfterTheIdempotencyKeyWindowIsNotSent() throws Exception {
     ServerSocket server = new ServerSocket(0, 1, InetAddress.getLoopbackAddress());
     toClose.add(server);
-    String at = "127.0.0.1:" + server.getLocalPort();
+    String address = "127.0.0.1:" + server.getLocalPort();
     EdgeNode node =
         start(
-            config(member("s-0", at, "Ready", 0))
+            config(member("s-0", address, "Ready", 0))
                 .replace("\"key-ttl-ns\": 30000000000", "\"key-ttl-ns\": 400000000")
                 .replace(
                     "\"connect-timeout-ns\": 250000000", "\"connect-timeout-ns\": 15000000000"));
@@ -207,41 +216,43 @@
     order(client, "t-1");
     Socket first = server.accept();
     assertEquals("t-1", FakePeer.read(first).headers().get("x-trace-id"));
-    // The kernel's line is full: it drops the next one's first packet, which comes again after a
-    // second.
-    int full = fill(server);
+    // While the accept queue is full, the kernel drops the SYN of the next connection, which TCP
+    // retransmits after 1 s.
+    int queuedConnections = fillAcceptQueue(server);
     first.setSoLinger(true, 0);
     first.close();
-    awaitLog(node, "app.connections.archive_servers.opened=2");
-    // The turn of the loop in which it was dialed is over.
+    awaitMetric(node, "app.connections.archive_servers.opened=2");
+    // Waits for the end of the event-loop iteration in which the connection attempt began.
     node.loop.submit(() -> {}).get();
-    for (int i = 0; i < full; i++) {
+    for (int i = 0; i < queuedConnections; i++) {
       server.accept();
     }
-    Socket late = server.accept();
-    late.setSoTimeout(5_000);
+    Socket retryConnection = server.accept();
+    retryConnection.setSoTimeout(5_000);
     assertEquals("503", status(FakePeer.read(client)));
     write(client, "POST /api", headers("t-2", "order", "20000"), "book");
     assertEquals(
         "t-2",
-        FakePeer.read(late).headers().get("x-trace-id"),
-        "the connection serves the next one");
+        FakePeer.read(retryConnection).headers().get("x-trace-id"),
+        "the connection of the unsent retry is not reused");
   }
 
-  /** Connects until nobody more is taken; how many were. */
-  private int fill(ServerSocket server) throws IOException {
-    for (int taken = 0; ; taken++) {
+  /** Connects until the accept queue is full; returns the number of established connections. */
+  private int fillAcceptQueue(ServerSocket server) throws IOException {
+    for (int connected = 0; ; connected++) {
       Socket socket = new Socket();
       toClose.add(socket);
       try {
         socket.connect(server.getLocalSocketAddress(), 200);
       } catch (SocketTimeoutException e) {
-        return taken;
+        return connected;
       }
     }
   }
 
-  /** An attempt that timed out was still out when the next one began. */
+  /**
+   * Guards against an attempt that has timed out but is still in flight when the next one begins.
+   */
   @Test
   void theConnectionOfAnEndedAttemptIsClosedBeforeTheNextBegins() throws Exception {
     EdgeNode node =
@@ -276,10 +287,10 @@
     assertEquals(
         List.of(true, false),
         otherWasOpen.stream().distinct().toList(),
-        "the second attempt began before the first was ended");
+        "the second attempt began before the connection of the first was closed");
   }
 
-  /** A connection in memory that tells when something is written to it. */
+  /** Returns an in-memory connection that runs {@code onWrite} before each write to it. */
   private static EmbeddedChannel server(EdgeNode node, Runnable onWrite) {
     return new EmbeddedChannel(node.upstreamPool.handlers()) {
       @Override
@@ -291,7 +302,7 @@
   }
 
   /**
-   * The socket of clients was once opened after the signal, by a process that had nobody left to
+   * Guards against a process that opens its listening socket after SIGTERM, when nothing is left to
    * close it.
    */
   @Test
@@ -319,7 +330,7 @@
     Process process = serve(file, List.of());
     discovery.next();
     signal(process, "TERM");
-    // Once more, if it is still there.
+    // A second SIGTERM, if the process still runs, must not change its exit status.
     new ProcessBuilder("kill", "-TERM", Long.toString(process.pid())).start().waitFor();
     assertEquals(0, process.waitFor());
   }
