--- a/edge/src/test/java/edgegateway/node/DiscoveryRaceTest.java
+++ b/edge/src/test/java/edgegateway/node/DiscoveryRaceTest.java
@@ -1,6 +1,6 @@
 package edgegateway.node;
 
-import static edgegateway.node.DiscoveryMessages.WATCH;
+import static edgegateway.node.DiscoveryMessages.WATCH_RESPONSE_HEAD;
 import static edgegateway.node.DiscoveryMessages.chunk;
 import static edgegateway.node.DiscoveryMessages.list;
 import static org.junit.jupiter.api.Assertions.assertEquals;
@@ -46,7 +46,7 @@
         peer(
             m -> {
               respond.join();
-              m.answer(WATCH + chunk(updated));
+              m.answer(WATCH_RESPONSE_HEAD + chunk(updated));
             });
     int port = freePort();
     EdgeNode node =
@@ -113,7 +113,7 @@
               if (watchNumber == 0) {
                 return;
               }
-              m.answer(WATCH);
+              m.answer(WATCH_RESPONSE_HEAD);
               if (watchNumber == 1) {
                 m.answer(chunk(complete.substring(0, complete.length() / 2)));
                 m.socket().close();
--- a/edge/src/test/java/edgegateway/node/OperatorServerTest.java
+++ b/edge/src/test/java/edgegateway/node/OperatorServerTest.java
@@ -203,7 +203,7 @@
     for (int i = 0; i < 20; i++) {
       assertEquals("200", ask(client, "t-" + i));
     }
-    assertTrue(first.seen.isEmpty());
+    assertTrue(first.received.isEmpty());
     // The new process of an upgrade takes the ejection over, and each process follows calls to the
     // other.
     EdgeNode successor =
@@ -217,7 +217,7 @@
     assertEquals("ACK", ackOrNak(successorOps, "set-up s-0"));
     awaitMetric(ops, "app.skipped_archive_servers", "0");
     assertEquals("ACK", ackOrNak(ops, "set-up s-0"));
-    for (int i = 0; first.seen.isEmpty(); i++) {
+    for (int i = 0; first.received.isEmpty(); i++) {
       assertFalse(Thread.interrupted(), "the readmitted endpoint gets no request");
       assertEquals("200", ask(client, "u-" + i));
     }
@@ -255,7 +255,7 @@
     for (int i = 0; i < 20; i++) {
       assertEquals("200", ask(client, "t-" + i));
     }
-    assertTrue(first.seen.isEmpty());
+    assertTrue(first.received.isEmpty());
     assertTrue(
         call(ops, "zones\n")
             .matches(
@@ -269,7 +269,7 @@
     assertEquals("ACK", ackOrNak(successorOps, "zone-in a 1"));
     awaitMetric(ops, "app.skipped_archive_servers", "0");
     assertTrue(call(ops, "zones\n").startsWith("a state=returning "), call(ops, "zones\n"));
-    for (int i = 0; first.seen.isEmpty(); i++) {
+    for (int i = 0; first.received.isEmpty(); i++) {
       assertFalse(Thread.interrupted(), "the readmitted endpoint gets no request");
       assertEquals("200", ask(client, "u-" + i));
     }
--- a/edge/src/test/java/edgegateway/node/RaceConditionsTest.java
+++ b/edge/src/test/java/edgegateway/node/RaceConditionsTest.java
@@ -1,6 +1,6 @@
 package edgegateway.node;
 
-import static edgegateway.node.DiscoveryMessages.WATCH;
+import static edgegateway.node.DiscoveryMessages.WATCH_RESPONSE_HEAD;
 import static edgegateway.node.DiscoveryMessages.chunk;
 import static edgegateway.node.DiscoveryMessages.list;
 import static org.junit.jupiter.api.Assertions.assertEquals;
@@ -40,7 +40,7 @@
     discovery =
         peer(
             m -> {
-              m.answer(WATCH + chunk("\n"));
+              m.answer(WATCH_RESPONSE_HEAD + chunk("\n"));
               while (true) {
                 m.answer(chunk(messages.take()));
               }
@@ -100,7 +100,7 @@
     respond.complete(null);
     assertEquals("held", FakePeer.read(first).body());
     assertEquals("other", FakePeer.read(second).body());
-    assertTrue(terminating.seen.isEmpty(), "an attempt was sent to a terminating endpoint");
+    assertTrue(terminating.received.isEmpty(), "an attempt was sent to a terminating endpoint");
     // An endpoint that is ready again gets requests again.
     messages.add(
         list(
@@ -165,7 +165,7 @@
     assertEquals("503", status(FakePeer.read(second)));
     respond.complete(null);
     assertEquals("held", FakePeer.read(first).body());
-    assertTrue(server.seen.isEmpty());
+    assertTrue(server.received.isEmpty());
   }
 
   /** A failed attempt is not retried for such a client, but the client gets the failure status. */
@@ -186,7 +186,7 @@
     awaitMetric(node, "app.connections.half_closed=1");
     respond.complete(null);
     assertEquals("502", status(FakePeer.read(client)));
-    assertTrue(server.seen.isEmpty());
+    assertTrue(server.received.isEmpty());
   }
 
   private static void orderByHttp10(Socket to, String id) throws IOException {
--- a/edge/src/test/java/edgegateway/node/ResponseEndTest.java
+++ b/edge/src/test/java/edgegateway/node/ResponseEndTest.java
@@ -62,7 +62,7 @@
           "round " + round + ": response was truncated after " + received.length() + " bytes");
       client.close();
     }
-    assertTrue(server.seen.isEmpty(), "the data after the last request was forwarded");
+    assertTrue(server.received.isEmpty(), "the data after the last request was forwarded");
   }
 
   /**
@@ -120,10 +120,10 @@
           assertEquals(complete ? "200" : "502", status(answer), id);
           assertEquals(complete ? "body" : "", answer.body(), id);
           assertEquals(id, server.next().headers().get("x-trace-id"));
-          assertTrue(server.seen.isEmpty(), "retried: " + id);
+          assertTrue(server.received.isEmpty(), "retried: " + id);
           // The archive server closes the connection also after a complete response. A request
           // that the node writes before it detects the close would be lost to a reset.
-          ConnectionsTest.await(node, "connections.archive_servers.open", 0);
+          ConnectionsTest.awaitMetric(node, "connections.archive_servers.open", 0);
         }
       }
     }
