--- a/edge/src/test/java/edgegateway/node/OperatorServerTest.java
+++ b/edge/src/test/java/edgegateway/node/OperatorServerTest.java
@@ -60,7 +60,7 @@
   private static void awaitMetric(OperatorServer ops, String name, String value)
       throws IOException {
     while (!value.equals(vars(ops).get(name))) {
-      assertFalse(Thread.interrupted(), "metric " + name + " does not become " + value);
+      assertFalse(Thread.interrupted(), name + " did not become " + value);
     }
   }
 
