--- a/edge/src/test/java/edgegateway/node/ClientDisconnectTest.java
+++ b/edge/src/test/java/edgegateway/node/ClientDisconnectTest.java
@@ -80,7 +80,7 @@
                         + "\r\n"
                         + list
                         + "\r\n"));
-    return start(change.apply(config(member)));
+    return startNode(change.apply(config(member)));
   }
 
   /** One connection to the archive server: the next attempt has to wait for it. */
@@ -171,7 +171,7 @@
                 });
         EdgeNode node = narrow(server);
         Socket first = client(node);
-        order(first, "t-1");
+        sendOrder(first, "t-1");
         server.next();
         Socket second = client(node);
         ask(second, "t-left", how);
@@ -181,7 +181,7 @@
         assertEquals("held", FakePeer.read(first).body());
         awaitLog(node, "app.in_progress=0");
         Socket third = client(node);
-        order(third, "t-3");
+        sendOrder(third, "t-3");
         assertEquals("held", FakePeer.read(third).body());
         note(server.next(), "t-3", how, reset);
       }
@@ -194,7 +194,7 @@
     for (Reading how : Reading.values()) {
       for (boolean reset : new boolean[] {false, true}) {
         CompletableFuture<Void> go = new CompletableFuture<>();
-        counting =
+        counterScript =
             m -> {
               go.join();
               m.answer(FakePeer.ok("", "1"));
@@ -222,7 +222,7 @@
         go.complete(null);
         awaitLog(node, "app.in_progress=0");
         Socket next = client(node);
-        order(next, "t-next");
+        sendOrder(next, "t-next");
         assertEquals("done", FakePeer.read(next).body());
         note(server.next(), "t-next", how, reset);
       }
@@ -283,7 +283,7 @@
     } while (full.contains(late.getPort()));
     late.setSoTimeout(10_000);
     awaitLog(node, "app.in_progress=0");
-    write(client(node), "POST /api", headers("t-next", "order", "20000"), "book");
+    sendRequest(client(node), "POST /api", headers("t-next", "order", "20000"), "book");
     note(FakePeer.read(late), "t-next", how, reset);
   }
 
@@ -325,10 +325,10 @@
       EdgeNode node = narrow(server);
       for (int round = 0; round < 10; round++) {
         Socket first = client(node);
-        order(first, "t-" + round);
+        sendOrder(first, "t-" + round);
         assertEquals("t-" + round, server.next().headers().get("x-trace-id"));
         Socket second = client(node);
-        order(second, "t-left-" + round);
+        sendOrder(second, "t-left-" + round);
         awaitLog(node, "app.in_progress=2");
         CompletableFuture<Void> begun = new CompletableFuture<>();
         CompletableFuture<Void> still = new CompletableFuture<>();
@@ -381,7 +381,7 @@
               });
       EdgeNode node = narrow(server);
       Socket first = client(node);
-      order(first, "t-1");
+      sendOrder(first, "t-1");
       server.next();
       Socket second = client(node);
       ask(second, "t-2", how);
@@ -412,7 +412,7 @@
             });
     EdgeNode node = narrow(server);
     Socket first = client(node);
-    order(first, "t-1");
+    sendOrder(first, "t-1");
     server.next();
     Socket second = client(node);
     ask(second, "t-2", Reading.HTTP_1_0_LONG_BODY);
--- a/edge/src/test/java/edgegateway/node/ConnectionsMeasure.java
+++ b/edge/src/test/java/edgegateway/node/ConnectionsMeasure.java
@@ -78,7 +78,7 @@
       reads.start();
       for (int i = 0; i < 3_000; i++) {
         try (Socket socket = from(200, at)) {
-          ask(socket, "warm-" + i);
+          exchangeOrder(socket, "warm-" + i);
         }
       }
     }
@@ -134,7 +134,7 @@
     long began = System.nanoTime();
     String how = "";
     try {
-      how = ask(socket, id);
+      how = exchangeOrder(socket, id);
     } finally {
       spans.add(how.equals("200") ? Math.min(1_000, (System.nanoTime() - began) / 1e6) : 1_000);
     }
@@ -297,7 +297,7 @@
     try (Socket socket = from(10, at)) {
       int requests = 0;
       for (long end = System.nanoTime() + 20_000_000_000L; System.nanoTime() < end; requests++) {
-        ask(socket, "thin-" + requests);
+        exchangeOrder(socket, "thin-" + requests);
         Thread.sleep(100);
       }
       return requests;
@@ -312,7 +312,7 @@
         all.submit(
             () -> {
               try (Socket socket = from(10, at)) {
-                return ask(socket, id);
+                return exchangeOrder(socket, id);
               }
             });
       }
@@ -334,10 +334,11 @@
   private EdgeNode here(TestCertificate certificate) throws Exception {
     FakePeer server = peer(m -> m.answer(FakePeer.ok("", "x")));
     String text = config(member("s-0", server.address(), "Ready", 0));
-    return start(
+    return startNode(
         certificate == null
             ? text
-            : text.replace("\"counter\"", "\"tls\":" + certificate.settings(8) + ",\"counter\""));
+            : text.replace(
+                "\"counter\"", "\"tls\":" + certificate.tlsSettings(8) + ",\"counter\""));
   }
 
   /**
@@ -347,20 +348,20 @@
   @Test
   void bytesOfAnIdleConnection() throws Exception {
     TestCertificate certificate = new TestCertificate(folder);
-    SSLContext context = certificate.trusting();
+    SSLContext context = certificate.trustingContext();
     for (int round = 0; round < ROUNDS; round++) {
       for (boolean tls : new boolean[] {false, true}) {
         EdgeNode node = here(tls ? certificate : null);
         List<Socket> clients = new ArrayList<>();
         InetSocketAddress at = node.address();
         for (int i = 0; i < 50; i++) {
-          ask(open(context, at, tls), "w-" + i);
+          exchangeOrder(open(context, at, tls), "w-" + i);
         }
         long heap = heap();
         long direct = PooledByteBufAllocator.DEFAULT.metric().usedDirectMemory();
         for (int i = 0; i < 300; i++) {
           clients.add(open(context, at, tls));
-          ask(clients.get(i), "t-" + i);
+          exchangeOrder(clients.get(i), "t-" + i);
         }
         long both = heap() - heap;
         long buffers = PooledByteBufAllocator.DEFAULT.metric().usedDirectMemory() - direct;
@@ -409,13 +410,13 @@
 
   private double shake(EdgeNode node, TestCertificate certificate, boolean resume, String version)
       throws Exception {
-    SSLContext context = certificate == null ? null : certificate.trusting();
+    SSLContext context = certificate == null ? null : certificate.trustingContext();
     long before = 0;
     for (int i = 0; i < 220; i++) {
       if (i == 20) {
         before = cpu();
       }
-      context = certificate == null || resume ? context : certificate.trusting();
+      context = certificate == null || resume ? context : certificate.trustingContext();
       InetSocketAddress at = node.address();
       try (Socket socket =
           context == null
@@ -424,7 +425,7 @@
         if (socket instanceof SSLSocket secured) {
           secured.setEnabledProtocols(new String[] {version});
         }
-        ask(socket, "h-" + i);
+        exchangeOrder(socket, "h-" + i);
       }
     }
     return (cpu() - before) / 200 / 1e3;
--- a/edge/src/test/java/edgegateway/node/ConnectionsTest.java
+++ b/edge/src/test/java/edgegateway/node/ConnectionsTest.java
@@ -63,7 +63,7 @@
     for (int i = 0; i < members.length; i++) {
       members[i] = member("s-" + i, servers[i].address(), "Ready", 0);
     }
-    return start(
+    return startNode(
         config(members).replace("\"counter\"", "\"connections\":" + limits + ",\"counter\""),
         folder);
   }
@@ -114,21 +114,21 @@
     FakePeer server = peer(m -> m.answer(FakePeer.ok("", "x")));
     EdgeNode node = bounded("{\"clients\":16}", server);
     Socket lone = from(2, node);
-    assertEquals("200", ask(lone, "t-lone"));
+    assertEquals("200", exchangeOrder(lone, "t-lone"));
     List<Socket> greedy = new ArrayList<>();
     for (int i = 0; i < 60; i++) {
       greedy.add(from(1, node));
     }
     for (int i = 0; i < 8; i++) {
       Socket other = from(3 + i, node);
-      assertEquals("200", ask(other, "t-" + i));
+      assertEquals("200", exchangeOrder(other, "t-" + i));
       other.close();
     }
-    assertEquals("200", ask(lone, "t-again"), "it had fewer than others");
+    assertEquals("200", exchangeOrder(lone, "t-again"), "it had fewer than others");
     for (Socket silent : greedy) {
       assertEquals("closed", end(silent));
     }
-    assertEquals("200", ask(from(1, node), "t-last"));
+    assertEquals("200", exchangeOrder(from(1, node), "t-last"));
   }
 
   /** Bytes that are here already when room is wanted belong to a request that is taken. */
@@ -139,19 +139,19 @@
     List<Socket> kept = new ArrayList<>();
     for (int i = 0; i < 12; i++) {
       kept.add(from(1, node));
-      assertEquals("200", ask(kept.get(i), "t-" + i));
+      assertEquals("200", exchangeOrder(kept.get(i), "t-" + i));
     }
     // All of them may be closed from now on.
     Thread.sleep(2_100);
     CompletableFuture<Void> busy = new CompletableFuture<>();
     node.loop.execute(busy::join);
     for (int i = 0; i < 12; i += 2) {
-      order(kept.get(i), "u-" + i);
+      sendOrder(kept.get(i), "u-" + i);
     }
     List<Socket> newcomers = new ArrayList<>();
     for (int i = 0; i < 6; i++) {
       newcomers.add(from(2, node));
-      order(newcomers.get(i), "n-" + i);
+      sendOrder(newcomers.get(i), "n-" + i);
     }
     busy.complete(null);
     for (int i = 0; i < 12; i += 2) {
@@ -176,11 +176,11 @@
     List<Socket> busy = new ArrayList<>();
     for (int i = 0; i < 8; i++) {
       busy.add(from(1, node));
-      order(busy.get(i), "t-" + i);
+      sendOrder(busy.get(i), "t-" + i);
     }
     await(node, "in_progress", 8);
     Socket away = from(1, node);
-    write(away, "POST /api", headers("away", "order", "20000"), "book");
+    sendRequest(away, "POST /api", headers("away", "order", "20000"), "book");
     FakePeer.Message answer = FakePeer.read(away);
     assertEquals("503", status(answer));
     assertEquals("close", answer.headers().get("connection"));
@@ -195,10 +195,10 @@
                 .getBytes(StandardCharsets.UTF_8));
     assertEquals("503", status(FakePeer.read(longest)), "it is told before its body came");
     Socket bad = from(1, node);
-    write(bad, "POST /api", Map.of(), "");
+    sendRequest(bad, "POST /api", Map.of(), "");
     assertEquals("400", end(bad));
     Socket front = from(1, node);
-    write(front, "GET /_health", Map.of(), "");
+    sendRequest(front, "GET /_health", Map.of(), "");
     assertEquals("503", status(FakePeer.read(front)), "not admitted yet");
     assertEquals(1 + 1 + 1 + 1, figure(node, "connections.refused"));
     assertEquals(2, figure(node, "handled.order.dropped"));
@@ -241,11 +241,11 @@
               m.answer(FakePeer.ok("", "x"));
             });
     String[] members = many(server);
-    EdgeNode node = start(config(members), folder);
+    EdgeNode node = startNode(config(members), folder);
     List<Socket> hand = new ArrayList<>();
     for (int i = 0; i < 10; i++) {
       hand.add(from(9, node));
-      order(hand.get(i), "hand-" + i);
+      sendOrder(hand.get(i), "hand-" + i);
     }
     await(node, "in_progress", 10);
     InetSocketAddress at = node.address();
@@ -272,7 +272,7 @@
                   half.complete(null);
                 }
                 try (Socket socket = from(1 + number % 4, at)) {
-                  write(socket, "GET /api", headers("s-" + number, "lookup", "20000"), "");
+                  sendRequest(socket, "GET /api", headers("s-" + number, "lookup", "20000"), "");
                   return end(socket);
                 } catch (IOException e) {
                   // The listening socket is gone, or its connection was closed before the request
@@ -317,14 +317,14 @@
               go.join();
               m.answer(FakePeer.ok("", m.headers().get("x-trace-id")));
             });
-    EdgeNode node = node(server);
+    EdgeNode node = startNode(server);
     Socket client = client(node);
     for (int i = 0; i < 3; i++) {
-      order(client, "t-" + i);
+      sendOrder(client, "t-" + i);
     }
     client.shutdownOutput();
     Socket single = client(node);
-    order(single, "t-single");
+    sendOrder(single, "t-single");
     single.shutdownOutput();
     await(node, "connections.half_closed", 2);
     go.complete(null);
@@ -337,7 +337,7 @@
     assertEquals("close", last.headers().get("connection"));
     assertNull(FakePeer.read(single));
     Socket half = client(node);
-    order(half, "t-9");
+    sendOrder(half, "t-9");
     half.getOutputStream().write("POST /api HT".getBytes(StandardCharsets.UTF_8));
     half.shutdownOutput();
     assertEquals("t-9", answer(half).body());
@@ -356,9 +356,9 @@
   @Test
   void aClosedClientIsDetectedAtOnce() throws Exception {
     FakePeer server = peer(m -> {});
-    EdgeNode node = node(server);
+    EdgeNode node = startNode(server);
     Socket client = client(node);
-    order(client, "t-1");
+    sendOrder(client, "t-1");
     server.next();
     assertEquals(1, figure(node, "in_progress"));
     client.close();
@@ -378,7 +378,7 @@
               }
               m.answer(FakePeer.ok("", "x".repeat(60_000)));
             });
-    EdgeNode node = start(config(many(server)));
+    EdgeNode node = startNode(config(many(server)));
     Socket well = client(node);
     for (int i = 0; i < 20; i++) {
       CompletableFuture<Void> busy = new CompletableFuture<>();
@@ -398,18 +398,18 @@
                   .getBytes(StandardCharsets.UTF_8));
       reset(upload);
       Socket waits = from(1, node);
-      order(waits, "wait-" + i);
+      sendOrder(waits, "wait-" + i);
       reset(waits);
       Socket answered = from(1, node);
-      order(answered, "read-" + i);
+      sendOrder(answered, "read-" + i);
       answered.getInputStream().read();
       reset(answered);
       Socket both = from(1, node);
       Map<String, String> last = headers("both-" + i, "order", "20000");
       last.put("Connection", "close");
-      write(both, "POST /api", last, "book");
+      sendRequest(both, "POST /api", last, "book");
       both.close();
-      assertEquals("200", ask(well, "well-" + i));
+      assertEquals("200", exchangeOrder(well, "well-" + i));
     }
     go.complete(null);
     await(node, "connections.open", 1);
@@ -422,13 +422,13 @@
     byte[] body = new byte[65_000];
     FakePeer server =
         peer(m -> m.answer(FakePeer.ok("", new String(body, StandardCharsets.US_ASCII))));
-    EdgeNode node = node(server);
+    EdgeNode node = startNode(server);
     Socket client = new Socket();
     client.setReceiveBufferSize(4_096);
     client.connect(node.address());
     toClose.add(client);
     for (int i = 0; i < 200; i++) {
-      write(client, "GET /api", headers("t-" + i, "lookup", "20000"), "");
+      sendRequest(client, "GET /api", headers("t-" + i, "lookup", "20000"), "");
     }
     await(node, "connections.timed_out.unread", 1);
     await(node, "connections.open", 0);
@@ -458,7 +458,7 @@
         Map<String, String> other = headers("other", "order", "20000");
         other.put("Cookie", "customer=0000000000000099");
         Socket small = client(node);
-        write(small, "POST /api", other, "x".repeat(30_000));
+        sendRequest(small, "POST /api", other, "x".repeat(30_000));
         assertEquals("200", end(small));
       }
     }
@@ -482,7 +482,7 @@
     List<Socket> clients = new ArrayList<>();
     for (int i = 0; i < 16; i++) {
       clients.add(client(node));
-      write(clients.get(i), "GET /api", headers("t-" + i, "lookup", "20000"), "");
+      sendRequest(clients.get(i), "GET /api", headers("t-" + i, "lookup", "20000"), "");
     }
     for (Socket client : clients) {
       assertTrue(body.equals(FakePeer.read(client).body()));
@@ -503,12 +503,12 @@
                 m.answer(FakePeer.ok("", "x"));
               }
             });
-    EdgeNode node = node(silent);
+    EdgeNode node = startNode(silent);
     Socket client = client(node);
-    write(client, "POST /api", headers("t-1", "strict", "2500"), "book");
+    sendRequest(client, "POST /api", headers("t-1", "strict", "2500"), "book");
     assertEquals("502", end(client));
     silent.next();
-    assertEquals("200", ask(client, "t-2"));
+    assertEquals("200", exchangeOrder(client, "t-2"));
     assertNotNull(silent.ended.poll(30, TimeUnit.SECONDS));
     assertEquals(2, figure(node, "connections.archive_servers.opened"));
   }
@@ -536,15 +536,15 @@
     thread.setDaemon(true);
     thread.start();
     EdgeNode node =
-        start(config(member("s-0", "127.0.0.1:" + listening.getLocalPort(), "Ready", 0)));
+        startNode(config(member("s-0", "127.0.0.1:" + listening.getLocalPort(), "Ready", 0)));
     Socket first = client(node);
-    order(first, "t-0");
+    sendOrder(first, "t-0");
     closed.get();
     assertEquals("200", end(first));
     List<Socket> clients = new ArrayList<>();
     for (int i = 1; i < 4; i++) {
       clients.add(client(node));
-      order(clients.get(i - 1), "t-" + i);
+      sendOrder(clients.get(i - 1), "t-" + i);
     }
     for (Socket client : clients) {
       assertEquals("200", end(client));
@@ -578,14 +578,14 @@
                         + "\r\n0\r\n\r\n");
               }
             });
-    EdgeNode node = node(old);
+    EdgeNode node = startNode(old);
     Socket client = client(node);
-    assertEquals("200", ask(client, "t-1"));
+    assertEquals("200", exchangeOrder(client, "t-1"));
     Socket usedBefore = old.next().socket();
     go.complete(null);
     assertNotNull(old.ended.poll(60, TimeUnit.SECONDS), "its idle connection goes");
     for (int i = 0; old.seen.isEmpty() || moved.seen.isEmpty(); i++) {
-      assertEquals("200", ask(client, "u-" + i));
+      assertEquals("200", exchangeOrder(client, "u-" + i));
     }
     assertTrue(old.next().socket() != usedBefore);
   }
@@ -647,8 +647,8 @@
         file,
         config(member("s-0", server.address(), "Ready", 0))
             .replace("\"counter\"", "\"ops\":\"127.0.0.1:" + opsPort + "\",\"counter\""));
-    Process process = serve(file, List.of("sh", "-c", "ulimit -n 90; exec \"$0\" \"$@\""));
-    InetSocketAddress at = servingAt(process);
+    Process process = startProcess(file, List.of("sh", "-c", "ulimit -n 90; exec \"$0\" \"$@\""));
+    InetSocketAddress at = awaitListenAddress(process);
     while (!call(opsPort, "check").startsWith("ACK")) {
       Thread.sleep(20);
     }
@@ -669,7 +669,7 @@
     }
     Socket client = from(2, at);
     toClose.add(client);
-    assertEquals("200", ask(client, "t-1"));
+    assertEquals("200", exchangeOrder(client, "t-1"));
     assertTrue(process.isAlive());
   }
 
@@ -714,8 +714,8 @@
         config(member("s-0", leaves.address(), "Ready", 0))
             .replace("1024", "256")
             .replace("\"counter\"", "\"ops\":\"127.0.0.1:" + opsPort + "\",\"counter\""));
-    Process process = serve(file, List.of("sh", "-c", "ulimit -n 256; exec \"$0\" \"$@\""));
-    InetSocketAddress at = servingAt(process);
+    Process process = startProcess(file, List.of("sh", "-c", "ulimit -n 256; exec \"$0\" \"$@\""));
+    InetSocketAddress at = awaitListenAddress(process);
     List<Socket> idle = new ArrayList<>();
     toClose.add(
         () -> {
@@ -748,7 +748,7 @@
     headers.put("X-Quota", "units=1,spread=2,first=0");
     while (true) {
       try (Socket client = from(9, at)) {
-        write(client, "GET /api", headers, "");
+        sendRequest(client, "GET /api", headers, "");
         FakePeer.Message answer = FakePeer.read(client);
         if (answer != null) {
           assertEquals("200", status(answer));
@@ -805,7 +805,7 @@
                       m.headers().get("x-trace-id").endsWith("3")
                           ? "HTTP/1.1 200 OK\r\nbroken\r\n\r\n"
                           : FakePeer.ok("", "x".repeat(2_000))));
-      EdgeNode node = node(server, peer(m -> m.socket().close()));
+      EdgeNode node = startNode(server, peer(m -> m.socket().close()));
       ExecutorService callers = Executors.newFixedThreadPool(16);
       toClose.add(callers::shutdownNow);
       List<Future<?>> done = new ArrayList<>();
@@ -842,15 +842,15 @@
         case 0 -> reset(socket);
         case 1 -> socket.getOutputStream().write("POST /api HT".getBytes(StandardCharsets.UTF_8));
         case 2 -> {
-          order(socket, id);
+          sendOrder(socket, id);
           end(socket);
         }
         case 3 -> {
-          order(socket, id);
+          sendOrder(socket, id);
           reset(socket);
         }
         case 4 -> {
-          order(socket, id);
+          sendOrder(socket, id);
           socket.shutdownOutput();
           end(socket);
         }
@@ -867,17 +867,17 @@
                             + "Content-Length: 50000\r\n\r\nhalf")
                         .getBytes(StandardCharsets.UTF_8));
         case 7 -> {
-          order(socket, id);
-          order(socket, id + "x");
+          sendOrder(socket, id);
+          sendOrder(socket, id + "x");
         }
         case 8 -> {
-          order(socket, id);
-          order(socket, id + "x");
+          sendOrder(socket, id);
+          sendOrder(socket, id + "x");
           end(socket);
           end(socket);
         }
         default -> {
-          write(socket, "GET /_health", Map.of(), "");
+          sendRequest(socket, "GET /_health", Map.of(), "");
           end(socket);
         }
       }
--- a/edge/src/test/java/edgegateway/node/DiscoveryRaceTest.java
+++ b/edge/src/test/java/edgegateway/node/DiscoveryRaceTest.java
@@ -63,7 +63,7 @@
     go.complete(null);
     started.get();
     Socket client = client(node);
-    order(client, "t-1");
+    sendOrder(client, "t-1");
     assertEquals("stays", FakePeer.read(client).body());
   }
 
@@ -120,7 +120,7 @@
               go.join();
               answerByteByByte(m, change);
             });
-    EdgeNode node = start(config());
+    EdgeNode node = startNode(config());
     Socket client = client(node);
     orderUntil(client, "first");
     go.complete(null);
@@ -141,7 +141,7 @@
   private static void orderUntil(Socket client, String expectedBody) throws IOException {
     String body;
     do {
-      order(client, "t-" + System.nanoTime());
+      sendOrder(client, "t-" + System.nanoTime());
       body = FakePeer.read(client).body();
     } while (!body.equals(expectedBody));
   }
--- a/edge/src/test/java/edgegateway/node/EdgeNodeTest.java
+++ b/edge/src/test/java/edgegateway/node/EdgeNodeTest.java
@@ -44,9 +44,9 @@
   @Test
   void passesARequestOnAndItsAnswerBackOverOneConnection() throws Exception {
     FakePeer server = peer(m -> m.answer(FakePeer.ok("X-Units-Charged: 3\r\n", "done")));
-    Socket client = client(node(server));
+    Socket client = client(startNode(server));
     for (String id : List.of("t-1", "t-2")) {
-      order(client, id);
+      sendOrder(client, id);
       FakePeer.Message answer = FakePeer.read(client);
       assertEquals("200", status(answer));
       assertEquals("done", answer.body());
@@ -63,7 +63,8 @@
   /** A null channel in the connect's listener once failed every first request on a connection. */
   @Test
   void theFirstRequestOnANewConnectionIsServed() throws Exception {
-    assertEquals("200", ask(client(node(peer(m -> m.answer(FakePeer.ok("", "x"))))), "t-1"));
+    assertEquals(
+        "200", exchangeOrder(client(startNode(peer(m -> m.answer(FakePeer.ok("", "x"))))), "t-1"));
   }
 
   /** Made-up requests go the whole way in the process, and none of them out of it. */
@@ -87,15 +88,15 @@
   @Test
   void aNodeThatIsNotAdmittedYetServesAndSaysSo() throws Exception {
     discovery = peer(m -> m.answer("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"));
-    EdgeNode node = node(peer(m -> m.answer(FakePeer.ok("", "x"))));
+    EdgeNode node = startNode(peer(m -> m.answer(FakePeer.ok("", "x"))));
     Socket client = client(node);
-    assertEquals("200", ask(client, "t-1"));
-    write(client, "GET /_health", Map.of(), "");
+    assertEquals("200", exchangeOrder(client, "t-1"));
+    sendRequest(client, "GET /_health", Map.of(), "");
     assertEquals("503", status(FakePeer.read(client)));
     node.admit();
     String health;
     do {
-      write(client, "GET /_health", Map.of(), "");
+      sendRequest(client, "GET /_health", Map.of(), "");
       health = status(FakePeer.read(client));
     } while (health.equals("503"));
     assertEquals("200", health);
@@ -104,7 +105,7 @@
   @Test
   void whatIsNoRequestIsTurnedAwayAtOnce() throws Exception {
     FakePeer server = peer(m -> m.answer(FakePeer.ok("", "x")));
-    EdgeNode node = node(server);
+    EdgeNode node = startNode(server);
     Map<String, String> bad =
         new TreeMap<>(
             Map.of(
@@ -126,7 +127,7 @@
       Map<String, String> headers = headers("t-1", "order", "20000");
       headers.put(one.getKey(), one.getValue());
       Socket client = client(node);
-      write(client, "POST /api", headers, "");
+      sendRequest(client, "POST /api", headers, "");
       assertEquals("400", status(FakePeer.read(client)), one.getKey());
     }
     for (String quota :
@@ -139,14 +140,14 @@
       Map<String, String> headers = headers("t-1", "order", "20000");
       headers.put("X-Quota", quota);
       Socket client = client(node);
-      write(client, "POST /api", headers, "");
+      sendRequest(client, "POST /api", headers, "");
       assertEquals("400", status(FakePeer.read(client)), quota);
     }
     Map<String, String> good = headers("t-1", "order", "20000");
     Socket client = client(node);
-    write(client, "GET /api", good, "");
+    sendRequest(client, "GET /api", good, "");
     assertEquals("405", status(FakePeer.read(client)));
-    write(client, "POST /elsewhere", good, "");
+    sendRequest(client, "POST /elsewhere", good, "");
     assertEquals("404", status(FakePeer.read(client)));
     client
         .getOutputStream()
@@ -162,7 +163,7 @@
 
   @Test
   void whoBringsNoWholeRequestIsCutOff() throws Exception {
-    EdgeNode node = node(peer(m -> m.answer(FakePeer.ok("", "x"))));
+    EdgeNode node = startNode(peer(m -> m.answer(FakePeer.ok("", "x"))));
     for (String part :
         List.of(
             "",
@@ -177,13 +178,13 @@
   @Test
   void aRequestThatCanBeReadInTwoWaysIsNone() throws Exception {
     FakePeer server = peer(m -> m.answer(FakePeer.ok("", "x")));
-    EdgeNode node = node(server);
+    EdgeNode node = startNode(server);
     for (String twice :
         List.of("Transfer-Encoding: chunked", "X-Trace-Id: t-2", "Content-Length: 1")) {
       Map<String, String> headers = headers("t-1", "order", "20000");
       headers.put("X-Note", "x\r\n" + twice);
       Socket client = client(node);
-      write(client, "POST /api", headers, "0\r\n\r\n");
+      sendRequest(client, "POST /api", headers, "0\r\n\r\n");
       assertEquals("400", status(FakePeer.read(client)), twice);
     }
     assertTrue(server.seen.isEmpty());
@@ -193,9 +194,9 @@
   @Test
   void pipelinedRequestsAreAllAnsweredInTheirOrder() throws Exception {
     FakePeer server = peer(m -> m.answer(FakePeer.ok("", m.headers().get("x-trace-id"))));
-    Socket client = client(node(server));
+    Socket client = client(startNode(server));
     for (int i = 0; i < 40; i++) {
-      order(client, "t-" + i);
+      sendOrder(client, "t-" + i);
     }
     for (int i = 0; i < 40; i++) {
       assertEquals("t-" + i, FakePeer.read(client).body());
@@ -211,11 +212,11 @@
               go.join();
               m.answer(FakePeer.ok("", "x"));
             });
-    EdgeNode node = node(server);
+    EdgeNode node = startNode(server);
     Socket first = client(node);
-    order(first, "t-1");
+    sendOrder(first, "t-1");
     server.next();
-    assertEquals("409", ask(client(node), "t-1"));
+    assertEquals("409", exchangeOrder(client(node), "t-1"));
     go.complete(null);
     assertEquals("200", status(FakePeer.read(first)));
   }
@@ -227,9 +228,9 @@
     FakePeer gone = peer(m -> {});
     gone.close();
     FakePeer good = peer(m -> m.answer(FakePeer.ok("", "x")));
-    Socket client = client(node(full, gone, good));
+    Socket client = client(startNode(full, gone, good));
     for (int i = 0; i < 8; i++) {
-      assertEquals("200", ask(client, "t-" + i));
+      assertEquals("200", exchangeOrder(client, "t-" + i));
     }
   }
 
@@ -254,8 +255,8 @@
                   m.socket().close();
                 }
               });
-      Socket client = client(node(server));
-      write(client, "POST /api", headers("t-1", "strict", "20000"), "book");
+      Socket client = client(startNode(server));
+      sendRequest(client, "POST /api", headers("t-1", "strict", "20000"), "book");
       assertEquals("502", status(FakePeer.read(client)), answer);
       server.next();
       assertTrue(server.seen.isEmpty(), "it must have been sent once: " + answer);
@@ -276,8 +277,8 @@
             "ICY 200 OK\r\nContent-Length: 1\r\n\r\nx",
             "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n1\r\nx\r\nzz\r\nx\r\n0\r\n\r\n")) {
       FakePeer server = peer(m -> m.answer(answer));
-      Socket client = client(node(server));
-      write(client, "POST /api", headers("t-1", "strict", "20000"), "book");
+      Socket client = client(startNode(server));
+      sendRequest(client, "POST /api", headers("t-1", "strict", "20000"), "book");
       assertEquals("502", status(FakePeer.read(client)), answer);
     }
     FakePeer server =
@@ -286,16 +287,16 @@
                 m.answer(
                     "HTTP/1.1 103 Early Hints\r\nLink: </a>\r\n\r\n"
                         + FakePeer.ok("X-Empty:\r\n", "x")));
-    assertEquals("200", ask(client(node(server)), "t-2"));
+    assertEquals("200", exchangeOrder(client(startNode(server)), "t-2"));
   }
 
   /** A status line that gives no reason ends in a space, and once failed its answer. */
   @Test
   void anAnswerNeedsNoReasonInItsStatusLine() throws Exception {
     FakePeer server = peer(m -> m.answer("HTTP/1.1 200 \r\nContent-Length: 1\r\n\r\nx"));
-    Socket client = client(node(server));
+    Socket client = client(startNode(server));
     for (String id : List.of("t-1", "t-2")) {
-      write(client, "POST /api", headers(id, "strict", "20000"), "book");
+      sendRequest(client, "POST /api", headers(id, "strict", "20000"), "book");
       assertEquals("200", status(FakePeer.read(client)));
     }
   }
@@ -313,17 +314,17 @@
               go.join();
               m.answer(FakePeer.ok("", m.headers().get("x-trace-id")) + FakePeer.ok("", "stray"));
             });
-    EdgeNode node = node(server);
+    EdgeNode node = startNode(server);
     List<Socket> clients = new ArrayList<>();
     for (int i = 0; i < 8; i++) {
       clients.add(client(node));
-      order(clients.get(i), "t-" + i);
+      sendOrder(clients.get(i), "t-" + i);
     }
     // Two rounds of the loop: by then all orders are taken, and those that are not out wait for a
     // connection.
     Socket front = client(node);
     for (int i = 0; i < 2; i++) {
-      write(front, "GET /_health", Map.of(), "");
+      sendRequest(front, "GET /_health", Map.of(), "");
       FakePeer.read(front);
     }
     go.complete(null);
@@ -341,8 +342,8 @@
   @Test
   void silenceIsAnsweredAndItsConnectionClosed() throws Exception {
     FakePeer server = peer(m -> {});
-    Socket client = client(node(server));
-    write(client, "POST /api", headers("t-1", "strict", "2500"), "book");
+    Socket client = client(startNode(server));
+    sendRequest(client, "POST /api", headers("t-1", "strict", "2500"), "book");
     assertEquals("502", status(FakePeer.read(client)));
     server.next();
     assertNotNull(server.ended.poll(60, TimeUnit.SECONDS), "the silent connection must be closed");
@@ -357,14 +358,14 @@
               go.join();
               m.answer(FakePeer.ok("", "x"));
             });
-    EdgeNode node = node(server);
+    EdgeNode node = startNode(server);
     Socket busy = client(node);
-    order(busy, "t-1");
+    sendOrder(busy, "t-1");
     server.next();
     CompletableFuture<Void> drained = node.stop();
     // Connections go on coming for a while after SIGTERM, and what they bring is owed an answer.
     Socket late = client(node);
-    order(late, "t-2");
+    sendOrder(late, "t-2");
     server.next();
     assertFalse(drained.isDone());
     go.complete(null);
@@ -408,9 +409,9 @@
                         + "\r\n0\r\n\r\n");
               }
             });
-    EdgeNode node = node(old);
+    EdgeNode node = startNode(old);
     Socket client = client(node);
-    order(client, "t-1");
+    sendOrder(client, "t-1");
     assertEquals("old", FakePeer.read(client).body());
     go.complete(null);
     String call = discovery.next().first();
@@ -423,7 +424,7 @@
     // The server has restarted elsewhere: its connection at the old address goes, the new one is
     // used.
     assertNotNull(old.ended.poll(60, TimeUnit.SECONDS));
-    order(client, "t-2");
+    sendOrder(client, "t-2");
     assertEquals("new", FakePeer.read(client).body());
   }
 
@@ -435,9 +436,9 @@
     discovery = peer(m -> never.join());
     Path file = Files.createTempFile("node", ".json");
     Files.writeString(file, config(member("s-0", server.address(), "Ready", 0)));
-    Process process = serve(file, List.of());
+    Process process = startProcess(file, List.of());
     discovery.next();
-    InetSocketAddress at = servingAt(process);
+    InetSocketAddress at = awaitListenAddress(process);
     FakePeer oldCounter = counter;
     discovery = peer(m -> never.join());
     counter = peer(m -> m.answer(FakePeer.ok("", "1")));
@@ -452,7 +453,7 @@
       Map<String, String> headers = headers("t-" + i, "order", "20000");
       headers.put("Cookie", "customer=00000000" + (10000000 + i));
       headers.put("X-Quota", "units=1,spread=2,first=0");
-      write(client, "POST /api", headers, "");
+      sendRequest(client, "POST /api", headers, "");
       assertNotNull(FakePeer.read(client));
     }
     assertTrue(counter.next().first().startsWith("POST /tally/"));
@@ -468,7 +469,7 @@
   @Test
   void aConfigurationThatIsHalfWrittenIsReadAgain() throws Exception {
     CompletableFuture<Void> never = new CompletableFuture<>();
-    EdgeNode node = start(config());
+    EdgeNode node = startNode(config());
     discovery = peer(m -> never.join());
     String whole = config();
     Path file = Files.createTempFile("node", ".json");
@@ -502,11 +503,11 @@
             m ->
                 m.answer(
                     "HTTP/1.1 404 No\r\nContent-Length: " + list.length() + "\r\n\r\n" + list));
-    EdgeNode node = node(server);
+    EdgeNode node = startNode(server);
     discovery.next();
     assertTrue(
         discovery.next().first().contains("after=5"), "the revision of an error's body was taken");
-    assertEquals("200", ask(client(node), "t-1"));
+    assertEquals("200", exchangeOrder(client(node), "t-1"));
   }
 
   /**
@@ -516,7 +517,7 @@
   @Test
   void aLateTotalIsSkippedInLine() throws Exception {
     CompletableFuture<Void> go = new CompletableFuture<>();
-    counting =
+    counterScript =
         m -> {
           if (counter.seen.size() == 1) {
             go.join();
@@ -653,7 +654,7 @@
                         + "\r\n"
                         + list
                         + "\r\n"));
-    EdgeNode node = node();
+    EdgeNode node = startNode();
     assertEquals(8_900, node.loop.submit(() -> node.upstreamPool.endpointCount()).get());
     assertEquals(6, node.loop.submit(node::endpointListRevision).get());
   }
@@ -671,11 +672,11 @@
                         + list
                         + "\r\n"));
     FakePeer server = peer(m -> m.answer(FakePeer.ok("", "served")));
-    EdgeNode node = node(server);
+    EdgeNode node = startNode(server);
     for (int calls = 0; calls < 3; calls++) {
       assertTrue(discovery.next().first().contains("after=5"));
     }
-    assertEquals("200", ask(client(node), "t-1"));
+    assertEquals("200", exchangeOrder(client(node), "t-1"));
     assertEquals(1, node.loop.submit(() -> node.upstreamPool.endpointCount()).get());
   }
 
--- a/edge/src/test/java/edgegateway/node/LongBodyTest.java
+++ b/edge/src/test/java/edgegateway/node/LongBodyTest.java
@@ -117,7 +117,7 @@
     return text.append("\r\n").toString();
   }
 
-  private static String order(String id, String more) {
+  private static String orderRequest(String id, String more) {
     StringBuilder text = new StringBuilder("POST /api HTTP/1.1\r\n");
     headers(id, "order", "20000")
         .forEach((name, value) -> text.append(name).append(": ").append(value).append("\r\n"));
@@ -143,7 +143,7 @@
                   }
                 }
               });
-      EdgeNode node = start(config(member("s-0", at, "Ready", 0)));
+      EdgeNode node = startNode(config(member("s-0", at, "Ready", 0)));
       Socket client = client(node);
       say(client.getOutputStream(), lookup("t-1", "HTTP/1.1"));
       String head = head(client.getInputStream());
@@ -176,10 +176,10 @@
                   "HTTP/1.1 200 OK\r\nContent-Length: 1000000\r\n\r\nabc");
               socket.getInputStream().read();
             });
-    EdgeNode node = start(config(member("s-0", at, "Ready", 0)));
+    EdgeNode node = startNode(config(member("s-0", at, "Ready", 0)));
     Socket client = client(node);
     client.setSoTimeout(5_500);
-    write(client, "POST /api?slot=4", headers("t-1", "order", "5000"), "book");
+    sendRequest(client, "POST /api?slot=4", headers("t-1", "order", "5000"), "book");
     String head = head(client.getInputStream());
     assertTrue(head.startsWith("HTTP/1.1 5"), head);
   }
@@ -196,7 +196,7 @@
               socket.getOutputStream().write(BODY, 0, BODY.length / 2);
               socket.close();
             });
-    EdgeNode node = start(config(member("s-0", at, "Ready", 0)));
+    EdgeNode node = startNode(config(member("s-0", at, "Ready", 0)));
     Socket client = client(node);
     say(client.getOutputStream(), lookup("t-1", "HTTP/1.1"));
     assertTrue(head(client.getInputStream()).contains("200"));
@@ -261,7 +261,7 @@
               }
               m.socket().getInputStream().read();
             });
-    EdgeNode node = start(hasty(member("s-0", server.address(), "Ready", 0)));
+    EdgeNode node = startNode(hasty(member("s-0", server.address(), "Ready", 0)));
     Socket slow = client(node);
     slow.setReceiveBufferSize(64 << 10);
     say(slow.getOutputStream(), lookup("t-slow", "HTTP/1.1").replace("/api", "/api?whole"));
@@ -352,7 +352,7 @@
   @Test
   void aCompleteResponseUnreadAtItsDeadlineIsResetUnlessAnotherRequestIsQueued() throws Exception {
     for (boolean behind : new boolean[] {false, true}) {
-      EdgeNode node = start(hasty(member("s-0", "127.0.0.1:1", "Ready", 0)));
+      EdgeNode node = startNode(hasty(member("s-0", "127.0.0.1:1", "Ready", 0)));
       EmbeddedChannel client =
           node.loop
               .submit(
@@ -415,7 +415,7 @@
                 stuck.complete(i);
               }
             });
-    EdgeNode node = start(config(member("s-0", at, "Ready", 0)));
+    EdgeNode node = startNode(config(member("s-0", at, "Ready", 0)));
     Socket client = client(node);
     client.setReceiveBufferSize(64 << 10);
     say(client.getOutputStream(), lookup("t-1", "HTTP/1.1"));
@@ -448,19 +448,19 @@
                 say(socket.getOutputStream(), FakePeer.ok("", "done"));
               }
             });
-    EdgeNode node = start(config(member("s-0", at, "Ready", 0)));
+    EdgeNode node = startNode(config(member("s-0", at, "Ready", 0)));
     Socket client = client(node);
     say(
         client.getOutputStream(),
-        order("t-1", "Expect: 100-continue\r\nContent-Length: " + BODY.length));
+        orderRequest("t-1", "Expect: 100-continue\r\nContent-Length: " + BODY.length));
     assertTrue(head(client.getInputStream()).startsWith("HTTP/1.1 100"));
     client.getOutputStream().write(BODY);
     assertEquals("done", FakePeer.read(client).body());
     assertArrayEquals(BODY, came.poll(30, TimeUnit.SECONDS));
-    say(client.getOutputStream(), order("t-2", "Transfer-Encoding: chunked"));
+    say(client.getOutputStream(), orderRequest("t-2", "Transfer-Encoding: chunked"));
     client.getOutputStream().write(chunked(BODY));
     // The next one comes right behind it.
-    order(client, "t-3");
+    sendOrder(client, "t-3");
     assertEquals("done", FakePeer.read(client).body());
     assertArrayEquals(BODY, came.poll(30, TimeUnit.SECONDS));
     assertEquals("done", FakePeer.read(client).body());
@@ -478,10 +478,10 @@
           socket.close();
         };
     EdgeNode node =
-        start(
+        startNode(
             config(member("s-0", server(cut), "Ready", 0), member("s-1", server(cut), "Ready", 0)));
     Socket client = client(node);
-    say(client.getOutputStream(), order("t-1", "Content-Length: " + BODY.length));
+    say(client.getOutputStream(), orderRequest("t-1", "Content-Length: " + BODY.length));
     CompletableFuture.runAsync(
         () -> {
           try {
@@ -518,9 +518,9 @@
                 ended.add("cut");
               }
             });
-    EdgeNode node = start(config(member("s-0", at, "Ready", 0)));
+    EdgeNode node = startNode(config(member("s-0", at, "Ready", 0)));
     Socket up = client(node);
-    say(up.getOutputStream(), order("t-1", "Content-Length: " + BODY.length));
+    say(up.getOutputStream(), orderRequest("t-1", "Content-Length: " + BODY.length));
     up.getOutputStream().write(BODY, 0, 1_000_000);
     up.close();
     assertEquals("short", ended.poll(30, TimeUnit.SECONDS));
@@ -536,13 +536,13 @@
 
   @Test
   void aHeadRequestGetsNoBodyAndAnUnknownExpectationANo() throws Exception {
-    EdgeNode node = node(peer(m -> m.answer(FakePeer.ok("", "x"))));
+    EdgeNode node = startNode(peer(m -> m.answer(FakePeer.ok("", "x"))));
     Socket client = client(node);
     say(client.getOutputStream(), "HEAD /_health HTTP/1.1\r\n\r\nGET /nowhere HTTP/1.1\r\n\r\n");
     assertTrue(head(client.getInputStream()).startsWith("HTTP/1.1 405"));
     assertTrue(head(client.getInputStream()).startsWith("HTTP/1.1 404"));
     Socket other = client(node);
-    say(other.getOutputStream(), order("t-1", "Expect: a-miracle\r\nContent-Length: 4"));
+    say(other.getOutputStream(), orderRequest("t-1", "Expect: a-miracle\r\nContent-Length: 4"));
     assertEquals("417", status(FakePeer.read(other)));
     assertNull(FakePeer.read(other));
   }
@@ -550,11 +550,11 @@
   /** A second request on a connection that stops half-way once kept its place for good. */
   @Test
   void aClientThatStallsInALaterRequestIsTimedOut() throws Exception {
-    EdgeNode node = node(peer(m -> m.answer(FakePeer.ok("", "x"))));
+    EdgeNode node = startNode(peer(m -> m.answer(FakePeer.ok("", "x"))));
     for (String part :
         new String[] {"GET /api HT", "POST /api HTTP/1.1\r\nContent-Length: 9\r\n\r\nha"}) {
       Socket client = client(node);
-      assertEquals("200", ask(client, "t-" + part.length()));
+      assertEquals("200", exchangeOrder(client, "t-" + part.length()));
       say(client.getOutputStream(), part);
       assertNull(FakePeer.read(client), part);
     }
--- a/edge/src/test/java/edgegateway/node/NodeTest.java
+++ b/edge/src/test/java/edgegateway/node/NodeTest.java
@@ -24,12 +24,12 @@
   final List<AutoCloseable> toClose = new ArrayList<>();
   FakePeer discovery;
   FakePeer counter;
-  volatile FakePeer.Script counting = m -> m.answer(FakePeer.ok("", "1"));
+  volatile FakePeer.Script counterScript = m -> m.answer(FakePeer.ok("", "1"));
 
   @BeforeEach
   void peers() throws IOException {
     discovery = peer(m -> m.answer(UNCHANGED));
-    counter = peer(m -> counting.on(m));
+    counter = peer(m -> counterScript.on(m));
   }
 
   @AfterEach
@@ -65,19 +65,19 @@
         .replace("MEMBERS", String.join(",", members));
   }
 
-  EdgeNode node(FakePeer... servers) throws Exception {
+  EdgeNode startNode(FakePeer... servers) throws Exception {
     String[] members = new String[servers.length];
     for (int i = 0; i < members.length; i++) {
       members[i] = member("s-" + i, servers[i].address(), "Ready", 0);
     }
-    return start(config(members));
+    return startNode(config(members));
   }
 
-  EdgeNode start(String config) throws Exception {
-    return start(config, null);
+  EdgeNode startNode(String config) throws Exception {
+    return startNode(config, null);
   }
 
-  EdgeNode start(String config, Path folder) throws Exception {
+  EdgeNode startNode(String config, Path folder) throws Exception {
     EdgeNode node = new EdgeNode(NodeConfigParser.parse(config), folder);
     toClose.add(node);
     node.start();
@@ -85,7 +85,7 @@
   }
 
   /** The program in a process of its own, begun by these words. */
-  Process serve(Path config, List<String> by) throws IOException {
+  Process startProcess(Path config, List<String> by) throws IOException {
     List<String> words = new ArrayList<>(by);
     words.addAll(
         List.of(
@@ -102,14 +102,14 @@
   }
 
   /** Where it serves, once it says so. */
-  static InetSocketAddress servingAt(Process process) {
-    String line = said(process, "serving address=");
+  static InetSocketAddress awaitListenAddress(Process process) {
+    String line = nextLogLine(process, "serving address=");
     return new InetSocketAddress(
         "127.0.0.1", Integer.parseInt(line.substring(line.lastIndexOf(':') + 1)));
   }
 
   /** The next line of its log that begins so. */
-  static String said(Process process, String start) {
+  static String nextLogLine(Process process, String start) {
     return process
         .inputReader()
         .lines()
@@ -155,7 +155,7 @@
     return headers;
   }
 
-  static void write(Socket to, String first, Map<String, String> headers, String body)
+  static void sendRequest(Socket to, String first, Map<String, String> headers, String body)
       throws IOException {
     StringBuilder text = new StringBuilder(first).append(" HTTP/1.1\r\n");
     headers.forEach((name, value) -> text.append(name).append(": ").append(value).append("\r\n"));
@@ -163,8 +163,8 @@
     to.getOutputStream().write(text.toString().getBytes(StandardCharsets.UTF_8));
   }
 
-  static void order(Socket to, String id) throws IOException {
-    write(to, "POST /api?slot=4", headers(id, "order", "20000"), "book");
+  static void sendOrder(Socket to, String id) throws IOException {
+    sendRequest(to, "POST /api?slot=4", headers(id, "order", "20000"), "book");
   }
 
   static String status(FakePeer.Message answer) {
@@ -172,8 +172,8 @@
     return answer.first().split(" ")[1];
   }
 
-  static String ask(Socket client, String id) throws IOException {
-    order(client, id);
+  static String exchangeOrder(Socket client, String id) throws IOException {
+    sendOrder(client, id);
     return status(FakePeer.read(client));
   }
 }
--- a/edge/src/test/java/edgegateway/node/OperatorServerTest.java
+++ b/edge/src/test/java/edgegateway/node/OperatorServerTest.java
@@ -71,7 +71,7 @@
 
   @Test
   void whatIsNoCallGetsANo() throws Exception {
-    OperatorServer ops = ops(node(peer(m -> m.answer(FakePeer.ok("", "x")))));
+    OperatorServer ops = ops(startNode(peer(m -> m.answer(FakePeer.ok("", "x")))));
     for (String line :
         List.of(
             "",
@@ -99,7 +99,7 @@
 
   @Test
   void aStandstillOfTheLoopIsAmongTheFigures() throws Exception {
-    EdgeNode node = node(peer(m -> m.answer(FakePeer.ok("", "x"))));
+    EdgeNode node = startNode(peer(m -> m.answer(FakePeer.ok("", "x"))));
     OperatorServer ops = ops(node);
     CompletableFuture<Void> stood = new CompletableFuture<>();
     node.loop.execute(
@@ -123,7 +123,7 @@
 
   @Test
   void checkSaysYesOnceTheNodeTakesClients() throws Exception {
-    EdgeNode node = node(peer(m -> m.answer(FakePeer.ok("", "x"))));
+    EdgeNode node = startNode(peer(m -> m.answer(FakePeer.ok("", "x"))));
     OperatorServer ops = ops(node);
     assertEquals("NAK", word(ops, "check"));
     node.admit();
@@ -133,7 +133,7 @@
   /** Callers that say nothing keep no place from the others. */
   @Test
   void silentCallersAreNotInTheWay() throws Exception {
-    OperatorServer ops = ops(node(peer(m -> m.answer(FakePeer.ok("", "x")))));
+    OperatorServer ops = ops(startNode(peer(m -> m.answer(FakePeer.ok("", "x")))));
     for (int i = 0; i < 100; i++) {
       toClose.add(new Socket(ops.address().getAddress(), ops.address().getPort()));
     }
@@ -154,7 +154,7 @@
                       ? "HTTP/1.1 500 No\r\nContent-Length: 0\r\n\r\n"
                       : FakePeer.ok("", "x"));
             });
-    EdgeNode node = node(server);
+    EdgeNode node = startNode(server);
     OperatorServer ops = ops(node);
     Map<String, String> first = vars(ops);
     for (String requestClass : List.of("lookup", "order", "strict")) {
@@ -163,14 +163,14 @@
       }
     }
     Socket client = client(node);
-    assertEquals("200", ask(client, "t-1"));
-    write(client, "POST /api", headers("t-bad", "strict", "20000"), "book");
+    assertEquals("200", exchangeOrder(client, "t-1"));
+    sendRequest(client, "POST /api", headers("t-bad", "strict", "20000"), "book");
     assertEquals("502", status(FakePeer.read(client)));
-    write(client, "GET /_health", Map.of(), "");
+    sendRequest(client, "GET /_health", Map.of(), "");
     FakePeer.read(client);
-    write(client, "GET /api", headers("t-2", "lookup", "1"), "");
+    sendRequest(client, "GET /api", headers("t-2", "lookup", "1"), "");
     assertEquals("503", status(FakePeer.read(client)));
-    order(client, "t-slow");
+    sendOrder(client, "t-slow");
     awaitFigure(ops, "app.upstream_tries", "3");
     Map<String, String> then = vars(ops);
     assertEquals("1", then.get("app.handled.order.passed"));
@@ -189,7 +189,7 @@
     FakePeer one = peer(m -> m.answer(FakePeer.ok("", "x")));
     FakePeer two = peer(m -> m.answer(FakePeer.ok("", "x")));
     EdgeNode node =
-        start(
+        startNode(
             config(
                 member("s-0", one.address(), "Ready", 0), member("s-1", two.address(), "Ready", 0)),
             folder);
@@ -199,12 +199,12 @@
     awaitFigure(ops, "app.skipped_archive_servers", "1");
     Socket client = client(node);
     for (int i = 0; i < 20; i++) {
-      assertEquals("200", ask(client, "t-" + i));
+      assertEquals("200", exchangeOrder(client, "t-" + i));
     }
     assertTrue(one.seen.isEmpty());
     // The next process of an upgrade takes it over; what one process is told the other follows.
     EdgeNode next =
-        start(
+        startNode(
             config(
                 member("s-0", one.address(), "Ready", 0), member("s-1", two.address(), "Ready", 0)),
             folder);
@@ -215,7 +215,7 @@
     assertEquals("ACK", word(ops, "set-up s-0"));
     for (int i = 0; one.seen.isEmpty(); i++) {
       assertFalse(Thread.interrupted(), "it is not used again");
-      assertEquals("200", ask(client, "u-" + i));
+      assertEquals("200", exchangeOrder(client, "u-" + i));
     }
   }
 
@@ -228,7 +228,7 @@
             member("s-0", one.address(), "Ready", 0),
             member("s-1", two.address(), "Ready", 0)
                 .replace("\"locality\":\"a\"", "\"locality\":\"b\""));
-    EdgeNode node = start(config, folder);
+    EdgeNode node = startNode(config, folder);
     OperatorServer ops = ops(node);
     for (String line :
         List.of(
@@ -249,7 +249,7 @@
     assertEquals("NAK no server of another zone could be sent to\n", call(ops, "zone-out b\n"));
     Socket client = client(node);
     for (int i = 0; i < 20; i++) {
-      assertEquals("200", ask(client, "t-" + i));
+      assertEquals("200", exchangeOrder(client, "t-" + i));
     }
     assertTrue(one.seen.isEmpty());
     assertTrue(
@@ -258,7 +258,7 @@
                 "a state=out share=0.00 servers=1 usable=0 since_s=\\d+ why=hand\nb state=in (.*)\n--\n"),
         call(ops, "zones\n"));
     // The next process of an upgrade takes it over; what one process is told the other follows.
-    EdgeNode next = start(config, folder);
+    EdgeNode next = startNode(config, folder);
     OperatorServer nextOps = ops(next);
     awaitFigure(nextOps, "app.skipped_archive_servers", "1");
     assertEquals("ACK", word(nextOps, "zone-in a 1"));
@@ -266,7 +266,7 @@
     assertTrue(call(ops, "zones\n").startsWith("a state=returning "), call(ops, "zones\n"));
     for (int i = 0; one.seen.isEmpty(); i++) {
       assertFalse(Thread.interrupted(), "it is not used again");
-      assertEquals("200", ask(client, "u-" + i));
+      assertEquals("200", exchangeOrder(client, "u-" + i));
     }
   }
 
@@ -274,8 +274,8 @@
   void aBrokenFileOfServersOutByHandIsPassedOver() throws Exception {
     Files.writeString(folder.resolve("left-out.json"), "{half");
     FakePeer one = peer(m -> m.answer(FakePeer.ok("", "x")));
-    EdgeNode node = start(config(member("s-0", one.address(), "Ready", 0)), folder);
-    assertEquals("200", ask(client(node), "t-1"));
+    EdgeNode node = startNode(config(member("s-0", one.address(), "Ready", 0)), folder);
+    assertEquals("200", exchangeOrder(client(node), "t-1"));
     assertEquals("ACK", word(ops(node), "set-down s-0"));
     assertEquals("[\"s-0\"]", Files.readString(folder.resolve("left-out.json")));
   }
@@ -291,14 +291,14 @@
               }
               m.answer(FakePeer.ok("", "x"));
             });
-    EdgeNode node = node(server);
+    EdgeNode node = startNode(server);
     OperatorServer ops = ops(node);
     node.admit();
     awaitTaking(ops);
     Socket used = client(node);
-    assertEquals("200", ask(used, "t-1"));
+    assertEquals("200", exchangeOrder(used, "t-1"));
     server.next();
-    order(used, "t-2");
+    sendOrder(used, "t-2");
     server.next();
     Socket idle = client(node);
     assertEquals("ACK", word(ops, "drain-on"));
@@ -310,14 +310,14 @@
     assertEquals("close", answer.headers().get("connection"));
     assertNull(FakePeer.read(idle), "an idle connection must end");
     Socket front = client(node);
-    write(front, "GET /_health", Map.of(), "");
+    sendRequest(front, "GET /_health", Map.of(), "");
     assertEquals("503", status(FakePeer.read(front)));
-    assertEquals("200", ask(client(node), "t-3"));
+    assertEquals("200", exchangeOrder(client(node), "t-3"));
     assertEquals("ACK", word(ops, "drain-off"));
     assertEquals("ACK", word(ops, "check"));
     Socket kept = client(node);
     for (String id : List.of("t-4", "t-5")) {
-      order(kept, id);
+      sendOrder(kept, id);
       assertFalse(FakePeer.read(kept).headers().containsKey("connection"));
     }
     CompletableFuture<Void> stopped = node.stop();
--- a/edge/src/test/java/edgegateway/node/RaceConditionsTest.java
+++ b/edge/src/test/java/edgegateway/node/RaceConditionsTest.java
@@ -50,7 +50,7 @@
 
   /** One connection to each archive server: the next attempt at one has to wait. */
   private EdgeNode nodeWithOneConnectionPerEndpoint(String... members) throws Exception {
-    return start(
+    return startNode(
         config(members)
             .replace("\"counter\"", "\"connections\":{\"per-archive-server\":1},\"counter\""));
   }
@@ -79,10 +79,10 @@
     FakePeer stays = peer(m -> m.answer(FakePeer.ok("", "other")));
     EdgeNode node = nodeWithOneConnectionPerEndpoint(member("s-0", leaves.address(), "Ready", 0));
     Socket first = client(node);
-    order(first, "t-1");
+    sendOrder(first, "t-1");
     leaves.next();
     Socket second = client(node);
-    order(second, "t-2");
+    sendOrder(second, "t-2");
     awaitLog(node, "app.in_progress=2");
     lines.add(
         list(
@@ -103,7 +103,7 @@
             member("s-0", leaves.address(), "Ready", 0),
             member("s-1", stays.address(), "Terminating", 0)));
     do {
-      order(first, "t-" + System.nanoTime());
+      sendOrder(first, "t-" + System.nanoTime());
     } while (!FakePeer.read(first).body().equals("held"));
   }
 
@@ -114,13 +114,13 @@
     FakePeer server = held(go);
     EdgeNode node = nodeWithOneConnectionPerEndpoint(member("s-0", server.address(), "Ready", 0));
     Socket first = client(node);
-    order(first, "t-1");
+    sendOrder(first, "t-1");
     server.next();
     for (String how : List.of("close", "reset", "behind")) {
       Socket second = client(node);
-      order(second, "t-" + how);
+      sendOrder(second, "t-" + how);
       if (how.equals("behind")) {
-        order(second, "t-more");
+        sendOrder(second, "t-more");
       }
       awaitLog(node, "app.in_progress=2");
       second.setSoLinger(how.equals("reset"), 0);
@@ -128,7 +128,7 @@
       awaitLog(node, "app.in_progress=1");
     }
     Socket third = client(node);
-    order(third, "t-3");
+    sendOrder(third, "t-3");
     go.complete(null);
     assertEquals("held", FakePeer.read(first).body());
     assertEquals("held", FakePeer.read(third).body());
@@ -198,13 +198,13 @@
     toClose.add(server);
     String at = "127.0.0.1:" + server.getLocalPort();
     EdgeNode node =
-        start(
+        startNode(
             config(member("s-0", at, "Ready", 0))
                 .replace("\"key-ttl-ns\": 30000000000", "\"key-ttl-ns\": 400000000")
                 .replace(
                     "\"connect-timeout-ns\": 250000000", "\"connect-timeout-ns\": 15000000000"));
     Socket client = client(node);
-    order(client, "t-1");
+    sendOrder(client, "t-1");
     Socket first = server.accept();
     assertEquals("t-1", FakePeer.read(first).headers().get("x-trace-id"));
     // The kernel's line is full: it drops the next one's first packet, which comes again after a
@@ -221,7 +221,7 @@
     Socket late = server.accept();
     late.setSoTimeout(5_000);
     assertEquals("503", status(FakePeer.read(client)));
-    write(client, "POST /api", headers("t-2", "order", "20000"), "book");
+    sendRequest(client, "POST /api", headers("t-2", "order", "20000"), "book");
     assertEquals(
         "t-2",
         FakePeer.read(late).headers().get("x-trace-id"),
@@ -245,7 +245,7 @@
   @Test
   void theConnectionOfAnEndedAttemptIsClosedBeforeTheNextBegins() throws Exception {
     EdgeNode node =
-        start(
+        startNode(
             config(
                 member("s-0", "127.0.0.1:1", "Ready", 0),
                 member("s-1", "127.0.0.1:2", "Ready", 0)));
@@ -316,7 +316,7 @@
     discovery = peer(m -> {});
     Path file = Files.createTempFile("node", ".json");
     Files.writeString(file, config());
-    Process process = serve(file, List.of());
+    Process process = startProcess(file, List.of());
     discovery.next();
     signal(process, "TERM");
     // Once more, if it is still there.
--- a/edge/src/test/java/edgegateway/node/ResponseEndTest.java
+++ b/edge/src/test/java/edgegateway/node/ResponseEndTest.java
@@ -33,7 +33,7 @@
               m.answer(FakePeer.ok("", body));
               answered.add(1);
             });
-    EdgeNode node = node(server);
+    EdgeNode node = startNode(server);
     node.operatorCommands().drain(true).get();
     for (int round = 0; round < 30; round++) {
       Socket client = new Socket();
@@ -41,7 +41,7 @@
       client.connect(node.address());
       client.setSoTimeout(20_000);
       toClose.add(client);
-      order(client, "t-" + round);
+      sendOrder(client, "t-" + round);
       assertEquals("t-" + round, server.next().headers().get("x-trace-id"));
       CompletableFuture<Void> busy = new CompletableFuture<>();
       CompletableFuture<Void> go = new CompletableFuture<>();
@@ -67,9 +67,9 @@
   void aStalledResponseWithoutLengthIsNotForwardedAsComplete() throws Exception {
     FakePeer server =
         peer(m -> m.answer("HTTP/1.1 200 OK\r\nConnection: close\r\n\r\n" + "x".repeat(200_000)));
-    EdgeNode node = node(server);
+    EdgeNode node = startNode(server);
     Socket client = client(node);
-    write(client, "GET /api", headers("t-1", "lookup", "50000"), "");
+    sendRequest(client, "GET /api", headers("t-1", "lookup", "50000"), "");
     String all = new String(client.getInputStream().readAllBytes(), StandardCharsets.UTF_8);
     assertTrue(all.contains("chunked"), all.substring(0, 200));
     assertFalse(all.endsWith("0\r\n\r\n"), "a part was passed on as the whole");
@@ -95,7 +95,7 @@
               m.socket().setSoLinger(resets.take(), 0);
               m.socket().close();
             });
-    EdgeNode node = node(server);
+    EdgeNode node = startNode(server);
     Socket client = client(node);
     for (String form : forms) {
       for (int cut = 0; cut <= form.length(); cut++) {
@@ -107,7 +107,7 @@
           resets.add(reset);
           boolean complete = !reset && cut == form.length();
           String id = "t-" + forms.indexOf(form) + "-" + cut + reset;
-          write(client, "POST /api", headers(id, "strict", "20000"), "book");
+          sendRequest(client, "POST /api", headers(id, "strict", "20000"), "book");
           FakePeer.Message answer = FakePeer.read(client);
           assertEquals(complete ? "200" : "502", status(answer), id);
           assertEquals(complete ? "body" : "", answer.body(), id);
--- a/edge/src/test/java/edgegateway/node/SignalsTest.java
+++ b/edge/src/test/java/edgegateway/node/SignalsTest.java
@@ -51,9 +51,9 @@
     CompletableFuture<Void> never = new CompletableFuture<>();
     discovery = peer(m -> never.join());
     Path file = written("node.json");
-    Process process = serve(file, ignoring("HUP"));
-    said(process, "signal_ignored signal=SIGHUP config_poll_ms=500");
-    servingAt(process);
+    Process process = startProcess(file, ignoring("HUP"));
+    nextLogLine(process, "signal_ignored signal=SIGHUP config_poll_ms=500");
+    awaitListenAddress(process);
     discovery.next();
     discovery = peer(m -> never.join());
     Files.move(written("next.json"), file, StandardCopyOption.REPLACE_EXISTING);
@@ -68,13 +68,13 @@
     Path file = written("node.json");
     Files.writeString(
         file, Files.readString(file).replaceFirst("\\{", "{\"ops\":\"127.0.0.1:0\","));
-    Process process = serve(file, ignoring("TERM"));
+    Process process = startProcess(file, ignoring("TERM"));
     Matcher ops =
         Pattern.compile("operators_listening address=.*:(\\d+)")
-            .matcher(said(process, "operators_listening"));
+            .matcher(nextLogLine(process, "operators_listening"));
     assertTrue(ops.matches());
-    said(process, "signal_ignored signal=SIGTERM");
-    servingAt(process);
+    nextLogLine(process, "signal_ignored signal=SIGTERM");
+    awaitListenAddress(process);
     signal(process, "TERM");
     try (Socket call = new Socket("127.0.0.1", Integer.parseInt(ops.group(1)))) {
       call.getOutputStream().write("drain-on\n".getBytes());
@@ -99,8 +99,8 @@
     CompletableFuture<Void> never = new CompletableFuture<>();
     discovery = peer(m -> never.join());
     Path file = written("node.json");
-    Process process = serve(file, ignoring("HUP INT TERM", words.group(1).split(" ")));
-    servingAt(process);
+    Process process = startProcess(file, ignoring("HUP INT TERM", words.group(1).split(" ")));
+    awaitListenAddress(process);
     assertFalse(
         SignalDispositions.parse(Files.readString(Path.of("/proc/" + process.pid() + "/status")))
             .isIgnored(SignalDispositions.SIGHUP));
@@ -111,7 +111,7 @@
     assertTrue(discovery.next().first().contains("watch=1"));
     signal(process, "TERM");
     assertTrue(
-        said(process, "drained ")
+        nextLogLine(process, "drained ")
             .matches("drained longest_loop_stall_ms=\\d+ longest_discovery_wait_ms=\\d+"));
     assertEquals(0, process.waitFor());
   }
@@ -120,11 +120,11 @@
   @Test
   void aDiscoveryThatIsNotHeardForTooLongIsInTheLogAndInTheFigures() throws Exception {
     discovery.close();
-    Process process = serve(written("node.json"), List.of());
-    servingAt(process);
+    Process process = startProcess(written("node.json"), List.of());
+    awaitListenAddress(process);
     Matcher silence =
         Pattern.compile("discovery_unreachable silent_ms=(\\d+) address=\\S+ revision=\\d+")
-            .matcher(said(process, "discovery_unreachable"));
+            .matcher(nextLogLine(process, "discovery_unreachable"));
     assertTrue(silence.matches());
     assertTrue(Long.parseLong(silence.group(1)) >= 6_000, silence.group());
     CompletableFuture<Void> go = new CompletableFuture<>();
@@ -137,7 +137,7 @@
                 m.answer("1\r\n\n\r\n");
               }
             });
-    EdgeNode node = start(config());
+    EdgeNode node = startNode(config());
     while (node.metrics.millisSinceDiscoveryMessage() < 50) {
       assertNull(process.onExit().getNow(null));
     }
--- a/edge/src/test/java/edgegateway/node/TestCertificate.java
+++ b/edge/src/test/java/edgegateway/node/TestCertificate.java
@@ -66,7 +66,7 @@
         file, "-----BEGIN " + what + "-----\n" + text + "\n-----END " + what + "-----\n");
   }
 
-  String settings(int handshakes) {
+  String tlsSettings(int handshakes) {
     return "{\"certificate\":\""
         + certificate
         + "\",\"key\":\""
@@ -77,7 +77,7 @@
   }
 
   /** A client that trusts it, and remembers no session of another. */
-  SSLContext trusting() throws GeneralSecurityException {
+  SSLContext trustingContext() throws GeneralSecurityException {
     TrustManagerFactory trust =
         TrustManagerFactory.getInstance(TrustManagerFactory.getDefaultAlgorithm());
     trust.init(trusted);
--- a/edge/src/test/java/edgegateway/node/TlsTest.java
+++ b/edge/src/test/java/edgegateway/node/TlsTest.java
@@ -40,14 +40,14 @@
     if (certificate == null) {
       certificate = new TestCertificate(folder);
     }
-    client = certificate.trusting();
+    client = certificate.trustingContext();
   }
 
   private EdgeNode secured(int handshakes, FakePeer server) throws Exception {
-    return start(
+    return startNode(
         config(member("s-0", server.address(), "Ready", 0))
             .replace(
-                "\"counter\"", "\"tls\":" + certificate.settings(handshakes) + ",\"counter\""));
+                "\"counter\"", "\"tls\":" + certificate.tlsSettings(handshakes) + ",\"counter\""));
   }
 
   private SSLSocket connect(EdgeNode node, String... protocols) throws IOException {
@@ -80,12 +80,12 @@
     for (String version : List.of("TLSv1.2", "TLSv1.3")) {
       SSLSocket socket = connect(node, version);
       for (int i = 0; i < 3; i++) {
-        assertEquals("200", ask(socket, version + i));
+        assertEquals("200", exchangeOrder(socket, version + i));
       }
       assertEquals(version, socket.getSession().getProtocol());
       Map<String, String> last = headers(version, "order", "20000");
       last.put("Connection", "close");
-      write(socket, "POST /api", last, "book");
+      sendRequest(socket, "POST /api", last, "book");
       assertEquals("200", status(FakePeer.read(socket)));
       // Without the notice this read would throw.
       assertEquals(-1, socket.getInputStream().read());
@@ -98,18 +98,18 @@
   void aSessionIsResumed() throws Exception {
     EdgeNode node = secured(8, peer(m -> m.answer(FakePeer.ok("", "x"))));
     for (String version : List.of("TLSv1.2", "TLSv1.3")) {
-      client = certificate.trusting();
+      client = certificate.trustingContext();
       SSLSocket first = connect(node, version);
-      assertEquals("200", ask(first, "first" + version));
+      assertEquals("200", exchangeOrder(first, "first" + version));
       long made = first.getSession().getCreationTime();
       first.close();
       Thread.sleep(20);
       SSLSocket again = connect(node, version);
-      assertEquals("200", ask(again, "again" + version));
+      assertEquals("200", exchangeOrder(again, "again" + version));
       assertEquals(made, again.getSession().getCreationTime(), version);
-      client = certificate.trusting();
+      client = certificate.trustingContext();
       SSLSocket stranger = connect(node, version);
-      assertEquals("200", ask(stranger, "stranger" + version));
+      assertEquals("200", exchangeOrder(stranger, "stranger" + version));
       assertNotEquals(made, stranger.getSession().getCreationTime(), version);
     }
   }
@@ -120,7 +120,7 @@
     FakePeer server =
         peer(m -> m.answer(FakePeer.ok("", new String(body, StandardCharsets.US_ASCII))));
     SSLSocket socket = connect(secured(8, server));
-    order(socket, "t-1");
+    sendOrder(socket, "t-1");
     assertArrayEquals(body, FakePeer.read(socket).body().getBytes(StandardCharsets.US_ASCII));
   }
 
@@ -130,10 +130,10 @@
     FakePeer server =
         peer(m -> m.answer("HTTP/1.1 200 OK\r\nConnection: close\r\n\r\n" + "x".repeat(200_000)));
     EdgeNode node =
-        start(
+        startNode(
             config(member("s-0", server.address(), "Ready", 0))
                 .replace("\"aim-ns\": 10000000000", "\"aim-ns\": 800000000")
-                .replace("\"counter\"", "\"tls\":" + certificate.settings(8) + ",\"counter\""));
+                .replace("\"counter\"", "\"tls\":" + certificate.tlsSettings(8) + ",\"counter\""));
     for (String version : List.of("TLSv1.2", "TLSv1.3")) {
       SSLSocket socket = connect(node, version);
       StringBuilder text = new StringBuilder("GET /api HTTP/1.0\r\n");
@@ -153,9 +153,9 @@
   void aFailedHandshakeCostsOneConnection() throws Exception {
     EdgeNode node = secured(2, peer(m -> m.answer(FakePeer.ok("", "x"))));
     SSLSocket well = connect(node);
-    assertEquals("200", ask(well, "t-1"));
+    assertEquals("200", exchangeOrder(well, "t-1"));
     Socket plain = client(node);
-    order(plain, "t-plain");
+    sendOrder(plain, "t-plain");
     drained(plain);
     Socket broken = client(node);
     broken.getOutputStream().write(new byte[] {22, 3, 1, 0, 5, 1, 0, 0, 1, 9});
@@ -171,13 +171,13 @@
       socket.getOutputStream().write(new byte[] {22, 3, 1, 2, 0, 1});
       stalled.add(socket);
     }
-    assertEquals("200", ask(well, "t-2"), "nobody else is held up");
+    assertEquals("200", exchangeOrder(well, "t-2"), "nobody else is held up");
     for (Socket socket : stalled) {
       drained(socket);
     }
     assertTrue(System.nanoTime() - began < 60_000_000_000L);
     assertEquals(20, figure(node, "timed_out.handshake"));
-    assertEquals("200", ask(connect(node), "t-3"));
+    assertEquals("200", exchangeOrder(connect(node), "t-3"));
     await(node, "open", 2);
   }
 
@@ -201,7 +201,7 @@
           CompletableFuture.supplyAsync(
               () -> {
                 try {
-                  return ask(socket, id);
+                  return exchangeOrder(socket, id);
                 } catch (IOException e) {
                   return e.toString();
                 }
@@ -223,7 +223,7 @@
             });
     EdgeNode node = secured(8, server);
     SSLSocket socket = connect(node, "TLSv1.3");
-    order(socket, "t-1");
+    sendOrder(socket, "t-1");
     socket.shutdownOutput();
     await(node, "half_closed", 1);
     go.complete(null);
--- a/edge/src/test/java/edgegateway/node/UpgradeTest.java
+++ b/edge/src/test/java/edgegateway/node/UpgradeTest.java
@@ -34,13 +34,13 @@
   @Test
   void noConnectionIsLostAndHealthSaysYesThroughout() throws Exception {
     FakePeer server = peer(m -> m.answer(FakePeer.ok("", "x")));
-    EdgeNode first = start(config(member("s-0", server.address(), "Ready", 0)), folder);
+    EdgeNode first = startNode(config(member("s-0", server.address(), "Ready", 0)), folder);
     first.admit();
     while (!first.ready()) {
       assertFalse(Thread.interrupted(), "it takes no clients");
     }
     Socket kept = client(first);
-    assertEquals("200", ask(kept, "t-0"));
+    assertEquals("200", exchangeOrder(kept, "t-0"));
     assertFalse(first.slots.isOtherProcessAlive());
     EdgeNode next =
         new EdgeNode(
@@ -62,9 +62,9 @@
     for (int i = 0; i < 50; i++) {
       Socket client = client(next);
       clients.add(client);
-      write(client, "GET /_health", Map.of(), "");
+      sendRequest(client, "GET /_health", Map.of(), "");
     }
-    order(kept, "t-1");
+    sendOrder(kept, "t-1");
     CompletableFuture<CompletableFuture<Void>> stopping =
         CompletableFuture.supplyAsync(
             () -> {
@@ -82,7 +82,7 @@
       assertEquals("200", status(FakePeer.read(client)));
     }
     stopped.get(60, TimeUnit.SECONDS);
-    assertEquals("200", ask(client(next), "t-2"));
+    assertEquals("200", exchangeOrder(client(next), "t-2"));
     next.importPredecessorState();
     assertFalse(Files.exists(folder.resolve("handover")), "it is read and gone");
   }
@@ -91,7 +91,7 @@
   void aLeftoverOfAnEarlierUpgradeIsNoOtherProcess() throws Exception {
     Files.write(folder.resolve("slots"), new byte[] {1, 1, 1, 1});
     Files.write(folder.resolve("handover"), new byte[] {1});
-    EdgeNode node = start(config(), folder);
+    EdgeNode node = startNode(config(), folder);
     assertFalse(node.slots.isOtherProcessAlive());
     assertFalse(node.slots.isOtherProcessAccepting());
   }
