--- a/edge/src/test/java/edgegateway/node/EdgeNodeTest.java
+++ b/edge/src/test/java/edgegateway/node/EdgeNodeTest.java
@@ -443,7 +443,7 @@
     discovery = peer(m -> never.join());
     counter = peer(m -> m.answer(FakePeer.ok("", "1")));
     Files.writeString(file, config(member("s-0", server.address(), "Ready", 0)));
-    signal(process, "HUP");
+    sendSignal(process, "HUP");
     assertTrue(discovery.next().first().contains("watch=1"));
     Socket client = new Socket(at.getAddress(), at.getPort());
     toClose.add(client);
--- a/edge/src/test/java/edgegateway/node/NodeTest.java
+++ b/edge/src/test/java/edgegateway/node/NodeTest.java
@@ -17,23 +17,28 @@
 import org.junit.jupiter.api.AfterEach;
 import org.junit.jupiter.api.BeforeEach;
 
-/** What tests of an edge node share: its scripted peers, its clients and their requests. */
+/** Base class of edge node tests: starts scripted peers, nodes and clients and sends requests. */
 abstract class NodeTest {
-  private static final String UNCHANGED =
+  private static final String WATCH_WITHOUT_CHANGES =
       "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n1\r\n\n\r\n";
+
+  /** Closed after each test, last added first. */
   final List<AutoCloseable> toClose = new ArrayList<>();
+
   FakePeer discovery;
   FakePeer counter;
+
+  /** How the counter responds; a test may replace it. */
   volatile FakePeer.Script counterScript = m -> m.answer(FakePeer.ok("", "1"));
 
   @BeforeEach
-  void peers() throws IOException {
-    discovery = peer(m -> m.answer(UNCHANGED));
+  void startPeers() throws IOException {
+    discovery = peer(m -> m.answer(WATCH_WITHOUT_CHANGES));
     counter = peer(m -> counterScript.on(m));
   }
 
   @AfterEach
-  void close() throws Exception {
+  void closeAll() throws Exception {
     for (int i = toClose.size() - 1; i >= 0; i--) {
       toClose.get(i).close();
     }
@@ -45,7 +50,8 @@
     return peer;
   }
 
-  static String member(String id, String address, String phase, long since) {
+  /** The JSON entry of an archive server in the endpoint list. */
+  static String member(String id, String address, String phase, long upSinceMillis) {
     return "{\"id\":\""
         + id
         + "\",\"host_port\":\""
@@ -54,10 +60,11 @@
         + "\"phase\":\""
         + phase
         + "\",\"size\":1.0,\"up_since_ms\":"
-        + since
+        + upSinceMillis
         + "}";
   }
 
+  /** The configuration {@code node.json} with the test's peers and the given endpoint list. */
   String config(String... members) throws IOException {
     return Files.readString(Path.of("src/test/resources/node.json"))
         .replace("DISCOVERY", discovery.address())
@@ -65,6 +72,7 @@
         .replace("MEMBERS", String.join(",", members));
   }
 
+  /** Starts a node whose configured endpoint list holds the given servers. */
   EdgeNode startNode(FakePeer... servers) throws Exception {
     String[] members = new String[servers.length];
     for (int i = 0; i < members.length; i++) {
@@ -84,31 +92,35 @@
     return node;
   }
 
-  /** The program in a process of its own, begun by these words. */
-  Process startProcess(Path config, List<String> by) throws IOException {
-    List<String> words = new ArrayList<>(by);
-    words.addAll(
+  /**
+   * Starts the program in a separate process.
+   *
+   * @param launcher the words of a command to which the Java command line is appended; may be empty
+   */
+  Process startProcess(Path config, List<String> launcher) throws IOException {
+    List<String> command = new ArrayList<>(launcher);
+    command.addAll(
         List.of(
             Path.of(System.getProperty("java.home"), "bin", "java").toString(),
             "-cp",
             System.getProperty("java.class.path"),
             "edgegateway.node.Main",
             "serve"));
-    ProcessBuilder builder = new ProcessBuilder(words);
+    ProcessBuilder builder = new ProcessBuilder(command);
     builder.environment().put("GW_CONFIG", config.toString());
     Process process = builder.redirectErrorStream(true).start();
     toClose.add(() -> process.destroyForcibly().waitFor());
     return process;
   }
 
-  /** Where it serves, once it says so. */
+  /** Waits until the process logs the address that it listens on, and returns it on loopback. */
   static InetSocketAddress awaitListenAddress(Process process) {
     String line = nextLogLine(process, "serving address=");
     return new InetSocketAddress(
         "127.0.0.1", Integer.parseInt(line.substring(line.lastIndexOf(':') + 1)));
   }
 
-  /** The next line of its log that begins so. */
+  /** Waits for the next line of the process's log that starts with {@code start}. */
   static String nextLogLine(Process process, String start) {
     return process
         .inputReader()
@@ -118,27 +130,29 @@
         .orElseThrow();
   }
 
-  static void signal(Process process, String name) throws Exception {
+  static void sendSignal(Process process, String name) throws Exception {
     assertEquals(
         0, new ProcessBuilder("kill", "-" + name, Long.toString(process.pid())).start().waitFor());
   }
 
+  /** Connects a client, which waits for a response for at most 60 s. */
   Socket client(EdgeNode node) throws IOException {
-    InetSocketAddress at = node.address();
-    Socket socket = new Socket(at.getAddress(), at.getPort());
+    InetSocketAddress address = node.address();
+    Socket socket = new Socket(address.getAddress(), address.getPort());
     socket.setSoTimeout(60_000);
     toClose.add(socket);
     return socket;
   }
 
-  static Map<String, String> headers(String id, String requestClass, String expires) {
+  /** The headers of a valid request with the given trace id, class and time to its deadline. */
+  static Map<String, String> headers(String traceId, String requestClass, String expiresInMillis) {
     Map<String, String> headers =
         new TreeMap<>(
             Map.of(
                 "Host",
                 "app.svc",
                 "X-Trace-Id",
-                id,
+                traceId,
                 "X-Qos",
                 requestClass,
                 "X-Plan",
@@ -146,34 +160,41 @@
                 "Cookie",
                 "customer=0000000000000007",
                 "X-Expires-In-Ms",
-                expires,
+                expiresInMillis,
                 "X-Quota",
                 "units=1,spread=1,first=0"));
     if (requestClass.equals("order")) {
-      headers.put("Idempotency-Key", "key-" + id);
+      headers.put("Idempotency-Key", "key-" + traceId);
     }
     return headers;
   }
 
-  static void sendRequest(Socket to, String first, Map<String, String> headers, String body)
+  /**
+   * Sends a request.
+   *
+   * @param methodAndPath for example {@code GET /api}
+   */
+  static void sendRequest(
+      Socket client, String methodAndPath, Map<String, String> headers, String body)
       throws IOException {
-    StringBuilder text = new StringBuilder(first).append(" HTTP/1.1\r\n");
+    StringBuilder text = new StringBuilder(methodAndPath).append(" HTTP/1.1\r\n");
     headers.forEach((name, value) -> text.append(name).append(": ").append(value).append("\r\n"));
     text.append("Content-Length: ").append(body.length()).append("\r\n\r\n").append(body);
-    to.getOutputStream().write(text.toString().getBytes(StandardCharsets.UTF_8));
+    client.getOutputStream().write(text.toString().getBytes(StandardCharsets.UTF_8));
   }
 
-  static void sendOrder(Socket to, String id) throws IOException {
-    sendRequest(to, "POST /api?slot=4", headers(id, "order", "20000"), "book");
+  static void sendOrder(Socket client, String traceId) throws IOException {
+    sendRequest(client, "POST /api?slot=4", headers(traceId, "order", "20000"), "book");
   }
 
-  static String status(FakePeer.Message answer) {
-    assertNotNull(answer, "the connection ended without an answer");
-    return answer.first().split(" ")[1];
+  static String status(FakePeer.Message response) {
+    assertNotNull(response, "the connection ended without a response");
+    return response.first().split(" ")[1];
   }
 
-  static String exchangeOrder(Socket client, String id) throws IOException {
-    sendOrder(client, id);
+  /** Sends an order and returns the status code of its response. */
+  static String exchangeOrder(Socket client, String traceId) throws IOException {
+    sendOrder(client, traceId);
     return status(FakePeer.read(client));
   }
 }
--- a/edge/src/test/java/edgegateway/node/RaceConditionsTest.java
+++ b/edge/src/test/java/edgegateway/node/RaceConditionsTest.java
@@ -318,7 +318,7 @@
     Files.writeString(file, config());
     Process process = startProcess(file, List.of());
     discovery.next();
-    signal(process, "TERM");
+    sendSignal(process, "TERM");
     // Once more, if it is still there.
     new ProcessBuilder("kill", "-TERM", Long.toString(process.pid())).start().waitFor();
     assertEquals(0, process.waitFor());
--- a/edge/src/test/java/edgegateway/node/SignalsTest.java
+++ b/edge/src/test/java/edgegateway/node/SignalsTest.java
@@ -57,7 +57,7 @@
     discovery.next();
     discovery = peer(m -> never.join());
     Files.move(written("next.json"), file, StandardCopyOption.REPLACE_EXISTING);
-    signal(process, "HUP");
+    sendSignal(process, "HUP");
     assertTrue(discovery.next().first().contains("watch=1"));
     process.destroy();
     assertEquals(0, process.waitFor());
@@ -75,7 +75,7 @@
     assertTrue(ops.matches());
     nextLogLine(process, "signal_ignored signal=SIGTERM");
     awaitListenAddress(process);
-    signal(process, "TERM");
+    sendSignal(process, "TERM");
     try (Socket call = new Socket("127.0.0.1", Integer.parseInt(ops.group(1)))) {
       call.getOutputStream().write("drain-on\n".getBytes());
       assertEquals("ACK\n", new String(call.getInputStream().readAllBytes()));
@@ -107,9 +107,9 @@
     discovery.next();
     discovery = peer(m -> never.join());
     Files.move(written("next.json"), file, StandardCopyOption.REPLACE_EXISTING);
-    signal(process, "HUP");
+    sendSignal(process, "HUP");
     assertTrue(discovery.next().first().contains("watch=1"));
-    signal(process, "TERM");
+    sendSignal(process, "TERM");
     assertTrue(
         nextLogLine(process, "drained ")
             .matches("drained longest_loop_stall_ms=\\d+ longest_discovery_wait_ms=\\d+"));
--- a/edge/src/test/java/edgegateway/node/TestCertificate.java
+++ b/edge/src/test/java/edgegateway/node/TestCertificate.java
@@ -11,16 +11,16 @@
 import javax.net.ssl.SSLContext;
 import javax.net.ssl.TrustManagerFactory;
 
-/** A certificate for tests, made by the JDK's own tool. */
+/** A self-signed certificate and its key as PEM files, generated with the JDK's keytool. */
 final class TestCertificate {
   private static final char[] PASSWORD = "for-tests".toCharArray();
   private final Path certificate;
   private final Path key;
-  private final KeyStore trusted = KeyStore.getInstance(KeyStore.getDefaultType());
+  private final KeyStore trustStore = KeyStore.getInstance(KeyStore.getDefaultType());
 
   TestCertificate(Path folder) throws GeneralSecurityException, IOException, InterruptedException {
-    Path store = folder.resolve("store.p12");
-    Process made =
+    Path keyStoreFile = folder.resolve("store.p12");
+    Process keytool =
         new ProcessBuilder(
                 Path.of(System.getProperty("java.home"), "bin", "keytool").toString(),
                 "-genkeypair",
@@ -37,52 +37,57 @@
                 "-storetype",
                 "PKCS12",
                 "-keystore",
-                store.toString(),
+                keyStoreFile.toString(),
                 "-storepass",
                 new String(PASSWORD))
             .inheritIO()
             .start();
-    if (made.waitFor() != 0) {
-      throw new IOException("no certificate was made");
+    if (keytool.waitFor() != 0) {
+      throw new IOException("keytool failed to generate a certificate");
     }
-    KeyStore keys = KeyStore.getInstance("PKCS12");
-    try (InputStream in = Files.newInputStream(store)) {
-      keys.load(in, PASSWORD);
+    KeyStore keyStore = KeyStore.getInstance("PKCS12");
+    try (InputStream in = Files.newInputStream(keyStoreFile)) {
+      keyStore.load(in, PASSWORD);
     }
     certificate =
-        pem(
+        writePem(
             folder.resolve("certificate.pem"),
             "CERTIFICATE",
-            keys.getCertificate("node").getEncoded());
-    key = pem(folder.resolve("key.pem"), "PRIVATE KEY", keys.getKey("node", PASSWORD).getEncoded());
-    trusted.load(null);
-    trusted.setCertificateEntry("node", keys.getCertificate("node"));
+            keyStore.getCertificate("node").getEncoded());
+    key =
+        writePem(
+            folder.resolve("key.pem"),
+            "PRIVATE KEY",
+            keyStore.getKey("node", PASSWORD).getEncoded());
+    trustStore.load(null);
+    trustStore.setCertificateEntry("node", keyStore.getCertificate("node"));
   }
 
-  private static Path pem(Path file, String what, byte[] content) throws IOException {
+  private static Path writePem(Path file, String label, byte[] content) throws IOException {
     String text =
         Base64.getMimeEncoder(64, "\n".getBytes(StandardCharsets.US_ASCII)).encodeToString(content);
     return Files.writeString(
-        file, "-----BEGIN " + what + "-----\n" + text + "\n-----END " + what + "-----\n");
+        file, "-----BEGIN " + label + "-----\n" + text + "\n-----END " + label + "-----\n");
   }
 
-  String tlsSettings(int handshakes) {
+  /** The configuration's {@code tls} section as JSON, with a limit of concurrent handshakes. */
+  String tlsSettings(int maxHandshakes) {
     return "{\"certificate\":\""
         + certificate
         + "\",\"key\":\""
         + key
         + "\",\"handshakes\":"
-        + handshakes
+        + maxHandshakes
         + "}";
   }
 
-  /** A client that trusts it, and remembers no session of another. */
+  /** A client-side context that trusts this certificate and has an empty session cache. */
   SSLContext trustingContext() throws GeneralSecurityException {
-    TrustManagerFactory trust =
+    TrustManagerFactory trustManagers =
         TrustManagerFactory.getInstance(TrustManagerFactory.getDefaultAlgorithm());
-    trust.init(trusted);
+    trustManagers.init(trustStore);
     SSLContext context = SSLContext.getInstance("TLS");
-    context.init(null, trust.getTrustManagers(), null);
+    context.init(null, trustManagers.getTrustManagers(), null);
     return context;
   }
 }
