--- a/edge/src/main/java/edgegateway/node/ConfigurationReloader.java
+++ b/edge/src/main/java/edgegateway/node/ConfigurationReloader.java
@@ -72,7 +72,7 @@
    * Reads the file until it holds a valid configuration, at most {@link #MAX_READS} times, and
    * applies it. The file may still be being written when the signal arrives, and no second signal
    * follows. Synchronized, so that of several signals the one that reads the file last decides.
-   * Tested by {@code EdgeNodeTest#aConfigurationThatIsHalfWrittenIsReadAgain}.
+   * Tested by {@code EdgeNodeTest#aPartlyWrittenConfigurationIsReread}.
    */
   synchronized void reload() {
     for (int read = 1; read <= MAX_READS; read++) {
--- a/edge/src/main/java/edgegateway/node/upstream/UpstreamConnectionHandler.java
+++ b/edge/src/main/java/edgegateway/node/upstream/UpstreamConnectionHandler.java
@@ -187,7 +187,7 @@
   /**
    * A response ends its attempt only when the whole read was decoded: else what follows it would be
    * taken for the response to the next attempt. Shown by
-   * EdgeNodeTest#whatFollowsAnAnswerIsNobodysAnswer.
+   * EdgeNodeTest#bytesAfterAResponseAreNotTakenForTheNextResponse.
    */
   @Override
   public void channelReadComplete(ChannelHandlerContext handlerContext) {
--- a/edge/src/test/java/edgegateway/node/EdgeNodeTest.java
+++ b/edge/src/test/java/edgegateway/node/EdgeNodeTest.java
@@ -36,40 +36,46 @@
 import org.junit.jupiter.api.Timeout;
 
 /**
- * An edge node between scripted peers on loopback sockets; each test waits for events, never for a
- * time.
+ * Tests an edge node between scripted peers on loopback sockets. Each test waits for events, never
+ * for a fixed time.
  */
 @Timeout(120)
 class EdgeNodeTest extends NodeTest {
   @Test
-  void passesARequestOnAndItsAnswerBackOverOneConnection() throws Exception {
+  void forwardsRequestsAndResponsesOverASingleUpstreamConnection() throws Exception {
     FakePeer server = peer(m -> m.answer(FakePeer.ok("X-Units-Charged: 3\r\n", "done")));
     Socket client = client(startNode(server));
     for (String id : List.of("t-1", "t-2")) {
       sendOrder(client, id);
-      FakePeer.Message answer = FakePeer.read(client);
-      assertEquals("200", status(answer));
-      assertEquals("done", answer.body());
-      FakePeer.Message sent = server.next();
-      assertEquals("POST /api?slot=4 HTTP/1.1", sent.first());
-      assertEquals("book", sent.body());
-      assertEquals(id, sent.headers().get("x-trace-id"));
-      assertEquals("key-" + id, sent.headers().get("idempotency-key"));
-      assertTrue(Long.parseLong(sent.headers().get("x-expires-in-ms")) <= 20_000);
+      FakePeer.Message response = FakePeer.read(client);
+      assertEquals("200", status(response));
+      assertEquals("done", response.body());
+      FakePeer.Message forwarded = server.next();
+      assertEquals("POST /api?slot=4 HTTP/1.1", forwarded.first());
+      assertEquals("book", forwarded.body());
+      assertEquals(id, forwarded.headers().get("x-trace-id"));
+      assertEquals("key-" + id, forwarded.headers().get("idempotency-key"));
+      assertTrue(Long.parseLong(forwarded.headers().get("x-expires-in-ms")) <= 20_000);
     }
-    assertTrue(server.ended.isEmpty(), "the second request must not need a second connection");
+    assertTrue(server.ended.isEmpty(), "both requests must use the same upstream connection");
   }
 
-  /** A null channel in the connect's listener once failed every first request on a connection. */
+  /**
+   * Guards against a null channel in the listener of the connect, which failed the first request on
+   * every new connection.
+   */
   @Test
   void theFirstRequestOnANewConnectionIsServed() throws Exception {
     assertEquals(
         "200", exchangeOrder(client(startNode(peer(m -> m.answer(FakePeer.ok("", "x"))))), "t-1"));
   }
 
-  /** Made-up requests go the whole way in the process, and none of them out of it. */
+  /**
+   * The warm-up's generated requests take the complete request path inside the process, but none
+   * leaves the process.
+   */
   @Test
-  void theWarmUpServesAndReachesNobody() throws Exception {
+  void warmUpServesRequestsWithoutContactingAnyPeer() throws Exception {
     FakePeer server = peer(m -> m.answer(FakePeer.ok("", "x")));
     assertTrue(
         WarmUp.run(NodeConfigParser.parse(config(member("s-0", server.address(), "Ready", 0))))
@@ -78,15 +84,17 @@
       assertTrue(peer.seen.isEmpty());
     }
     assertEquals(
-        0, WarmUp.run(NodeConfigParser.parse(config())), "without a list there is nobody to serve");
+        0,
+        WarmUp.run(NodeConfigParser.parse(config())),
+        "without known endpoints no request can be served");
   }
 
   /**
-   * A node that did not listen before its warm-up was through lost what the front still sent after
-   * a restart.
+   * Guards against a node that listens only after its warm-up: the requests that the load balancer
+   * still sent after a restart were lost.
    */
   @Test
-  void aNodeThatIsNotAdmittedYetServesAndSaysSo() throws Exception {
+  void aNodeNotYetAdmittedServesRequestsButFailsItsHealthCheck() throws Exception {
     discovery = peer(m -> m.answer("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"));
     EdgeNode node = startNode(peer(m -> m.answer(FakePeer.ok("", "x"))));
     Socket client = client(node);
@@ -103,10 +111,10 @@
   }
 
   @Test
-  void whatIsNoRequestIsTurnedAwayAtOnce() throws Exception {
+  void invalidRequestsAreRejectedWithoutReachingAServer() throws Exception {
     FakePeer server = peer(m -> m.answer(FakePeer.ok("", "x")));
     EdgeNode node = startNode(server);
-    Map<String, String> bad =
+    Map<String, String> invalidHeaders =
         new TreeMap<>(
             Map.of(
                 "X-Trace-Id",
@@ -123,12 +131,12 @@
                 "units=NaN,spread=1,first=0",
                 "Idempotency-Key",
                 ""));
-    for (Map.Entry<String, String> one : bad.entrySet()) {
+    for (Map.Entry<String, String> invalid : invalidHeaders.entrySet()) {
       Map<String, String> headers = headers("t-1", "order", "20000");
-      headers.put(one.getKey(), one.getValue());
+      headers.put(invalid.getKey(), invalid.getValue());
       Socket client = client(node);
       sendRequest(client, "POST /api", headers, "");
-      assertEquals("400", status(FakePeer.read(client)), one.getKey());
+      assertEquals("400", status(FakePeer.read(client)), invalid.getKey());
     }
     for (String quota :
         List.of(
@@ -143,11 +151,11 @@
       sendRequest(client, "POST /api", headers, "");
       assertEquals("400", status(FakePeer.read(client)), quota);
     }
-    Map<String, String> good = headers("t-1", "order", "20000");
+    Map<String, String> valid = headers("t-1", "order", "20000");
     Socket client = client(node);
-    sendRequest(client, "GET /api", good, "");
+    sendRequest(client, "GET /api", valid, "");
     assertEquals("405", status(FakePeer.read(client)));
-    sendRequest(client, "POST /elsewhere", good, "");
+    sendRequest(client, "POST /elsewhere", valid, "");
     assertEquals("404", status(FakePeer.read(client)));
     client
         .getOutputStream()
@@ -155,44 +163,46 @@
             "POST /api HTTP/1.1\r\nContent-Length: 40000000\r\n\r\n"
                 .getBytes(StandardCharsets.UTF_8));
     assertEquals("413", status(FakePeer.read(client)));
-    Socket noise = client(node);
-    noise.getOutputStream().write("\u0001noise\r\n\r\n".getBytes(StandardCharsets.UTF_8));
-    assertEquals("400", status(FakePeer.read(noise)));
-    assertTrue(server.seen.isEmpty(), "none of these may reach an app server");
+    Socket garbage = client(node);
+    garbage.getOutputStream().write("\u0001noise\r\n\r\n".getBytes(StandardCharsets.UTF_8));
+    assertEquals("400", status(FakePeer.read(garbage)));
+    assertTrue(server.seen.isEmpty(), "no invalid request may reach an archive server");
   }
 
   @Test
-  void whoBringsNoWholeRequestIsCutOff() throws Exception {
+  void clientsThatSendNoCompleteRequestAreDisconnected() throws Exception {
     EdgeNode node = startNode(peer(m -> m.answer(FakePeer.ok("", "x"))));
-    for (String part :
+    for (String incomplete :
         List.of(
             "",
             "GET /api HT",
             "POST /api HTTP/1.1\r\nHost: app.svc\r\nContent-Length: 9\r\n\r\nha")) {
       Socket client = client(node);
-      client.getOutputStream().write(part.getBytes(StandardCharsets.UTF_8));
-      assertNull(FakePeer.read(client), part);
+      client.getOutputStream().write(incomplete.getBytes(StandardCharsets.UTF_8));
+      assertNull(FakePeer.read(client), incomplete);
     }
   }
 
   @Test
-  void aRequestThatCanBeReadInTwoWaysIsNone() throws Exception {
+  void ambiguousRequestsAreRejected() throws Exception {
     FakePeer server = peer(m -> m.answer(FakePeer.ok("", "x")));
     EdgeNode node = startNode(server);
-    for (String twice :
+    for (String duplicate :
         List.of("Transfer-Encoding: chunked", "X-Trace-Id: t-2", "Content-Length: 1")) {
       Map<String, String> headers = headers("t-1", "order", "20000");
-      headers.put("X-Note", "x\r\n" + twice);
+      headers.put("X-Note", "x\r\n" + duplicate);
       Socket client = client(node);
       sendRequest(client, "POST /api", headers, "0\r\n\r\n");
-      assertEquals("400", status(FakePeer.read(client)), twice);
+      assertEquals("400", status(FakePeer.read(client)), duplicate);
     }
     assertTrue(server.seen.isEmpty());
   }
 
-  /** A line of requests longer than what may wait once cost all of them their answers. */
+  /**
+   * Guards against losing all responses when a client pipelines more requests than may be queued.
+   */
   @Test
-  void pipelinedRequestsAreAllAnsweredInTheirOrder() throws Exception {
+  void pipelinedRequestsAreAllAnsweredInOrder() throws Exception {
     FakePeer server = peer(m -> m.answer(FakePeer.ok("", m.headers().get("x-trace-id"))));
     Socket client = client(startNode(server));
     for (int i = 0; i < 40; i++) {
@@ -204,12 +214,12 @@
   }
 
   @Test
-  void aSecondRequestOfAnOpenIdIsTurnedAwayAndTheFirstIsServed() throws Exception {
-    CompletableFuture<Void> go = new CompletableFuture<>();
+  void aRequestWithATraceIdAlreadyInFlightIsRejected() throws Exception {
+    CompletableFuture<Void> mayRespond = new CompletableFuture<>();
     FakePeer server =
         peer(
             m -> {
-              go.join();
+              mayRespond.join();
               m.answer(FakePeer.ok("", "x"));
             });
     EdgeNode node = startNode(server);
@@ -217,69 +227,69 @@
     sendOrder(first, "t-1");
     server.next();
     assertEquals("409", exchangeOrder(client(node), "t-1"));
-    go.complete(null);
+    mayRespond.complete(null);
     assertEquals("200", status(FakePeer.read(first)));
   }
 
   @Test
-  void aTurnedAwayAttemptGoesElsewhereUnseen() throws Exception {
+  void rejectedAttemptsAreRetriedAtOtherServers() throws Exception {
     FakePeer full =
         peer(m -> m.answer("HTTP/1.1 503 Full\r\nX-Never-Ran: 1\r\nContent-Length: 0\r\n\r\n"));
-    FakePeer gone = peer(m -> {});
-    gone.close();
-    FakePeer good = peer(m -> m.answer(FakePeer.ok("", "x")));
-    Socket client = client(startNode(full, gone, good));
+    FakePeer unreachable = peer(m -> {});
+    unreachable.close();
+    FakePeer healthy = peer(m -> m.answer(FakePeer.ok("", "x")));
+    Socket client = client(startNode(full, unreachable, healthy));
     for (int i = 0; i < 8; i++) {
       assertEquals("200", exchangeOrder(client, "t-" + i));
     }
   }
 
   /**
-   * An unsafe request that may have run is failed, not refused: a refusal invites the client to
-   * repeat it.
+   * A non-idempotent request that may have run gets a 502 rather than a rejection, because a
+   * rejection invites the client to retry.
    */
   @Test
-  void anUnsafeRequestIsSentOnceMoreOnlyIfItNeverRan() throws Exception {
-    for (String answer :
+  void aNonIdempotentRequestThatMayHaveRunIsNotRetried() throws Exception {
+    for (String response :
         List.of(
             "HTTP/1.1 500 No\r\nContent-Length: 0\r\n\r\n",
             "HTTP/1.1 503 No\r\nContent-Length: 0\r\n\r\n",
             "HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nhalf",
             "",
-            "HTTP/1.1 200 OK\r\nTransfer-Encoding: gzip\r\n\r\nno end told")) {
+            "HTTP/1.1 200 OK\r\nTransfer-Encoding: gzip\r\n\r\nbody without end")) {
       FakePeer server =
           peer(
               m -> {
-                m.answer(answer);
-                if (!answer.startsWith("HTTP/1.1 50")) {
+                m.answer(response);
+                if (!response.startsWith("HTTP/1.1 50")) {
                   m.socket().close();
                 }
               });
       Socket client = client(startNode(server));
       sendRequest(client, "POST /api", headers("t-1", "strict", "20000"), "book");
-      assertEquals("502", status(FakePeer.read(client)), answer);
+      assertEquals("502", status(FakePeer.read(client)), response);
       server.next();
-      assertTrue(server.seen.isEmpty(), "it must have been sent once: " + answer);
+      assertTrue(server.seen.isEmpty(), "the request must have been sent only once: " + response);
     }
   }
 
   /**
-   * A header line without a colon once passed as an empty header, and what followed it as an
-   * answer.
+   * Guards against forwarding a response with a malformed header line: a line without a colon was
+   * accepted as an empty header, and what followed it as part of the response.
    */
   @Test
-  void anAnswerThatCannotBeReadIsNotPassedOn() throws Exception {
-    for (String answer :
+  void malformedResponsesAreNotForwarded() throws Exception {
+    for (String response :
         List.of(
             FakePeer.ok("no colon here\r\n", "x"),
             FakePeer.ok("X-Note : a space\r\n", "x"),
             FakePeer.ok("Content-Length: 3\r\n", "x"),
             "ICY 200 OK\r\nContent-Length: 1\r\n\r\nx",
             "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n1\r\nx\r\nzz\r\nx\r\n0\r\n\r\n")) {
-      FakePeer server = peer(m -> m.answer(answer));
+      FakePeer server = peer(m -> m.answer(response));
       Socket client = client(startNode(server));
       sendRequest(client, "POST /api", headers("t-1", "strict", "20000"), "book");
-      assertEquals("502", status(FakePeer.read(client)), answer);
+      assertEquals("502", status(FakePeer.read(client)), response);
     }
     FakePeer server =
         peer(
@@ -290,9 +300,11 @@
     assertEquals("200", exchangeOrder(client(startNode(server)), "t-2"));
   }
 
-  /** A status line that gives no reason ends in a space, and once failed its answer. */
+  /**
+   * Guards against rejecting a response without a reason phrase, whose status line ends in a space.
+   */
   @Test
-  void anAnswerNeedsNoReasonInItsStatusLine() throws Exception {
+  void aStatusLineWithoutReasonPhraseIsAccepted() throws Exception {
     FakePeer server = peer(m -> m.answer("HTTP/1.1 200 \r\nContent-Length: 1\r\n\r\nx"));
     Socket client = client(startNode(server));
     for (String id : List.of("t-1", "t-2")) {
@@ -302,16 +314,16 @@
   }
 
   /**
-   * What a server sent behind its answer once was given to the request that used the connection
-   * next.
+   * Guards against giving the bytes that a server sends after a response to the next request on the
+   * same connection.
    */
   @Test
-  void whatFollowsAnAnswerIsNobodysAnswer() throws Exception {
-    CompletableFuture<Void> go = new CompletableFuture<>();
+  void bytesAfterAResponseAreNotTakenForTheNextResponse() throws Exception {
+    CompletableFuture<Void> mayRespond = new CompletableFuture<>();
     FakePeer server =
         peer(
             m -> {
-              go.join();
+              mayRespond.join();
               m.answer(FakePeer.ok("", m.headers().get("x-trace-id")) + FakePeer.ok("", "stray"));
             });
     EdgeNode node = startNode(server);
@@ -320,42 +332,44 @@
       clients.add(client(node));
       sendOrder(clients.get(i), "t-" + i);
     }
-    // Two rounds of the loop: by then all orders are taken, and those that are not out wait for a
-    // connection.
-    Socket front = client(node);
+    // After two turns of the event loop the node has read all orders, and those not yet sent to the
+    // server wait for a connection.
+    Socket loadBalancer = client(node);
     for (int i = 0; i < 2; i++) {
-      sendRequest(front, "GET /_health", Map.of(), "");
-      FakePeer.read(front);
+      sendRequest(loadBalancer, "GET /_health", Map.of(), "");
+      FakePeer.read(loadBalancer);
     }
-    go.complete(null);
+    mayRespond.complete(null);
     for (int i = 0; i < clients.size(); i++) {
-      FakePeer.Message answer = FakePeer.read(clients.get(i));
-      assertEquals("200", status(answer));
-      assertEquals("t-" + i, answer.body());
+      FakePeer.Message response = FakePeer.read(clients.get(i));
+      assertEquals("200", status(response));
+      assertEquals("t-" + i, response.body());
     }
   }
 
   /**
-   * A server that says nothing: the answer comes before the client's time is up, and the attempt
-   * ends.
+   * The server never responds: the client gets an error response before its deadline, and the
+   * attempt ends.
    */
   @Test
-  void silenceIsAnsweredAndItsConnectionClosed() throws Exception {
+  void anUnresponsiveServerCausesA502AndIsDisconnected() throws Exception {
     FakePeer server = peer(m -> {});
     Socket client = client(startNode(server));
     sendRequest(client, "POST /api", headers("t-1", "strict", "2500"), "book");
     assertEquals("502", status(FakePeer.read(client)));
     server.next();
-    assertNotNull(server.ended.poll(60, TimeUnit.SECONDS), "the silent connection must be closed");
+    assertNotNull(
+        server.ended.poll(60, TimeUnit.SECONDS),
+        "the connection to the unresponsive server must be closed");
   }
 
   @Test
-  void aDrainAnswersWhatWasTakenAndClosesTheRest() throws Exception {
-    CompletableFuture<Void> go = new CompletableFuture<>();
+  void aDrainAnswersAcceptedRequestsBeforeClosingConnections() throws Exception {
+    CompletableFuture<Void> mayRespond = new CompletableFuture<>();
     FakePeer server =
         peer(
             m -> {
-              go.join();
+              mayRespond.join();
               m.answer(FakePeer.ok("", "x"));
             });
     EdgeNode node = startNode(server);
@@ -363,21 +377,21 @@
     sendOrder(busy, "t-1");
     server.next();
     CompletableFuture<Void> drained = node.stop();
-    // Connections go on coming for a while after SIGTERM, and what they bring is owed an answer.
+    // Clients still connect for a while after SIGTERM, and their requests must be answered.
     Socket late = client(node);
     sendOrder(late, "t-2");
     server.next();
     assertFalse(drained.isDone());
-    go.complete(null);
+    mayRespond.complete(null);
     for (Socket client : List.of(busy, late)) {
-      FakePeer.Message answer = FakePeer.read(client);
-      assertEquals("200", status(answer));
-      assertEquals("close", answer.headers().get("connection"));
+      FakePeer.Message response = FakePeer.read(client);
+      assertEquals("200", status(response));
+      assertEquals("close", response.headers().get("connection"));
       assertNull(FakePeer.read(client));
     }
     drained.get(60, TimeUnit.SECONDS);
-    // The kernel lets go of a listening socket only when the selector next runs: until then it may
-    // connect.
+    // The kernel closes a listening socket only when the selector next runs; until then clients may
+    // still connect.
     assertThrows(
         IOException.class,
         () -> {
@@ -388,19 +402,19 @@
   }
 
   @Test
-  void aWatchThatEndsGoesOnAfterItsLastRevision() throws Exception {
+  void anEndedWatchResumesAfterTheLastRevisionReceived() throws Exception {
     FakePeer moved = peer(m -> m.answer(FakePeer.ok("", "new")));
     FakePeer old = peer(m -> m.answer(FakePeer.ok("", "old")));
     String line =
         "{\"revision\":8,\"complete\":false,\"members\":["
             + member("s-0", moved.address(), "Ready", System.currentTimeMillis() - 60_000)
             + "]}\n";
-    CompletableFuture<Void> go = new CompletableFuture<>();
+    CompletableFuture<Void> mayRespond = new CompletableFuture<>();
     discovery =
         peer(
             m -> {
               if (m.first().contains("after=5")) {
-                go.join();
+                mayRespond.join();
                 m.answer(
                     "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
                         + Integer.toHexString(line.length())
@@ -413,24 +427,24 @@
     Socket client = client(node);
     sendOrder(client, "t-1");
     assertEquals("old", FakePeer.read(client).body());
-    go.complete(null);
-    String call = discovery.next().first();
-    assertTrue(call.contains("watch=1&after=5"));
-    while (call.contains("watch=1&after=5")) {
-      // The first hung: another was opened beside it.
-      call = discovery.next().first();
+    mayRespond.complete(null);
+    String requestLine = discovery.next().first();
+    assertTrue(requestLine.contains("watch=1&after=5"));
+    while (requestLine.contains("watch=1&after=5")) {
+      // The first watch was without a response, so the node opened another beside it.
+      requestLine = discovery.next().first();
     }
-    assertTrue(call.contains("watch=1&after=8"), call);
-    // The server has restarted elsewhere: its connection at the old address goes, the new one is
-    // used.
+    assertTrue(requestLine.contains("watch=1&after=8"), requestLine);
+    // The server has restarted at another address: the connection to the old address is closed, and
+    // the new address is used.
     assertNotNull(old.ended.poll(60, TimeUnit.SECONDS));
     sendOrder(client, "t-2");
     assertEquals("new", FakePeer.read(client).body());
   }
 
-  /** The program's own process: a JVM left to itself ends on SIGHUP. */
+  /** Runs the program in a process of its own, because a JVM exits on SIGHUP by default. */
   @Test
-  void onSighupDiscoveryAndCounterAreFollowedToTheirNewAddresses() throws Exception {
+  void onSighupDiscoveryAndCounterAreContactedAtTheirNewAddresses() throws Exception {
     FakePeer server = peer(m -> m.answer(FakePeer.ok("", "x")));
     CompletableFuture<Void> never = new CompletableFuture<>();
     discovery = peer(m -> never.join());
@@ -438,17 +452,17 @@
     Files.writeString(file, config(member("s-0", server.address(), "Ready", 0)));
     Process process = startProcess(file, List.of());
     discovery.next();
-    InetSocketAddress at = awaitListenAddress(process);
+    InetSocketAddress address = awaitListenAddress(process);
     FakePeer oldCounter = counter;
     discovery = peer(m -> never.join());
     counter = peer(m -> m.answer(FakePeer.ok("", "1")));
     Files.writeString(file, config(member("s-0", server.address(), "Ready", 0)));
     sendSignal(process, "HUP");
     assertTrue(discovery.next().first().contains("watch=1"));
-    Socket client = new Socket(at.getAddress(), at.getPort());
+    Socket client = new Socket(address.getAddress(), address.getPort());
     toClose.add(client);
-    // The module calls when its budget lets it: a customer never heard of is asked about sooner or
-    // later.
+    // The policy calls the counter only within a budget, but sooner or later calls it for a new
+    // customer.
     for (int i = 0; counter.seen.isEmpty(); i++) {
       Map<String, String> headers = headers("t-" + i, "order", "20000");
       headers.put("Cookie", "customer=00000000" + (10000000 + i));
@@ -463,39 +477,40 @@
   }
 
   /**
-   * A file that was still being written at the signal once left the node at the old addresses to
-   * its end.
+   * Guards against a node that uses the old addresses until it ends, because the file was still
+   * being written when the signal arrived.
    */
   @Test
-  void aConfigurationThatIsHalfWrittenIsReadAgain() throws Exception {
+  void aPartlyWrittenConfigurationIsReread() throws Exception {
     CompletableFuture<Void> never = new CompletableFuture<>();
     EdgeNode node = startNode(config());
     discovery = peer(m -> never.join());
-    String whole = config();
+    String complete = config();
     Path file = Files.createTempFile("node", ".json");
-    Files.writeString(file, whole.substring(0, whole.length() / 2));
-    PrintStream completesTheFile =
+    Files.writeString(file, complete.substring(0, complete.length() / 2));
+    // The first read logs a warning; the log stream then completes the file.
+    PrintStream fileCompleter =
         new PrintStream(System.err, true) {
           @Override
           public void println(String line) {
             super.println(line);
             try {
-              Files.writeString(file, whole);
+              Files.writeString(file, complete);
             } catch (IOException e) {
               throw new UncheckedIOException(e);
             }
           }
         };
-    new ConfigurationReloader(node, file, new EventLog(System.out, completesTheFile)).reload();
+    new ConfigurationReloader(node, file, new EventLog(System.out, fileCompleter)).reload();
     assertTrue(discovery.next().first().contains("watch=1"));
   }
 
   /**
-   * The body of an error once was read as a list, because a close does not stop what was read
-   * already.
+   * Guards against reading the body of an error response as an endpoint list: closing the
+   * connection doesn't stop the decoding of bytes that were already read.
    */
   @Test
-  void anErrorOfDiscoveryIsNoList() throws Exception {
+  void theBodyOfADiscoveryErrorIsNotReadAsAList() throws Exception {
     FakePeer server = peer(m -> m.answer(FakePeer.ok("", "x")));
     String list = "{\"revision\":9,\"complete\":true,\"members\":[]}\n";
     discovery =
@@ -506,27 +521,28 @@
     EdgeNode node = startNode(server);
     discovery.next();
     assertTrue(
-        discovery.next().first().contains("after=5"), "the revision of an error's body was taken");
+        discovery.next().first().contains("after=5"),
+        "the node took over the revision in the body of an error");
     assertEquals("200", exchangeOrder(client(node), "t-1"));
   }
 
   /**
-   * A late answer belongs to the call that timed out; were it given to the next, totals would shift
-   * for good.
+   * A late response belongs to the call that timed out. If the next call on the connection got it,
+   * every later call would get the total of the call before it.
    */
   @Test
-  void aLateTotalIsSkippedInLine() throws Exception {
-    CompletableFuture<Void> go = new CompletableFuture<>();
+  void aTotalThatArrivesAfterItsTimeoutIsDiscarded() throws Exception {
+    CompletableFuture<Void> mayRespond = new CompletableFuture<>();
     counterScript =
         m -> {
           if (counter.seen.size() == 1) {
-            go.join();
+            mayRespond.join();
             m.answer(FakePeer.ok("", "77"));
           } else {
             m.answer(FakePeer.ok("", "88"));
           }
         };
-    BlockingQueue<String> told = new LinkedBlockingQueue<>();
+    BlockingQueue<String> callResults = new LinkedBlockingQueue<>();
     NodeConfig config =
         NodeConfigParser.parse(
             config().replace("\"count-wait-ns\": 50000000", "\"count-wait-ns\": 2000000000"));
@@ -536,27 +552,28 @@
           loop.submit(
                   () ->
                       new CounterClient(
-                          (name, outcome, total) -> told.add(name + " " + outcome + " " + total),
+                          (name, outcome, total) ->
+                              callResults.add(name + " " + outcome + " " + total),
                           loop,
                           config))
               .get();
       loop.execute(() -> client.add(4, 1.5, 4_000_000_000L));
-      assertEquals("4 TIMEOUT 0.0", told.poll(60, TimeUnit.SECONDS));
+      assertEquals("4 TIMEOUT 0.0", callResults.poll(60, TimeUnit.SECONDS));
       loop.execute(() -> client.add(4, -2.25, 4_000_000_000L));
-      go.complete(null);
-      assertEquals("4 OK 88.0", told.poll(60, TimeUnit.SECONDS));
+      mayRespond.complete(null);
+      assertEquals("4 OK 88.0", callResults.poll(60, TimeUnit.SECONDS));
     }
     assertEquals("POST /tally/4?n=1.5&keep_ms=4000 HTTP/1.1", counter.next().first());
     assertEquals("POST /tally/4?n=-2.25&keep_ms=4000 HTTP/1.1", counter.next().first());
   }
 
   /**
-   * An answer that holds no number was added all the same, and its connection may no longer be
-   * trusted.
+   * The counter may have added the amount of a call whose response holds no number, and later
+   * responses on that connection can't be trusted.
    */
   @Test
-  void aTotalThatCannotBeReadEndsTheConnection() throws Exception {
-    for (String answer :
+  void anInvalidTotalClosesTheCounterConnection() throws Exception {
+    for (String response :
         List.of(
             FakePeer.ok("", "x"),
             FakePeer.ok("", "NaN"),
@@ -564,8 +581,8 @@
             FakePeer.ok("", ""),
             FakePeer.ok("no colon\r\n", "5"),
             "HTTP/1.1 500 No\r\nContent-Length: 0\r\n\r\n")) {
-      FakePeer broken = peer(m -> m.answer(answer));
-      BlockingQueue<String> told = new LinkedBlockingQueue<>();
+      FakePeer broken = peer(m -> m.answer(response));
+      BlockingQueue<String> callResults = new LinkedBlockingQueue<>();
       NodeConfig config =
           NodeConfigParser.parse(
               config()
@@ -577,15 +594,18 @@
             loop.submit(
                     () ->
                         new CounterClient(
-                            (name, outcome, total) -> told.add(name + " " + outcome), loop, config))
+                            (name, outcome, total) -> callResults.add(name + " " + outcome),
+                            loop,
+                            config))
                 .get();
         loop.execute(() -> client.add(4, 1, 4_000_000_000L));
-        assertEquals("4 RESET", told.poll(60, TimeUnit.SECONDS), answer);
-        assertNotNull(broken.ended.poll(60, TimeUnit.SECONDS), answer);
+        assertEquals("4 RESET", callResults.poll(60, TimeUnit.SECONDS), response);
+        assertNotNull(broken.ended.poll(60, TimeUnit.SECONDS), response);
       }
     }
   }
 
+  /** A single event loop that is shut down on close. */
   private record CloseableGroup(EventLoopGroup loops) implements AutoCloseable {
     CloseableGroup() {
       this(new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory()));
@@ -598,20 +618,20 @@
   }
 
   @Test
-  void aMalformedConfigurationNamesItsKey() throws Exception {
-    String good = config();
-    Map<String, String> broken =
+  void theErrorForAnInvalidConfigurationNamesTheKey() throws Exception {
+    String valid = config();
+    Map<String, String> messagesByConfig =
         new TreeMap<>(
             Map.of(
-                good.replace("\"listen\"", "\"listenx\""),
+                valid.replace("\"listen\"", "\"listenx\""),
                 "listen is missing",
-                good.replace("\"listen\":\"127.0.0.1:0\"", "\"listen\":\"here\""),
+                valid.replace("\"listen\":\"127.0.0.1:0\"", "\"listen\":\"here\""),
                 "listen is not host:port",
-                good.replace("\"my-number\": 0", "\"my-number\": \"x\""),
+                valid.replace("\"my-number\": 0", "\"my-number\": \"x\""),
                 "settings.my-number is not a number",
-                good.replace("\"aim-ns\"", "\"aim\""),
+                valid.replace("\"aim-ns\"", "\"aim\""),
                 "settings.classes.0.aim-ns is missing",
-                good.replace("\"tariffs\"", "\"plans\""),
+                valid.replace("\"tariffs\"", "\"plans\""),
                 "tariffs is missing",
                 "{",
                 "the configuration is not JSON"));
@@ -629,21 +649,25 @@
             "{\"verdicts\":\"alone\",\"alone-after-ms\":499}",
             "zones.alone-after-ms is not a whole number from 500 to 60000")
         .forEach(
-            (zones, said) ->
-                broken.put(good.replaceFirst("\\{", "{\"zones\":" + zones + ","), said));
-    for (Map.Entry<String, String> one : broken.entrySet()) {
-      String said =
-          assertThrows(InvalidConfigException.class, () -> NodeConfigParser.parse(one.getKey()))
+            (zones, message) ->
+                messagesByConfig.put(
+                    valid.replaceFirst("\\{", "{\"zones\":" + zones + ","), message));
+    for (Map.Entry<String, String> entry : messagesByConfig.entrySet()) {
+      String message =
+          assertThrows(InvalidConfigException.class, () -> NodeConfigParser.parse(entry.getKey()))
               .getMessage();
-      assertTrue(said.startsWith(one.getValue()), said);
-      assertFalse(said.contains("\n"), said);
+      assertTrue(message.startsWith(entry.getValue()), message);
+      assertFalse(message.contains("\n"), message);
     }
   }
 
-  /** So many archive servers as are planned for; entries as long as any that discovery writes. */
+  /**
+   * The list holds as many archive servers as are planned for, with entries as long as the longest
+   * that discovery writes.
+   */
   @Test
-  void aWholeListOfTheTargetsSizeIsTaken() throws Exception {
-    String list = longList(8_900, 6);
+  void aFullEndpointListOfThePlannedFleetIsAccepted() throws Exception {
+    String list = endpointList(8_900, 6);
     assertTrue(list.length() > 1 << 20);
     discovery =
         peer(
@@ -660,8 +684,8 @@
   }
 
   @Test
-  void aListThatIsFarTooLongIsRefusedAndTheOldOneStands() throws Exception {
-    String list = longList(100_000, 6);
+  void anOversizedEndpointListIsRejectedAndThePreviousKept() throws Exception {
+    String list = endpointList(100_000, 6);
     discovery =
         peer(
             m ->
@@ -673,14 +697,14 @@
                         + "\r\n"));
     FakePeer server = peer(m -> m.answer(FakePeer.ok("", "served")));
     EdgeNode node = startNode(server);
-    for (int calls = 0; calls < 3; calls++) {
+    for (int watches = 0; watches < 3; watches++) {
       assertTrue(discovery.next().first().contains("after=5"));
     }
     assertEquals("200", exchangeOrder(client(node), "t-1"));
     assertEquals(1, node.loop.submit(() -> node.upstreamPool.endpointCount()).get());
   }
 
-  private static String longList(int entries, long revision) {
+  private static String endpointList(int entries, long revision) {
     StringBuilder list =
         new StringBuilder("{\"revision\":" + revision + ",\"complete\":true,\"members\":[");
     for (int i = 0; i < entries; i++) {
--- a/edge/src/test/java/edgegateway/node/LongBodyTest.java
+++ b/edge/src/test/java/edgegateway/node/LongBodyTest.java
@@ -31,42 +31,50 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
 
-/** Bodies that are longer than what is held, in the forms of HTTP/1.1. */
+/**
+ * Tests request and response bodies that are too long to be buffered, in each framing of HTTP/1.1.
+ */
 @Timeout(60)
 class LongBodyTest extends NodeTest {
   private static final byte[] BODY = new byte[3_000_000];
+  private static final int CHUNK_BYTES = 50_001;
 
   static {
     new Random(5).nextBytes(BODY);
   }
 
-  /** What a server did not read of a connection it reads itself. */
-  private interface Script {
-    void on(Socket socket) throws IOException, InterruptedException;
+  /**
+   * Handles an accepted connection. Unlike a {@link FakePeer.Script}, it reads the requests itself,
+   * and may read only a part of one.
+   */
+  private interface ConnectionScript {
+    void run(Socket socket) throws IOException, InterruptedException;
   }
 
-  private String server(Script script) throws IOException {
-    ServerSocket listening = new ServerSocket(0, 50, InetAddress.getLoopbackAddress());
-    toClose.add(listening);
+  /** Starts a server that handles one connection after the other, and returns its address. */
+  private String startServer(ConnectionScript script) throws IOException {
+    ServerSocket serverSocket = new ServerSocket(0, 50, InetAddress.getLoopbackAddress());
+    toClose.add(serverSocket);
     Thread thread =
         new Thread(
             () -> {
               try {
                 while (true) {
-                  Socket socket = listening.accept();
+                  Socket socket = serverSocket.accept();
                   toClose.add(socket);
-                  script.on(socket);
+                  script.run(socket);
                 }
               } catch (IOException | InterruptedException e) {
-                // The test is over.
+                // The test has ended and closed the sockets.
               }
             });
     thread.setDaemon(true);
     thread.start();
-    return "127.0.0.1:" + listening.getLocalPort();
+    return "127.0.0.1:" + serverSocket.getLocalPort();
   }
 
-  private static String head(InputStream in) throws IOException {
+  /** Reads to the end of a message's head; null if the connection ends before. */
+  private static String readHead(InputStream in) throws IOException {
     StringBuilder head = new StringBuilder();
     while (head.indexOf("\r\n\r\n") < 0) {
       int b = in.read();
@@ -78,23 +86,23 @@
     return head.toString();
   }
 
-  private static void say(OutputStream out, String text) throws IOException {
+  private static void writeText(OutputStream out, String text) throws IOException {
     out.write(text.getBytes(StandardCharsets.ISO_8859_1));
   }
 
-  private static byte[] chunked(byte[] body) throws IOException {
+  private static byte[] encodeChunked(byte[] body) throws IOException {
     ByteArrayOutputStream out = new ByteArrayOutputStream();
-    for (int at = 0; at < body.length; at += 50_001) {
-      int length = Math.min(50_001, body.length - at);
-      say(out, Integer.toHexString(length) + "\r\n");
-      out.write(body, at, length);
-      say(out, "\r\n");
+    for (int offset = 0; offset < body.length; offset += CHUNK_BYTES) {
+      int length = Math.min(CHUNK_BYTES, body.length - offset);
+      writeText(out, Integer.toHexString(length) + "\r\n");
+      out.write(body, offset, length);
+      writeText(out, "\r\n");
     }
-    say(out, "0\r\nX-Sum: 1\r\n\r\n");
+    writeText(out, "0\r\nX-Sum: 1\r\n\r\n");
     return out.toByteArray();
   }
 
-  private static byte[] unchunk(InputStream in) throws IOException {
+  private static byte[] decodeChunked(InputStream in) throws IOException {
     ByteArrayOutputStream out = new ByteArrayOutputStream();
     while (true) {
       StringBuilder size = new StringBuilder();
@@ -110,96 +118,96 @@
     }
   }
 
-  private static String lookup(String id, String version) {
+  private static String lookupRequest(String id, String version) {
     StringBuilder text = new StringBuilder("GET /api ").append(version).append("\r\n");
     headers(id, "lookup", "20000")
         .forEach((name, value) -> text.append(name).append(": ").append(value).append("\r\n"));
     return text.append("\r\n").toString();
   }
 
-  private static String orderRequest(String id, String more) {
+  private static String orderRequest(String id, String furtherHeaders) {
     StringBuilder text = new StringBuilder("POST /api HTTP/1.1\r\n");
     headers(id, "order", "20000")
         .forEach((name, value) -> text.append(name).append(": ").append(value).append("\r\n"));
-    return text.append(more).append("\r\n\r\n").toString();
+    return text.append(furtherHeaders).append("\r\n\r\n").toString();
   }
 
   @Test
-  void aLongResponseIsForwardedWholeInEachFraming() throws Exception {
-    byte[] chunked = chunked(BODY);
-    for (String form :
+  void aLongResponseIsForwardedCompletelyInEachFraming() throws Exception {
+    byte[] chunked = encodeChunked(BODY);
+    for (String framing :
         new String[] {
           "Content-Length: " + BODY.length, "Transfer-Encoding: chunked", "Connection: close"
         }) {
-      String at =
-          server(
+      String address =
+          startServer(
               socket -> {
-                while (head(socket.getInputStream()) != null) {
-                  say(socket.getOutputStream(), "HTTP/1.1 200 OK\r\n" + form + "\r\n\r\n");
-                  socket.getOutputStream().write(form.startsWith("T") ? chunked : BODY);
-                  if (form.startsWith("Connection")) {
+                while (readHead(socket.getInputStream()) != null) {
+                  writeText(socket.getOutputStream(), "HTTP/1.1 200 OK\r\n" + framing + "\r\n\r\n");
+                  socket.getOutputStream().write(framing.startsWith("T") ? chunked : BODY);
+                  if (framing.startsWith("Connection")) {
                     socket.close();
                     return;
                   }
                 }
               });
-      EdgeNode node = startNode(config(member("s-0", at, "Ready", 0)));
+      EdgeNode node = startNode(config(member("s-0", address, "Ready", 0)));
       Socket client = client(node);
-      say(client.getOutputStream(), lookup("t-1", "HTTP/1.1"));
-      String head = head(client.getInputStream());
+      writeText(client.getOutputStream(), lookupRequest("t-1", "HTTP/1.1"));
+      String head = readHead(client.getInputStream());
       assertTrue(head.startsWith("HTTP/1.1 200"), head);
       byte[] body =
           head.contains("chunked")
-              ? unchunk(client.getInputStream())
+              ? decodeChunked(client.getInputStream())
               : client.getInputStream().readNBytes(BODY.length);
-      assertArrayEquals(BODY, body, form);
-      // The connection goes on; an older client gets it until the close.
-      say(client.getOutputStream(), lookup("t-2", "HTTP/1.0"));
-      head = head(client.getInputStream());
+      assertArrayEquals(BODY, body, framing);
+      // The connection stays usable; an HTTP/1.0 client gets a body that ends with the connection.
+      writeText(client.getOutputStream(), lookupRequest("t-2", "HTTP/1.0"));
+      head = readHead(client.getInputStream());
       assertTrue(!head.contains("chunked"), head);
-      assertArrayEquals(BODY, client.getInputStream().readAllBytes(), form);
+      assertArrayEquals(BODY, client.getInputStream().readAllBytes(), framing);
     }
   }
 
   /**
-   * A spoilt answer may promise what never comes: its client has a final answer in its time, and no
-   * part of it.
+   * A faulty response may announce a longer body than the server sends. The client must get a
+   * complete error response before its deadline, and no part of the faulty one.
    */
   @Test
   void aResponseShorterThanItsLengthIsNotForwarded() throws Exception {
-    String at =
-        server(
+    String address =
+        startServer(
             socket -> {
-              head(socket.getInputStream());
-              say(
+              readHead(socket.getInputStream());
+              writeText(
                   socket.getOutputStream(),
                   "HTTP/1.1 200 OK\r\nContent-Length: 1000000\r\n\r\nabc");
               socket.getInputStream().read();
             });
-    EdgeNode node = startNode(config(member("s-0", at, "Ready", 0)));
+    EdgeNode node = startNode(config(member("s-0", address, "Ready", 0)));
     Socket client = client(node);
     client.setSoTimeout(5_500);
     sendRequest(client, "POST /api?slot=4", headers("t-1", "order", "5000"), "book");
-    String head = head(client.getInputStream());
+    String head = readHead(client.getInputStream());
     assertTrue(head.startsWith("HTTP/1.1 5"), head);
   }
 
   @Test
-  void aLongAnswerThatBreaksEndsTheConnectionShort() throws Exception {
-    String at =
-        server(
+  void aLongResponseCutOffByTheServerEndsTheClientConnectionEarly() throws Exception {
+    String address =
+        startServer(
             socket -> {
-              head(socket.getInputStream());
-              say(
+              readHead(socket.getInputStream());
+              writeText(
                   socket.getOutputStream(),
                   "HTTP/1.1 200 OK\r\nContent-Length: " + BODY.length + "\r\n\r\n");
               socket.getOutputStream().write(BODY, 0, BODY.length / 2);
               socket.close();
             });
-    EdgeNode node = startNode(config(member("s-0", at, "Ready", 0)));
+    EdgeNode node = startNode(config(member("s-0", address, "Ready", 0)));
     Socket client = client(node);
-    say(client.getOutputStream(), lookup("t-1", "HTTP/1.1"));
-    assertTrue(head(client.getInputStream()).contains("200"));
+    writeText(client.getOutputStream(), lookupRequest("t-1", "HTTP/1.1"));
+    assertTrue(readHead(client.getInputStream()).contains("200"));
     assertTrue(client.getInputStream().readAllBytes().length < BODY.length);
     while (!node.metrics.render().contains("app.handled.lookup.bad_gateway=1")) {
       assertTrue(!Thread.interrupted(), node.metrics.render());
@@ -207,8 +215,14 @@
     assertTrue(node.metrics.render().contains("app.in_progress=0"));
   }
 
-  /** What an answer is begun as, and how its client's request is written. */
-  private record Form(String framing, boolean endless, String version) {
+  /**
+   * A response that stays incomplete.
+   *
+   * @param framing name of the header that frames the body, or {@code Connection: close}
+   * @param endless whether the server keeps sending rather than stops
+   * @param version HTTP version of the client's request
+   */
+  private record IncompleteResponse(String framing, boolean endless, String version) {
     String path() {
       return "/api?"
           + (framing.startsWith("T")
@@ -218,14 +232,17 @@
     }
   }
 
-  /** Answers are usual so soon that a request with little time is not turned away. */
-  private String hasty(String... members) throws IOException {
+  /**
+   * A configuration with a short latency objective, so that a request with little time to its
+   * deadline isn't rejected.
+   */
+  private String configWithShortLatencyObjective(String... members) throws IOException {
     return config(members).replace("\"aim-ns\": 10000000000", "\"aim-ns\": 800000000");
   }
 
   /**
-   * A server that stops behind what is held, or goes on without end, once left its client with
-   * neither an end nor a break: for 8 s, or for good.
+   * Guards against leaving a client without the end or a reset of its response, for 8 s or for
+   * ever, when the server stops after the part that the node buffers or sends without end.
    */
   @Test
   void aResponseIncompleteAtItsDeadlineIsResetSoThatTheClientCanTell() throws Exception {
@@ -234,69 +251,74 @@
         peer(
             m -> {
               OutputStream out = m.socket().getOutputStream();
-              if (m.first().contains("whole")) {
-                // More than the system holds on its way.
-                say(out, "HTTP/1.1 200 OK\r\nContent-Length: " + 11 * BODY.length + "\r\n\r\n");
+              if (m.first().contains("complete")) {
+                // More than the buffers of the kernel and the node hold.
+                writeText(
+                    out, "HTTP/1.1 200 OK\r\nContent-Length: " + 11 * BODY.length + "\r\n\r\n");
                 for (int i = 0; i < 11; i++) {
                   out.write(BODY);
                 }
                 return;
               }
-              boolean chunks = m.first().contains("chunked");
-              say(
+              boolean chunked = m.first().contains("chunked");
+              writeText(
                   out,
                   "HTTP/1.1 200 OK\r\n"
-                      + (chunks
+                      + (chunked
                           ? "Transfer-Encoding: chunked"
                           : m.first().contains("length")
                               ? "Content-Length: 2000000000"
                               : "Connection: close")
                       + "\r\n\r\n");
-              // Endless means for longer than anybody waits here.
+              // "Endless" is 3000 pieces at intervals of 5 ms, longer than any client here waits.
               for (int i = 0; i < (m.first().contains("endless") ? 3_000 : 5); i++) {
-                say(out, chunks ? Integer.toHexString(piece.length) + "\r\n" : "");
+                writeText(out, chunked ? Integer.toHexString(piece.length) + "\r\n" : "");
                 out.write(piece);
-                say(out, chunks ? "\r\n" : "");
+                writeText(out, chunked ? "\r\n" : "");
                 Thread.sleep(5);
               }
               m.socket().getInputStream().read();
             });
-    EdgeNode node = startNode(hasty(member("s-0", server.address(), "Ready", 0)));
+    EdgeNode node =
+        startNode(configWithShortLatencyObjective(member("s-0", server.address(), "Ready", 0)));
     Socket slow = client(node);
     slow.setReceiveBufferSize(64 << 10);
-    say(slow.getOutputStream(), lookup("t-slow", "HTTP/1.1").replace("/api", "/api?whole"));
-    assertTrue(head(slow.getInputStream()).contains("200"));
+    writeText(
+        slow.getOutputStream(),
+        lookupRequest("t-slow", "HTTP/1.1").replace("/api", "/api?complete"));
+    assertTrue(readHead(slow.getInputStream()).contains("200"));
     assertArrayEquals(BODY, slow.getInputStream().readNBytes(BODY.length));
-    List<CompletableFuture<String>> told = new ArrayList<>();
-    List<Form> forms = new ArrayList<>();
+    List<CompletableFuture<String>> results = new ArrayList<>();
+    List<IncompleteResponse> responses = new ArrayList<>();
     for (String framing :
         new String[] {"Content-Length", "Transfer-Encoding", "Connection: close"}) {
       for (String version : new String[] {"HTTP/1.1", "HTTP/1.0"}) {
-        forms.add(new Form(framing, false, version));
-        forms.add(new Form(framing, true, version));
+        responses.add(new IncompleteResponse(framing, false, version));
+        responses.add(new IncompleteResponse(framing, true, version));
       }
     }
-    for (Form form : forms) {
+    for (IncompleteResponse response : responses) {
       Socket client = client(node);
       client.setSoTimeout(3_000);
-      String id = "t-" + forms.indexOf(form);
-      told.add(
+      String id = "t-" + responses.indexOf(response);
+      results.add(
           CompletableFuture.supplyAsync(
               () ->
-                  end(
+                  readUntilEnd(
                       client,
-                      lookup(id, form.version())
-                          .replace("/api", form.path())
+                      lookupRequest(id, response.version())
+                          .replace("/api", response.path())
                           .replace("20000", "1500")
                           .replace(
                               "customer=0000000000000007",
                               "customer=" + "%016x".formatted(id.hashCode() & 0xffff))),
               task -> new Thread(task).start()));
     }
-    for (Form form : forms) {
-      assertEquals("cut in time", told.get(forms.indexOf(form)).get(), form.toString());
+    for (IncompleteResponse response : responses) {
+      assertEquals(
+          "truncated in time", results.get(responses.indexOf(response)).get(), response.toString());
     }
-    // Inside its own time an answer goes on, however slowly it is taken.
+    // Before its deadline a response is continued, however slowly the client reads it.
     for (int i = 1; i < 11; i++) {
       assertArrayEquals(BODY, slow.getInputStream().readNBytes(BODY.length), "part " + i);
     }
@@ -310,57 +332,62 @@
   }
 
   /**
-   * Reads an answer to its end; what a client could tell of that, whose time is 1.5 s, and lost
-   * from 2 s on.
+   * Sends a request with a deadline of 1.5 s and reads its response until the connection ends.
+   *
+   * @return {@code truncated in time} if the client could tell that the response is incomplete, and
+   *     the connection ended 1.45 s to 2 s after the request; otherwise what happened
    */
-  private static String end(Socket client, String request) {
-    long began = System.nanoTime();
-    StringBuilder all = new StringBuilder();
+  private static String readUntilEnd(Socket client, String request) {
+    long startedAtNanos = System.nanoTime();
+    StringBuilder received = new StringBuilder();
     boolean reset = false;
     try {
-      say(client.getOutputStream(), request);
-      byte[] some = new byte[65_536];
-      for (int n = client.getInputStream().read(some);
+      writeText(client.getOutputStream(), request);
+      byte[] buffer = new byte[65_536];
+      for (int n = client.getInputStream().read(buffer);
           n >= 0;
-          n = client.getInputStream().read(some)) {
-        all.append(new String(some, 0, n, StandardCharsets.ISO_8859_1));
+          n = client.getInputStream().read(buffer)) {
+        received.append(new String(buffer, 0, n, StandardCharsets.ISO_8859_1));
       }
     } catch (SocketTimeoutException e) {
-      return "neither an end nor a break 3 s after the last byte, " + all.length() + " bytes";
+      return "neither an end nor a reset 3 s after the last byte, " + received.length() + " bytes";
     } catch (IOException e) {
       reset = true;
     }
-    long ms = (System.nanoTime() - began) / 1_000_000;
-    boolean begun = all.indexOf("HTTP/1.1 200") == 0 && all.length() > 64 << 10;
-    boolean seen =
+    long elapsedMillis = (System.nanoTime() - startedAtNanos) / 1_000_000;
+    boolean started = received.indexOf("HTTP/1.1 200") == 0 && received.length() > 64 << 10;
+    boolean truncationDetectable =
         reset
-            || all.indexOf("Content-Length") > 0
-            || all.indexOf("chunked") > 0 && all.lastIndexOf("0\r\n\r\n") != all.length() - 5;
-    return begun && seen && ms >= 1_450 && ms < 2_000
-        ? "cut in time"
-        : (begun ? "begun" : "not begun")
-            + (seen ? ", seen as cut" : ", taken for whole")
+            || received.indexOf("Content-Length") > 0
+            || received.indexOf("chunked") > 0
+                && received.lastIndexOf("0\r\n\r\n") != received.length() - 5;
+    return started && truncationDetectable && elapsedMillis >= 1_450 && elapsedMillis < 2_000
+        ? "truncated in time"
+        : (started ? "started" : "not started")
+            + (truncationDetectable ? ", detectable as truncated" : ", taken for complete")
             + " after "
-            + ms
+            + elapsedMillis
             + " ms";
   }
 
   /**
-   * All of it is here, and its client takes none of it: beyond its time it is cut, unless a further
-   * request would be lost.
+   * The node has the complete response, but the client reads none of it: after the deadline the
+   * connection is reset, unless a further request on it would be lost.
    */
   @Test
   void aCompleteResponseUnreadAtItsDeadlineIsResetUnlessAnotherRequestIsQueued() throws Exception {
-    for (boolean behind : new boolean[] {false, true}) {
-      EdgeNode node = startNode(hasty(member("s-0", "127.0.0.1:1", "Ready", 0)));
+    for (boolean anotherQueued : new boolean[] {false, true}) {
+      EdgeNode node =
+          startNode(configWithShortLatencyObjective(member("s-0", "127.0.0.1:1", "Ready", 0)));
       EmbeddedChannel client =
           node.loop
               .submit(
                   () -> {
                     EmbeddedChannel server = new EmbeddedChannel(node.upstreamPool.handlers());
                     node.upstreamPool.adopt("s-0", server);
-                    EmbeddedChannel made = new EmbeddedChannel(node.clients.handlers());
-                    made.pipeline()
+                    EmbeddedChannel clientChannel = new EmbeddedChannel(node.clients.handlers());
+                    clientChannel
+                        .pipeline()
                         .addFirst(
                             new ChannelOutboundHandlerAdapter() {
                               @Override
@@ -368,13 +395,14 @@
                                   ChannelHandlerContext context,
                                   Object message,
                                   ChannelPromise promise) {
-                                // The system has no room for it.
+                                // Never completes the write, as if the socket's send buffer were
+                                // full.
                                 ReferenceCountUtil.release(message);
                               }
                             });
-                    made.writeInbound(
+                    clientChannel.writeInbound(
                         Unpooled.copiedBuffer(
-                            lookup("t-1", "HTTP/1.1").replace("20000", "300"),
+                            lookupRequest("t-1", "HTTP/1.1").replace("20000", "300"),
                             StandardCharsets.US_ASCII));
                     server.releaseOutbound();
                     server.writeInbound(
@@ -383,180 +411,196 @@
                             StandardCharsets.US_ASCII),
                         Unpooled.wrappedBuffer(BODY, 0, 70_000),
                         Unpooled.wrappedBuffer(BODY, 70_000, 30_000));
-                    if (behind) {
-                      made.writeInbound(
+                    if (anotherQueued) {
+                      clientChannel.writeInbound(
                           Unpooled.copiedBuffer(
-                              lookup("t-2", "HTTP/1.1"), StandardCharsets.US_ASCII));
+                              lookupRequest("t-2", "HTTP/1.1"), StandardCharsets.US_ASCII));
                     }
-                    return made;
+                    return clientChannel;
                   })
               .get();
       assertTrue(client.isActive());
-      long began = System.nanoTime();
+      long startedAtNanos = System.nanoTime();
       while (node.loop.submit(client::isActive).get()
-          && System.nanoTime() - began < 1_000_000_000L) {
+          && System.nanoTime() - startedAtNanos < 1_000_000_000L) {
         Thread.onSpinWait();
       }
-      assertEquals(behind, client.isActive(), "with another behind it: " + behind);
+      assertEquals(
+          anotherQueued, client.isActive(), "with another request queued: " + anotherQueued);
     }
   }
 
-  /** A client that does not read must not have the whole answer wait in memory. */
+  /** The response to a client that reads slowly must not be buffered completely in memory. */
   @Test
-  void aSlowReaderSlowsItsUpstream() throws Exception {
-    CompletableFuture<Integer> stuck = new CompletableFuture<>();
-    String at =
-        server(
+  void aSlowClientAppliesBackpressureToTheServer() throws Exception {
+    CompletableFuture<Integer> firstPart = new CompletableFuture<>();
+    String address =
+        startServer(
             socket -> {
-              head(socket.getInputStream());
-              say(socket.getOutputStream(), "HTTP/1.1 200 OK\r\nContent-Length: 33000000\r\n\r\n");
+              readHead(socket.getInputStream());
+              writeText(
+                  socket.getOutputStream(), "HTTP/1.1 200 OK\r\nContent-Length: 33000000\r\n\r\n");
               for (int i = 0; i < 11; i++) {
                 socket.getOutputStream().write(BODY);
-                stuck.complete(i);
+                firstPart.complete(i);
               }
             });
-    EdgeNode node = startNode(config(member("s-0", at, "Ready", 0)));
+    EdgeNode node = startNode(config(member("s-0", address, "Ready", 0)));
     Socket client = client(node);
     client.setReceiveBufferSize(64 << 10);
-    say(client.getOutputStream(), lookup("t-1", "HTTP/1.1"));
-    head(client.getInputStream());
-    long before = PooledByteBufAllocator.DEFAULT.metric().usedDirectMemory();
+    writeText(client.getOutputStream(), lookupRequest("t-1", "HTTP/1.1"));
+    readHead(client.getInputStream());
+    long bytesBefore = PooledByteBufAllocator.DEFAULT.metric().usedDirectMemory();
     for (int i = 0; i < 11; i++) {
       assertArrayEquals(BODY, client.getInputStream().readNBytes(BODY.length), "part " + i);
-      long now = PooledByteBufAllocator.DEFAULT.metric().usedDirectMemory();
-      assertTrue(now - before < 12 << 20, "memory for buffers grew by " + (now - before));
+      long bytesNow = PooledByteBufAllocator.DEFAULT.metric().usedDirectMemory();
+      assertTrue(
+          bytesNow - bytesBefore < 12 << 20,
+          "buffer memory grew by " + (bytesNow - bytesBefore) + " bytes");
     }
   }
 
   @Test
-  void aLongRequestIsForwardedWholeInEachFraming() throws Exception {
-    BlockingQueue<byte[]> came = new LinkedBlockingQueue<>();
-    String at =
-        server(
+  void aLongRequestIsForwardedCompletelyInEachFraming() throws Exception {
+    BlockingQueue<byte[]> receivedBodies = new LinkedBlockingQueue<>();
+    String address =
+        startServer(
             socket -> {
-              for (String head = head(socket.getInputStream());
+              for (String head = readHead(socket.getInputStream());
                   head != null;
-                  head = head(socket.getInputStream())) {
-                came.add(
+                  head = readHead(socket.getInputStream())) {
+                receivedBodies.add(
                     head.contains("chunked")
-                        ? unchunk(socket.getInputStream())
+                        ? decodeChunked(socket.getInputStream())
                         : socket
                             .getInputStream()
                             .readNBytes(
                                 Integer.parseInt(
                                     head.replaceAll("(?is).*content-length: (\\d+).*", "$1"))));
-                say(socket.getOutputStream(), FakePeer.ok("", "done"));
+                writeText(socket.getOutputStream(), FakePeer.ok("", "done"));
               }
             });
-    EdgeNode node = startNode(config(member("s-0", at, "Ready", 0)));
+    EdgeNode node = startNode(config(member("s-0", address, "Ready", 0)));
     Socket client = client(node);
-    say(
+    writeText(
         client.getOutputStream(),
         orderRequest("t-1", "Expect: 100-continue\r\nContent-Length: " + BODY.length));
-    assertTrue(head(client.getInputStream()).startsWith("HTTP/1.1 100"));
+    assertTrue(readHead(client.getInputStream()).startsWith("HTTP/1.1 100"));
     client.getOutputStream().write(BODY);
     assertEquals("done", FakePeer.read(client).body());
-    assertArrayEquals(BODY, came.poll(30, TimeUnit.SECONDS));
-    say(client.getOutputStream(), orderRequest("t-2", "Transfer-Encoding: chunked"));
-    client.getOutputStream().write(chunked(BODY));
-    // The next one comes right behind it.
+    assertArrayEquals(BODY, receivedBodies.poll(30, TimeUnit.SECONDS));
+    writeText(client.getOutputStream(), orderRequest("t-2", "Transfer-Encoding: chunked"));
+    client.getOutputStream().write(encodeChunked(BODY));
+    // The next request follows on the same connection without waiting for the response.
     sendOrder(client, "t-3");
     assertEquals("done", FakePeer.read(client).body());
-    assertArrayEquals(BODY, came.poll(30, TimeUnit.SECONDS));
+    assertArrayEquals(BODY, receivedBodies.poll(30, TimeUnit.SECONDS));
     assertEquals("done", FakePeer.read(client).body());
-    assertEquals("book", new String(came.poll(30, TimeUnit.SECONDS), StandardCharsets.UTF_8));
+    assertEquals(
+        "book", new String(receivedBodies.poll(30, TimeUnit.SECONDS), StandardCharsets.UTF_8));
   }
 
-  /** A part of it was let go, so that no second server may get what would not be whole. */
+  /**
+   * The node no longer holds the first part of a long request that it forwards, so another server
+   * would get an incomplete one.
+   */
   @Test
   void aForwardedLongRequestIsNotRetried() throws Exception {
     BlockingQueue<String> heads = new LinkedBlockingQueue<>();
-    Script cut =
+    ConnectionScript closeMidBody =
         socket -> {
-          heads.add(head(socket.getInputStream()));
+          heads.add(readHead(socket.getInputStream()));
           socket.getInputStream().readNBytes(BODY.length / 2);
           socket.close();
         };
     EdgeNode node =
         startNode(
-            config(member("s-0", server(cut), "Ready", 0), member("s-1", server(cut), "Ready", 0)));
+            config(
+                member("s-0", startServer(closeMidBody), "Ready", 0),
+                member("s-1", startServer(closeMidBody), "Ready", 0)));
     Socket client = client(node);
-    say(client.getOutputStream(), orderRequest("t-1", "Content-Length: " + BODY.length));
+    writeText(client.getOutputStream(), orderRequest("t-1", "Content-Length: " + BODY.length));
     CompletableFuture.runAsync(
         () -> {
           try {
             client.getOutputStream().write(BODY);
           } catch (IOException e) {
-            // It ends before all of it is taken.
+            // The connection may end before the complete body is written.
           }
         });
-    String head = head(client.getInputStream());
-    // Whether its connection ends depends on how much of it the kernel took before.
+    String head = readHead(client.getInputStream());
+    // Whether the connection then ends depends on how much of the body the kernel had accepted.
     assertTrue(head.startsWith("HTTP/1.1 50"), head);
     assertEquals(1, heads.size());
   }
 
-  /** The client leaves in the midst of it: its server must not wait for the rest. */
+  /** When a client disconnects during a body, the server must not wait for the rest. */
   @Test
-  void aClientThatLeavesEndsBothWays() throws Exception {
-    BlockingQueue<String> ended = new LinkedBlockingQueue<>();
-    String at =
-        server(
+  void aDisconnectingClientEndsItsUploadOrDownload() throws Exception {
+    BlockingQueue<String> ends = new LinkedBlockingQueue<>();
+    String address =
+        startServer(
             socket -> {
               InputStream in = socket.getInputStream();
-              if (head(in).startsWith("POST")) {
-                int left = in.readAllBytes().length;
-                ended.add(left < BODY.length ? "short" : "whole");
+              if (readHead(in).startsWith("POST")) {
+                int receivedBytes = in.readAllBytes().length;
+                ends.add(receivedBytes < BODY.length ? "incomplete" : "complete");
                 return;
               }
-              say(socket.getOutputStream(), "HTTP/1.1 200 OK\r\nContent-Length: 30000000\r\n\r\n");
+              writeText(
+                  socket.getOutputStream(), "HTTP/1.1 200 OK\r\nContent-Length: 30000000\r\n\r\n");
               try {
                 for (int i = 0; i < 10; i++) {
                   socket.getOutputStream().write(BODY);
                 }
               } catch (IOException e) {
-                ended.add("cut");
+                ends.add("write failed");
               }
             });
-    EdgeNode node = startNode(config(member("s-0", at, "Ready", 0)));
-    Socket up = client(node);
-    say(up.getOutputStream(), orderRequest("t-1", "Content-Length: " + BODY.length));
-    up.getOutputStream().write(BODY, 0, 1_000_000);
-    up.close();
-    assertEquals("short", ended.poll(30, TimeUnit.SECONDS));
-    Socket down = client(node);
-    say(down.getOutputStream(), lookup("t-2", "HTTP/1.1"));
-    head(down.getInputStream());
-    down.close();
-    assertEquals("cut", ended.poll(30, TimeUnit.SECONDS));
+    EdgeNode node = startNode(config(member("s-0", address, "Ready", 0)));
+    Socket uploading = client(node);
+    writeText(uploading.getOutputStream(), orderRequest("t-1", "Content-Length: " + BODY.length));
+    uploading.getOutputStream().write(BODY, 0, 1_000_000);
+    uploading.close();
+    assertEquals("incomplete", ends.poll(30, TimeUnit.SECONDS));
+    Socket downloading = client(node);
+    writeText(downloading.getOutputStream(), lookupRequest("t-2", "HTTP/1.1"));
+    readHead(downloading.getInputStream());
+    downloading.close();
+    assertEquals("write failed", ends.poll(30, TimeUnit.SECONDS));
     while (!node.metrics.render().contains("app.in_progress=0")) {
       assertTrue(!Thread.interrupted(), node.metrics.render());
     }
   }
 
   @Test
-  void aHeadRequestGetsNoBodyAndAnUnknownExpectationANo() throws Exception {
+  void aHeadRequestGetsNoBodyAndAnUnknownExpectationGets417() throws Exception {
     EdgeNode node = startNode(peer(m -> m.answer(FakePeer.ok("", "x"))));
     Socket client = client(node);
-    say(client.getOutputStream(), "HEAD /_health HTTP/1.1\r\n\r\nGET /nowhere HTTP/1.1\r\n\r\n");
-    assertTrue(head(client.getInputStream()).startsWith("HTTP/1.1 405"));
-    assertTrue(head(client.getInputStream()).startsWith("HTTP/1.1 404"));
+    writeText(
+        client.getOutputStream(), "HEAD /_health HTTP/1.1\r\n\r\nGET /nowhere HTTP/1.1\r\n\r\n");
+    assertTrue(readHead(client.getInputStream()).startsWith("HTTP/1.1 405"));
+    assertTrue(readHead(client.getInputStream()).startsWith("HTTP/1.1 404"));
     Socket other = client(node);
-    say(other.getOutputStream(), orderRequest("t-1", "Expect: a-miracle\r\nContent-Length: 4"));
+    writeText(
+        other.getOutputStream(), orderRequest("t-1", "Expect: a-miracle\r\nContent-Length: 4"));
     assertEquals("417", status(FakePeer.read(other)));
     assertNull(FakePeer.read(other));
   }
 
-  /** A second request on a connection that stops half-way once kept its place for good. */
+  /**
+   * Guards against a connection that occupies its slot for ever when the client stops halfway
+   * through its second request.
+   */
   @Test
   void aClientThatStallsInALaterRequestIsTimedOut() throws Exception {
     EdgeNode node = startNode(peer(m -> m.answer(FakePeer.ok("", "x"))));
-    for (String part :
+    for (String incomplete :
         new String[] {"GET /api HT", "POST /api HTTP/1.1\r\nContent-Length: 9\r\n\r\nha"}) {
       Socket client = client(node);
-      assertEquals("200", exchangeOrder(client, "t-" + part.length()));
-      say(client.getOutputStream(), part);
-      assertNull(FakePeer.read(client), part);
+      assertEquals("200", exchangeOrder(client, "t-" + incomplete.length()));
+      writeText(client.getOutputStream(), incomplete);
+      assertNull(FakePeer.read(client), incomplete);
     }
   }
 }
--- a/edge/src/test/java/edgegateway/node/NodeTest.java
+++ b/edge/src/test/java/edgegateway/node/NodeTest.java
@@ -85,6 +85,7 @@
     return startNode(config, null);
   }
 
+  /** Starts a node that keeps its files in the given folder, or keeps none if that is null. */
   EdgeNode startNode(String config, Path folder) throws Exception {
     EdgeNode node = new EdgeNode(NodeConfigParser.parse(config), folder);
     toClose.add(node);
--- a/edge/src/test/java/edgegateway/node/TestCertificate.java
+++ b/edge/src/test/java/edgegateway/node/TestCertificate.java
@@ -18,8 +18,8 @@
   private final Path key;
   private final KeyStore trustStore = KeyStore.getInstance(KeyStore.getDefaultType());
 
-  TestCertificate(Path folder) throws GeneralSecurityException, IOException, InterruptedException {
-    Path keyStoreFile = folder.resolve("store.p12");
+  TestCertificate(Path dir) throws GeneralSecurityException, IOException, InterruptedException {
+    Path keyStoreFile = dir.resolve("store.p12");
     Process keytool =
         new ProcessBuilder(
                 Path.of(System.getProperty("java.home"), "bin", "keytool").toString(),
@@ -45,25 +45,22 @@
     if (keytool.waitFor() != 0) {
       throw new IOException("keytool failed to generate a certificate");
     }
-    KeyStore keyStore = KeyStore.getInstance("PKCS12");
+    KeyStore keys = KeyStore.getInstance("PKCS12");
     try (InputStream in = Files.newInputStream(keyStoreFile)) {
-      keyStore.load(in, PASSWORD);
+      keys.load(in, PASSWORD);
     }
     certificate =
-        writePem(
-            folder.resolve("certificate.pem"),
+        toPem(
+            dir.resolve("certificate.pem"),
             "CERTIFICATE",
-            keyStore.getCertificate("node").getEncoded());
-    key =
-        writePem(
-            folder.resolve("key.pem"),
-            "PRIVATE KEY",
-            keyStore.getKey("node", PASSWORD).getEncoded());
+            keys.getCertificate("node").getEncoded());
+    key = toPem(dir.resolve("key.pem"), "PRIVATE KEY", keys.getKey("node", PASSWORD).getEncoded());
     trustStore.load(null);
-    trustStore.setCertificateEntry("node", keyStore.getCertificate("node"));
+    trustStore.setCertificateEntry("node", keys.getCertificate("node"));
   }
 
-  private static Path writePem(Path file, String label, byte[] content) throws IOException {
+  /** Writes a PEM file and returns its path. */
+  private static Path toPem(Path file, String label, byte[] content) throws IOException {
     String text =
         Base64.getMimeEncoder(64, "\n".getBytes(StandardCharsets.US_ASCII)).encodeToString(content);
     return Files.writeString(
--- a/edge/src/test/java/edgegateway/node/TlsTest.java
+++ b/edge/src/test/java/edgegateway/node/TlsTest.java
@@ -28,32 +28,35 @@
 import org.junit.jupiter.api.Timeout;
 import org.junit.jupiter.api.io.TempDir;
 
-/** Clients' connections by TLS, on loopback sockets. */
+/** Tests TLS connections of clients on loopback sockets. */
 @Timeout(120)
 class TlsTest extends NodeTest {
   @TempDir static Path folder;
   private static TestCertificate certificate;
-  private SSLContext client;
+  private SSLContext clientContext;
 
   @BeforeEach
-  void trust() throws Exception {
+  void createClientContext() throws Exception {
     if (certificate == null) {
       certificate = new TestCertificate(folder);
     }
-    client = certificate.trustingContext();
+    clientContext = certificate.trustingContext();
   }
 
-  private EdgeNode secured(int handshakes, FakePeer server) throws Exception {
+  private EdgeNode startTlsNode(int maxHandshakes, FakePeer server) throws Exception {
     return startNode(
         config(member("s-0", server.address(), "Ready", 0))
             .replace(
-                "\"counter\"", "\"tls\":" + certificate.tlsSettings(handshakes) + ",\"counter\""));
+                "\"counter\"",
+                "\"tls\":" + certificate.tlsSettings(maxHandshakes) + ",\"counter\""));
   }
 
-  private SSLSocket connect(EdgeNode node, String... protocols) throws IOException {
-    InetSocketAddress at = node.address();
+  /** Connects a client; without protocols, the JDK's default ones are enabled. */
+  private SSLSocket connectTls(EdgeNode node, String... protocols) throws IOException {
+    InetSocketAddress address = node.address();
     SSLSocket socket =
-        (SSLSocket) client.getSocketFactory().createSocket(at.getAddress(), at.getPort());
+        (SSLSocket)
+            clientContext.getSocketFactory().createSocket(address.getAddress(), address.getPort());
     toClose.add(socket);
     socket.setSoTimeout(60_000);
     if (protocols.length > 0) {
@@ -62,23 +65,24 @@
     return socket;
   }
 
-  private static long figure(EdgeNode node, String name) {
+  private static long connectionMetric(EdgeNode node, String name) {
     return Long.parseLong(
         node.metrics.render().replaceAll("(?s).*app.connections." + name + "=(\\d+).*", "$1"));
   }
 
-  private static void await(EdgeNode node, String name, long value) throws InterruptedException {
-    while (figure(node, name) != value) {
+  private static void awaitConnectionMetric(EdgeNode node, String name, long value)
+      throws InterruptedException {
+    while (connectionMetric(node, name) != value) {
       Thread.sleep(5);
     }
   }
 
   @Test
-  void requestsAreServedByBothVersionsAndEndWithANotice() throws Exception {
+  void requestsAreServedInBothTlsVersionsAndEndWithCloseNotify() throws Exception {
     FakePeer server = peer(m -> m.answer(FakePeer.ok("", "x".repeat(50_000))));
-    EdgeNode node = secured(8, server);
+    EdgeNode node = startTlsNode(8, server);
     for (String version : List.of("TLSv1.2", "TLSv1.3")) {
-      SSLSocket socket = connect(node, version);
+      SSLSocket socket = connectTls(node, version);
       for (int i = 0; i < 3; i++) {
         assertEquals("200", exchangeOrder(socket, version + i));
       }
@@ -87,44 +91,47 @@
       last.put("Connection", "close");
       sendRequest(socket, "POST /api", last, "book");
       assertEquals("200", status(FakePeer.read(socket)));
-      // Without the notice this read would throw.
+      // Without close_notify this read would throw.
       assertEquals(-1, socket.getInputStream().read());
     }
-    await(node, "open", 0);
-    assertEquals(0, figure(node, "handshaking"));
+    awaitConnectionMetric(node, "open", 0);
+    assertEquals(0, connectionMetric(node, "handshaking"));
   }
 
   @Test
   void aSessionIsResumed() throws Exception {
-    EdgeNode node = secured(8, peer(m -> m.answer(FakePeer.ok("", "x"))));
+    EdgeNode node = startTlsNode(8, peer(m -> m.answer(FakePeer.ok("", "x"))));
     for (String version : List.of("TLSv1.2", "TLSv1.3")) {
-      client = certificate.trustingContext();
-      SSLSocket first = connect(node, version);
+      clientContext = certificate.trustingContext();
+      SSLSocket first = connectTls(node, version);
       assertEquals("200", exchangeOrder(first, "first" + version));
-      long made = first.getSession().getCreationTime();
+      long sessionCreatedAtMillis = first.getSession().getCreationTime();
       first.close();
       Thread.sleep(20);
-      SSLSocket again = connect(node, version);
-      assertEquals("200", exchangeOrder(again, "again" + version));
-      assertEquals(made, again.getSession().getCreationTime(), version);
-      client = certificate.trustingContext();
-      SSLSocket stranger = connect(node, version);
-      assertEquals("200", exchangeOrder(stranger, "stranger" + version));
-      assertNotEquals(made, stranger.getSession().getCreationTime(), version);
+      SSLSocket resumed = connectTls(node, version);
+      assertEquals("200", exchangeOrder(resumed, "resumed" + version));
+      assertEquals(sessionCreatedAtMillis, resumed.getSession().getCreationTime(), version);
+      clientContext = certificate.trustingContext();
+      SSLSocket other = connectTls(node, version);
+      assertEquals("200", exchangeOrder(other, "other" + version));
+      assertNotEquals(sessionCreatedAtMillis, other.getSession().getCreationTime(), version);
     }
   }
 
   @Test
-  void aLongResponseIsForwardedWhole() throws Exception {
+  void aLongResponseIsForwardedCompletely() throws Exception {
     byte[] body = new byte[400_000];
     FakePeer server =
         peer(m -> m.answer(FakePeer.ok("", new String(body, StandardCharsets.US_ASCII))));
-    SSLSocket socket = connect(secured(8, server));
+    SSLSocket socket = connectTls(startTlsNode(8, server));
     sendOrder(socket, "t-1");
     assertArrayEquals(body, FakePeer.read(socket).body().getBytes(StandardCharsets.US_ASCII));
   }
 
-  /** A body of no length once ended with the notice, which is the end of a whole one. */
+  /**
+   * Guards against ending a truncated body without a length with close_notify, by which the client
+   * takes the body for complete.
+   */
   @Test
   void aTruncatedResponseWithoutLengthEndsWithoutCloseNotify() throws Exception {
     FakePeer server =
@@ -135,7 +142,7 @@
                 .replace("\"aim-ns\": 10000000000", "\"aim-ns\": 800000000")
                 .replace("\"counter\"", "\"tls\":" + certificate.tlsSettings(8) + ",\"counter\""));
     for (String version : List.of("TLSv1.2", "TLSv1.3")) {
-      SSLSocket socket = connect(node, version);
+      SSLSocket socket = connectTls(node, version);
       StringBuilder text = new StringBuilder("GET /api HTTP/1.0\r\n");
       headers(version, "lookup", "1500")
           .forEach((name, value) -> text.append(name).append(": ").append(value).append("\r\n"));
@@ -146,58 +153,62 @@
   }
 
   /**
-   * What is no TLS, a record that is broken, a handshake that stalls: each costs that one
-   * connection.
+   * Bytes that aren't TLS, a malformed record and a handshake that stalls each close only the
+   * connection on which they arrive.
    */
   @Test
-  void aFailedHandshakeCostsOneConnection() throws Exception {
-    EdgeNode node = secured(2, peer(m -> m.answer(FakePeer.ok("", "x"))));
-    SSLSocket well = connect(node);
-    assertEquals("200", exchangeOrder(well, "t-1"));
+  void aFailedHandshakeClosesOnlyItsOwnConnection() throws Exception {
+    EdgeNode node = startTlsNode(2, peer(m -> m.answer(FakePeer.ok("", "x"))));
+    SSLSocket healthy = connectTls(node);
+    assertEquals("200", exchangeOrder(healthy, "t-1"));
     Socket plain = client(node);
     sendOrder(plain, "t-plain");
-    drained(plain);
-    Socket broken = client(node);
-    broken.getOutputStream().write(new byte[] {22, 3, 1, 0, 5, 1, 0, 0, 1, 9});
-    drained(broken);
+    readUntilClosed(plain);
+    Socket malformed = client(node);
+    malformed.getOutputStream().write(new byte[] {22, 3, 1, 0, 5, 1, 0, 0, 1, 9});
+    readUntilClosed(malformed);
     Socket reset = client(node);
     reset.getOutputStream().write(new byte[] {22, 3, 1, 2, 0, 1});
     reset.setSoLinger(true, 0);
     reset.close();
-    long began = System.nanoTime();
+    long startedAtNanos = System.nanoTime();
     List<Socket> stalled = new ArrayList<>();
     for (int i = 0; i < 20; i++) {
       Socket socket = client(node);
       socket.getOutputStream().write(new byte[] {22, 3, 1, 2, 0, 1});
       stalled.add(socket);
     }
-    assertEquals("200", exchangeOrder(well, "t-2"), "nobody else is held up");
+    assertEquals(
+        "200",
+        exchangeOrder(healthy, "t-2"),
+        "stalled handshakes must not delay other connections");
     for (Socket socket : stalled) {
-      drained(socket);
+      readUntilClosed(socket);
     }
-    assertTrue(System.nanoTime() - began < 60_000_000_000L);
-    assertEquals(20, figure(node, "timed_out.handshake"));
-    assertEquals("200", exchangeOrder(connect(node), "t-3"));
-    await(node, "open", 2);
+    assertTrue(System.nanoTime() - startedAtNanos < 60_000_000_000L);
+    assertEquals(20, connectionMetric(node, "timed_out.handshake"));
+    assertEquals("200", exchangeOrder(connectTls(node), "t-3"));
+    awaitConnectionMetric(node, "open", 2);
   }
 
-  /** Reads to the end, whichever that is. */
-  private static void drained(Socket socket) throws IOException {
+  /** Reads until the connection is closed or reset by the node. */
+  private static void readUntilClosed(Socket socket) throws IOException {
     try {
       socket.getInputStream().readAllBytes();
     } catch (IOException e) {
-      assertFalse(e instanceof java.net.SocketTimeoutException, "it is left open");
+      assertFalse(
+          e instanceof java.net.SocketTimeoutException, "the node left the connection open");
     }
   }
 
   @Test
   void handshakesOverTheLimitAreQueued() throws Exception {
-    EdgeNode node = secured(1, peer(m -> m.answer(FakePeer.ok("", "x"))));
-    List<CompletableFuture<String>> all = new ArrayList<>();
+    EdgeNode node = startTlsNode(1, peer(m -> m.answer(FakePeer.ok("", "x"))));
+    List<CompletableFuture<String>> statuses = new ArrayList<>();
     for (int i = 0; i < 12; i++) {
       String id = "t-" + i;
-      SSLSocket socket = connect(node);
-      all.add(
+      SSLSocket socket = connectTls(node);
+      statuses.add(
           CompletableFuture.supplyAsync(
               () -> {
                 try {
@@ -207,47 +218,49 @@
                 }
               }));
     }
-    for (CompletableFuture<String> one : all) {
-      assertEquals("200", one.get());
+    for (CompletableFuture<String> status : statuses) {
+      assertEquals("200", status.get());
     }
   }
 
   @Test
   void aHalfClosedClientGetsItsResponse() throws Exception {
-    CompletableFuture<Void> go = new CompletableFuture<>();
+    CompletableFuture<Void> mayRespond = new CompletableFuture<>();
     FakePeer server =
         peer(
             m -> {
-              go.join();
+              mayRespond.join();
               m.answer(FakePeer.ok("", "x"));
             });
-    EdgeNode node = secured(8, server);
-    SSLSocket socket = connect(node, "TLSv1.3");
+    EdgeNode node = startTlsNode(8, server);
+    SSLSocket socket = connectTls(node, "TLSv1.3");
     sendOrder(socket, "t-1");
     socket.shutdownOutput();
-    await(node, "half_closed", 1);
-    go.complete(null);
-    FakePeer.Message answer = FakePeer.read(socket);
-    while (answer.first().contains(" 100 ")) {
-      answer = FakePeer.read(socket);
+    awaitConnectionMetric(node, "half_closed", 1);
+    mayRespond.complete(null);
+    FakePeer.Message response = FakePeer.read(socket);
+    while (response.first().contains(" 100 ")) {
+      response = FakePeer.read(socket);
     }
-    assertEquals("x", answer.body());
+    assertEquals("x", response.body());
     assertNull(FakePeer.read(socket));
   }
 
   @Test
-  void unusableCertificatesAreNamed() throws Exception {
-    Path broken = folder.resolve("broken.pem");
-    Files.writeString(broken, "-----BEGIN CERTIFICATE-----\nnonsense\n-----END CERTIFICATE-----\n");
+  void errorsForUnusableCertificatesNameTheSettings() throws Exception {
+    Path invalidFile = folder.resolve("broken.pem");
+    Files.writeString(
+        invalidFile, "-----BEGIN CERTIFICATE-----\nnonsense\n-----END CERTIFICATE-----\n");
     for (String settings :
         List.of(
             "{\"certificate\":\"/nowhere\",\"key\":\"/nowhere\"}",
-            "{\"certificate\":\"" + broken + "\",\"key\":\"" + broken + "\"}")) {
+            "{\"certificate\":\"" + invalidFile + "\",\"key\":\"" + invalidFile + "\"}")) {
       NodeConfig config =
           NodeConfigParser.parse(
               config().replace("\"counter\"", "\"tls\":" + settings + ",\"counter\""));
-      String said = assertThrows(IOException.class, () -> new EdgeNode(config, null)).getMessage();
-      assertTrue(said.startsWith("tls.certificate or tls.key cannot be used"), said);
+      String message =
+          assertThrows(IOException.class, () -> new EdgeNode(config, null)).getMessage();
+      assertTrue(message.startsWith("tls.certificate or tls.key cannot be used"), message);
     }
     for (String settings :
         List.of(
