--- a/edge/src/main/java/edgegateway/node/OperatorCommandService.java
+++ b/edge/src/main/java/edgegateway/node/OperatorCommandService.java
@@ -86,7 +86,7 @@
 
   @Override
   public CompletableFuture<String> drain(boolean on) {
-    return runOnLoop(() -> clients.drain(on) ? null : "this process ends");
+    return runOnLoop(() -> clients.setDraining(on) ? null : "this process ends");
   }
 
   @Override
--- a/edge/src/test/java/edgegateway/node/LongBodyTest.java
+++ b/edge/src/test/java/edgegateway/node/LongBodyTest.java
@@ -385,7 +385,7 @@
                   () -> {
                     EmbeddedChannel server = new EmbeddedChannel(node.upstreamPool.handlers());
                     node.upstreamPool.adopt("s-0", server);
-                    EmbeddedChannel clientChannel = new EmbeddedChannel(node.clients.handlers());
+                    EmbeddedChannel clientChannel = new EmbeddedChannel(node.clients.newHandlers());
                     clientChannel
                         .pipeline()
                         .addFirst(
--- a/edge/src/test/java/edgegateway/node/clients/FakeRequestHandler.java
+++ b/edge/src/test/java/edgegateway/node/clients/FakeRequestHandler.java
@@ -6,12 +6,12 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** A node that records what the clients' side reports, on a clock of its own. */
+/** Request handler that records the reported requests and has a clock that tests set. */
 final class FakeRequestHandler implements ClientRequestHandler {
   long nowNanos;
   boolean healthy = true;
 
-  /** Whether ids are in flight already. */
+  /** Whether every request's id counts as already in flight. */
   boolean duplicate;
 
   final List<InFlightRequest> accepted = new ArrayList<>();
@@ -24,8 +24,8 @@
   }
 
   @Override
-  public long policyDeadlineNanos(long now, long waitNanos) {
-    return now + waitNanos;
+  public long policyDeadlineNanos(long now, long clientTimeoutNanos) {
+    return now + clientTimeoutNanos;
   }
 
   @Override
@@ -52,7 +52,7 @@
   public void bodyForwarded(InFlightRequest request) {}
 
   @Override
-  public void uploadCompleted(InFlightRequest request, long waitNanos) {}
+  public void uploadCompleted(InFlightRequest request, long clientTimeoutNanos) {}
 
   @Override
   public void responseEnded(InFlightRequest request, RequestEnd end) {}
