--- a/edge/src/test/java/edgegateway/node/LongBodyTest.java
+++ b/edge/src/test/java/edgegateway/node/LongBodyTest.java
@@ -456,7 +456,7 @@
       long bytesNow = PooledByteBufAllocator.DEFAULT.metric().usedDirectMemory();
       assertTrue(
           bytesNow - bytesBefore < 12 << 20,
-          "buffer memory grew by " + (bytesNow - bytesBefore) + " bytes");
+          "growth of buffer memory in bytes: " + (bytesNow - bytesBefore));
     }
   }
 
