--- a/edge/src/test/java/edgegateway/node/EdgeNodeTest.java
+++ b/edge/src/test/java/edgegateway/node/EdgeNodeTest.java
@@ -51,13 +51,14 @@
       assertEquals("200", status(response));
       assertEquals("done", response.body());
       FakePeer.Message forwarded = server.next();
-      assertEquals("POST /api?slot=4 HTTP/1.1", forwarded.first());
+      assertEquals("POST /api?slot=4 HTTP/1.1", forwarded.startLine());
       assertEquals("book", forwarded.body());
       assertEquals(id, forwarded.headers().get("x-trace-id"));
       assertEquals("key-" + id, forwarded.headers().get("idempotency-key"));
       assertTrue(Long.parseLong(forwarded.headers().get("x-expires-in-ms")) <= 20_000);
     }
-    assertTrue(server.ended.isEmpty(), "both requests must use the same upstream connection");
+    assertTrue(
+        server.closedConnections.isEmpty(), "both requests must use the same upstream connection");
   }
 
   /**
@@ -81,7 +82,7 @@
         WarmUp.run(NodeConfigParser.parse(config(member("s-0", server.address(), "Ready", 0))))
             > 0);
     for (FakePeer peer : List.of(server, counter, discovery)) {
-      assertTrue(peer.seen.isEmpty());
+      assertTrue(peer.received.isEmpty());
     }
     assertEquals(
         0,
@@ -166,7 +167,7 @@
     Socket garbage = client(node);
     garbage.getOutputStream().write("\u0001noise\r\n\r\n".getBytes(StandardCharsets.UTF_8));
     assertEquals("400", status(FakePeer.read(garbage)));
-    assertTrue(server.seen.isEmpty(), "no invalid request may reach an archive server");
+    assertTrue(server.received.isEmpty(), "no invalid request may reach an archive server");
   }
 
   @Test
@@ -195,7 +196,7 @@
       sendRequest(client, "POST /api", headers, "0\r\n\r\n");
       assertEquals("400", status(FakePeer.read(client)), duplicate);
     }
-    assertTrue(server.seen.isEmpty());
+    assertTrue(server.received.isEmpty());
   }
 
   /**
@@ -269,7 +270,8 @@
       sendRequest(client, "POST /api", headers("t-1", "strict", "20000"), "book");
       assertEquals("502", status(FakePeer.read(client)), response);
       server.next();
-      assertTrue(server.seen.isEmpty(), "the request must have been sent only once: " + response);
+      assertTrue(
+          server.received.isEmpty(), "the request must have been sent only once: " + response);
     }
   }
 
@@ -359,7 +361,7 @@
     assertEquals("502", status(FakePeer.read(client)));
     server.next();
     assertNotNull(
-        server.ended.poll(60, TimeUnit.SECONDS),
+        server.closedConnections.poll(60, TimeUnit.SECONDS),
         "the connection to the unresponsive server must be closed");
   }
 
@@ -413,7 +415,7 @@
     discovery =
         peer(
             m -> {
-              if (m.first().contains("after=5")) {
+              if (m.startLine().contains("after=5")) {
                 mayRespond.join();
                 m.answer(
                     "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
@@ -428,16 +430,16 @@
     sendOrder(client, "t-1");
     assertEquals("old", FakePeer.read(client).body());
     mayRespond.complete(null);
-    String requestLine = discovery.next().first();
+    String requestLine = discovery.next().startLine();
     assertTrue(requestLine.contains("watch=1&after=5"));
     while (requestLine.contains("watch=1&after=5")) {
       // The first watch was without a response, so the node opened another beside it.
-      requestLine = discovery.next().first();
+      requestLine = discovery.next().startLine();
     }
     assertTrue(requestLine.contains("watch=1&after=8"), requestLine);
     // The server has restarted at another address: the connection to the old address is closed, and
     // the new address is used.
-    assertNotNull(old.ended.poll(60, TimeUnit.SECONDS));
+    assertNotNull(old.closedConnections.poll(60, TimeUnit.SECONDS));
     sendOrder(client, "t-2");
     assertEquals("new", FakePeer.read(client).body());
   }
@@ -458,20 +460,20 @@
     counter = peer(m -> m.answer(FakePeer.ok("", "1")));
     Files.writeString(file, config(member("s-0", server.address(), "Ready", 0)));
     sendSignal(process, "HUP");
-    assertTrue(discovery.next().first().contains("watch=1"));
+    assertTrue(discovery.next().startLine().contains("watch=1"));
     Socket client = new Socket(address.getAddress(), address.getPort());
     toClose.add(client);
     // The policy calls the counter only within a budget, but sooner or later calls it for a new
     // customer.
-    for (int i = 0; counter.seen.isEmpty(); i++) {
+    for (int i = 0; counter.received.isEmpty(); i++) {
       Map<String, String> headers = headers("t-" + i, "order", "20000");
       headers.put("Cookie", "customer=00000000" + (10000000 + i));
       headers.put("X-Quota", "units=1,spread=2,first=0");
       sendRequest(client, "POST /api", headers, "");
       assertNotNull(FakePeer.read(client));
     }
-    assertTrue(counter.next().first().startsWith("POST /tally/"));
-    assertTrue(oldCounter.seen.isEmpty());
+    assertTrue(counter.next().startLine().startsWith("POST /tally/"));
+    assertTrue(oldCounter.received.isEmpty());
     process.destroy();
     assertEquals(0, process.waitFor());
   }
@@ -502,7 +504,7 @@
           }
         };
     new ConfigurationReloader(node, file, new EventLog(System.out, fileCompleter)).reload();
-    assertTrue(discovery.next().first().contains("watch=1"));
+    assertTrue(discovery.next().startLine().contains("watch=1"));
   }
 
   /**
@@ -521,7 +523,7 @@
     EdgeNode node = startNode(server);
     discovery.next();
     assertTrue(
-        discovery.next().first().contains("after=5"),
+        discovery.next().startLine().contains("after=5"),
         "the node took over the revision in the body of an error");
     assertEquals("200", exchangeOrder(client(node), "t-1"));
   }
@@ -535,7 +537,7 @@
     CompletableFuture<Void> mayRespond = new CompletableFuture<>();
     counterScript =
         m -> {
-          if (counter.seen.size() == 1) {
+          if (counter.received.size() == 1) {
             mayRespond.join();
             m.answer(FakePeer.ok("", "77"));
           } else {
@@ -563,8 +565,8 @@
       mayRespond.complete(null);
       assertEquals("4 OK 88.0", callResults.poll(60, TimeUnit.SECONDS));
     }
-    assertEquals("POST /tally/4?n=1.5&keep_ms=4000 HTTP/1.1", counter.next().first());
-    assertEquals("POST /tally/4?n=-2.25&keep_ms=4000 HTTP/1.1", counter.next().first());
+    assertEquals("POST /tally/4?n=1.5&keep_ms=4000 HTTP/1.1", counter.next().startLine());
+    assertEquals("POST /tally/4?n=-2.25&keep_ms=4000 HTTP/1.1", counter.next().startLine());
   }
 
   /**
@@ -600,7 +602,7 @@
                 .get();
         loop.execute(() -> client.add(4, 1, 4_000_000_000L));
         assertEquals("4 RESET", callResults.poll(60, TimeUnit.SECONDS), response);
-        assertNotNull(broken.ended.poll(60, TimeUnit.SECONDS), response);
+        assertNotNull(broken.closedConnections.poll(60, TimeUnit.SECONDS), response);
       }
     }
   }
@@ -698,7 +700,7 @@
     FakePeer server = peer(m -> m.answer(FakePeer.ok("", "served")));
     EdgeNode node = startNode(server);
     for (int watches = 0; watches < 3; watches++) {
-      assertTrue(discovery.next().first().contains("after=5"));
+      assertTrue(discovery.next().startLine().contains("after=5"));
     }
     assertEquals("200", exchangeOrder(client(node), "t-1"));
     assertEquals(1, node.loop.submit(() -> node.upstreamPool.endpointCount()).get());
--- a/edge/src/test/java/edgegateway/node/LongBodyTest.java
+++ b/edge/src/test/java/edgegateway/node/LongBodyTest.java
@@ -251,7 +251,7 @@
         peer(
             m -> {
               OutputStream out = m.socket().getOutputStream();
-              if (m.first().contains("complete")) {
+              if (m.startLine().contains("complete")) {
                 // More than the buffers of the kernel and the node hold.
                 writeText(
                     out, "HTTP/1.1 200 OK\r\nContent-Length: " + 11 * BODY.length + "\r\n\r\n");
@@ -260,18 +260,18 @@
                 }
                 return;
               }
-              boolean chunked = m.first().contains("chunked");
+              boolean chunked = m.startLine().contains("chunked");
               writeText(
                   out,
                   "HTTP/1.1 200 OK\r\n"
                       + (chunked
                           ? "Transfer-Encoding: chunked"
-                          : m.first().contains("length")
+                          : m.startLine().contains("length")
                               ? "Content-Length: 2000000000"
                               : "Connection: close")
                       + "\r\n\r\n");
               // "Endless" is 3000 pieces at intervals of 5 ms, longer than any client here waits.
-              for (int i = 0; i < (m.first().contains("endless") ? 3_000 : 5); i++) {
+              for (int i = 0; i < (m.startLine().contains("endless") ? 3_000 : 5); i++) {
                 writeText(out, chunked ? Integer.toHexString(piece.length) + "\r\n" : "");
                 out.write(piece);
                 writeText(out, chunked ? "\r\n" : "");
--- a/edge/src/test/java/edgegateway/node/NodeTest.java
+++ b/edge/src/test/java/edgegateway/node/NodeTest.java
@@ -190,7 +190,7 @@
 
   static String status(FakePeer.Message response) {
     assertNotNull(response, "the connection ended without a response");
-    return response.first().split(" ")[1];
+    return response.startLine().split(" ")[1];
   }
 
   /** Sends an order and returns the status code of its response. */
--- a/edge/src/test/java/edgegateway/node/TlsTest.java
+++ b/edge/src/test/java/edgegateway/node/TlsTest.java
@@ -239,7 +239,7 @@
     awaitConnectionMetric(node, "half_closed", 1);
     mayRespond.complete(null);
     FakePeer.Message response = FakePeer.read(socket);
-    while (response.first().contains(" 100 ")) {
+    while (response.startLine().contains(" 100 ")) {
       response = FakePeer.read(socket);
     }
     assertEquals("x", response.body());
