--- a/edge/src/main/java/edgegateway/node/upstream/UpstreamConnectionHandler.java
+++ b/edge/src/main/java/edgegateway/node/upstream/UpstreamConnectionHandler.java
@@ -201,7 +201,7 @@
   /**
    * Ends the attempt of a complete response. This waits until all data of the read is decoded,
    * because data that follows the response would otherwise be taken for the response to the next
-   * attempt. Tested by EdgeNodeTest#whatFollowsAnAnswerIsNobodysAnswer.
+   * attempt. Tested by EdgeNodeTest#bytesAfterAResponseAreNotTakenForTheNextResponse.
    */
   @Override
   public void channelReadComplete(ChannelHandlerContext handlerContext) {
--- a/edge/src/test/java/edgegateway/node/ClientDisconnectTest.java
+++ b/edge/src/test/java/edgegateway/node/ClientDisconnectTest.java
@@ -88,7 +88,7 @@
                         + "\r\n"
                         + list
                         + "\r\n"));
-    return start(change.apply(config(member)));
+    return startNode(change.apply(config(member)));
   }
 
   /** Allows one connection to the archive server: a second attempt waits for it. */
@@ -184,7 +184,7 @@
                 });
         EdgeNode node = startWithSingleConnection(server);
         Socket first = client(node);
-        order(first, "t-1");
+        sendOrder(first, "t-1");
         server.next();
         Socket second = client(node);
         send(second, "t-gone", input);
@@ -194,7 +194,7 @@
         assertEquals("held", FakePeer.read(first).body());
         awaitMetric(node, "app.in_progress=0");
         Socket third = client(node);
-        order(third, "t-3");
+        sendOrder(third, "t-3");
         assertEquals("held", FakePeer.read(third).body());
         recordUnlessExpected(server.next(), "t-3", input, reset);
       }
@@ -206,7 +206,7 @@
     for (ClientInput input : ClientInput.values()) {
       for (boolean reset : new boolean[] {false, true}) {
         CompletableFuture<Void> responsePermit = new CompletableFuture<>();
-        counting =
+        counterScript =
             m -> {
               responsePermit.join();
               m.answer(FakePeer.ok("", "1"));
@@ -234,7 +234,7 @@
         responsePermit.complete(null);
         awaitMetric(node, "app.in_progress=0");
         Socket next = client(node);
-        order(next, "t-next");
+        sendOrder(next, "t-next");
         assertEquals("done", FakePeer.read(next).body());
         recordUnlessExpected(server.next(), "t-next", input, reset);
       }
@@ -302,7 +302,7 @@
     } while (backlogPorts.contains(opened.getPort()));
     opened.setSoTimeout(10_000);
     awaitMetric(node, "app.in_progress=0");
-    write(client(node), "POST /api", headers("t-next", "order", "20000"), "book");
+    sendRequest(client(node), "POST /api", headers("t-next", "order", "20000"), "book");
     recordUnlessExpected(FakePeer.read(opened), "t-next", input, reset);
   }
 
@@ -347,10 +347,10 @@
       EdgeNode node = startWithSingleConnection(server);
       for (int round = 0; round < 10; round++) {
         Socket first = client(node);
-        order(first, "t-" + round);
+        sendOrder(first, "t-" + round);
         assertEquals("t-" + round, server.next().headers().get("x-trace-id"));
         Socket second = client(node);
-        order(second, "t-gone-" + round);
+        sendOrder(second, "t-gone-" + round);
         awaitMetric(node, "app.in_progress=2");
         CompletableFuture<Void> stallBegun = new CompletableFuture<>();
         CompletableFuture<Void> stallEnd = new CompletableFuture<>();
@@ -406,7 +406,7 @@
               });
       EdgeNode node = startWithSingleConnection(server);
       Socket first = client(node);
-      order(first, "t-1");
+      sendOrder(first, "t-1");
       server.next();
       Socket second = client(node);
       send(second, "t-2", input);
@@ -442,7 +442,7 @@
             });
     EdgeNode node = startWithSingleConnection(server);
     Socket first = client(node);
-    order(first, "t-1");
+    sendOrder(first, "t-1");
     server.next();
     Socket second = client(node);
     send(second, "t-2", ClientInput.HTTP_1_0_LONG_BODY);
--- a/edge/src/test/java/edgegateway/node/ConnectionsMeasure.java
+++ b/edge/src/test/java/edgegateway/node/ConnectionsMeasure.java
@@ -78,7 +78,7 @@
       logReader.start();
       for (int i = 0; i < 3_000; i++) {
         try (Socket socket = connectFrom(200, at)) {
-          ask(socket, "warm-" + i);
+          exchangeOrder(socket, "warm-" + i);
         }
       }
     }
@@ -137,7 +137,7 @@
     long startNanos = System.nanoTime();
     String status = "";
     try {
-      status = ask(socket, id);
+      status = exchangeOrder(socket, id);
     } finally {
       durationsMillis.add(
           status.equals("200") ? Math.min(1_000, (System.nanoTime() - startNanos) / 1e6) : 1_000);
@@ -307,7 +307,7 @@
       for (long endNanos = System.nanoTime() + 20_000_000_000L;
           System.nanoTime() < endNanos;
           requests++) {
-        ask(socket, "sparse-" + requests);
+        exchangeOrder(socket, "sparse-" + requests);
         Thread.sleep(100);
       }
       return requests;
@@ -322,7 +322,7 @@
         executor.submit(
             () -> {
               try (Socket socket = connectFrom(10, at)) {
-                return ask(socket, id);
+                return exchangeOrder(socket, id);
               }
             });
       }
@@ -345,10 +345,11 @@
   private EdgeNode startInProcess(TestCertificate certificate) throws Exception {
     FakePeer server = peer(m -> m.answer(FakePeer.ok("", "x")));
     String text = config(member("s-0", server.address(), "Ready", 0));
-    return start(
+    return startNode(
         certificate == null
             ? text
-            : text.replace("\"counter\"", "\"tls\":" + certificate.settings(8) + ",\"counter\""));
+            : text.replace(
+                "\"counter\"", "\"tls\":" + certificate.tlsSettings(8) + ",\"counter\""));
   }
 
   /**
@@ -358,20 +359,20 @@
   @Test
   void memoryOfAnIdleConnection() throws Exception {
     TestCertificate certificate = new TestCertificate(folder);
-    SSLContext context = certificate.trusting();
+    SSLContext context = certificate.trustingContext();
     for (int round = 0; round < ROUNDS; round++) {
       for (boolean tls : new boolean[] {false, true}) {
         EdgeNode node = startInProcess(tls ? certificate : null);
         List<Socket> clients = new ArrayList<>();
         InetSocketAddress at = node.address();
         for (int i = 0; i < 50; i++) {
-          ask(connect(context, at, tls), "w-" + i);
+          exchangeOrder(connect(context, at, tls), "w-" + i);
         }
         long heapBefore = usedHeapBytes();
         long directBefore = PooledByteBufAllocator.DEFAULT.metric().usedDirectMemory();
         for (int i = 0; i < 300; i++) {
           clients.add(connect(context, at, tls));
-          ask(clients.get(i), "t-" + i);
+          exchangeOrder(clients.get(i), "t-" + i);
         }
         long bothEndsBytes = usedHeapBytes() - heapBefore;
         long directBytes =
@@ -431,13 +432,13 @@
    */
   private double measureConnections(
       EdgeNode node, TestCertificate certificate, boolean resume, String version) throws Exception {
-    SSLContext context = certificate == null ? null : certificate.trusting();
+    SSLContext context = certificate == null ? null : certificate.trustingContext();
     long cpuBefore = 0;
     for (int i = 0; i < 220; i++) {
       if (i == 20) {
         cpuBefore = nodeCpuNanos();
       }
-      context = certificate == null || resume ? context : certificate.trusting();
+      context = certificate == null || resume ? context : certificate.trustingContext();
       InetSocketAddress at = node.address();
       try (Socket socket =
           context == null
@@ -446,7 +447,7 @@
         if (socket instanceof SSLSocket secured) {
           secured.setEnabledProtocols(new String[] {version});
         }
-        ask(socket, "h-" + i);
+        exchangeOrder(socket, "h-" + i);
       }
     }
     return (nodeCpuNanos() - cpuBefore) / 200 / 1e3;
--- a/edge/src/test/java/edgegateway/node/ConnectionsTest.java
+++ b/edge/src/test/java/edgegateway/node/ConnectionsTest.java
@@ -64,7 +64,7 @@
     for (int i = 0; i < members.length; i++) {
       members[i] = member("s-" + i, servers[i].address(), "Ready", 0);
     }
-    return start(
+    return startNode(
         config(members).replace("\"counter\"", "\"connections\":" + limits + ",\"counter\""),
         folder);
   }
@@ -122,21 +122,22 @@
     FakePeer server = peer(m -> m.answer(FakePeer.ok("", "x")));
     EdgeNode node = startWithLimits("{\"clients\":16}", server);
     Socket lone = connectFrom(2, node);
-    assertEquals("200", ask(lone, "t-lone"));
+    assertEquals("200", exchangeOrder(lone, "t-lone"));
     List<Socket> greedy = new ArrayList<>();
     for (int i = 0; i < 60; i++) {
       greedy.add(connectFrom(1, node));
     }
     for (int i = 0; i < 8; i++) {
       Socket other = connectFrom(3 + i, node);
-      assertEquals("200", ask(other, "t-" + i));
+      assertEquals("200", exchangeOrder(other, "t-" + i));
       other.close();
     }
-    assertEquals("200", ask(lone, "t-lone-2"), "an address with one connection was evicted");
+    assertEquals(
+        "200", exchangeOrder(lone, "t-lone-2"), "an address with one connection was evicted");
     for (Socket idle : greedy) {
       assertEquals("closed", readOutcome(idle));
     }
-    assertEquals("200", ask(connectFrom(1, node), "t-last"));
+    assertEquals("200", exchangeOrder(connectFrom(1, node), "t-last"));
   }
 
   /** A connection whose request has arrived but is not read yet is not evicted. */
@@ -147,19 +148,19 @@
     List<Socket> established = new ArrayList<>();
     for (int i = 0; i < 12; i++) {
       established.add(connectFrom(1, node));
-      assertEquals("200", ask(established.get(i), "t-" + i));
+      assertEquals("200", exchangeOrder(established.get(i), "t-" + i));
     }
     // Past the minimum idle time of 2 s, after which connections may be evicted.
     Thread.sleep(2_100);
     CompletableFuture<Void> stallEnd = new CompletableFuture<>();
     node.loop.execute(stallEnd::join);
     for (int i = 0; i < 12; i += 2) {
-      order(established.get(i), "u-" + i);
+      sendOrder(established.get(i), "u-" + i);
     }
     List<Socket> newcomers = new ArrayList<>();
     for (int i = 0; i < 6; i++) {
       newcomers.add(connectFrom(2, node));
-      order(newcomers.get(i), "n-" + i);
+      sendOrder(newcomers.get(i), "n-" + i);
     }
     stallEnd.complete(null);
     for (int i = 0; i < 12; i += 2) {
@@ -184,11 +185,11 @@
     List<Socket> busy = new ArrayList<>();
     for (int i = 0; i < 8; i++) {
       busy.add(connectFrom(1, node));
-      order(busy.get(i), "t-" + i);
+      sendOrder(busy.get(i), "t-" + i);
     }
     awaitMetric(node, "in_progress", 8);
     Socket rejected = connectFrom(1, node);
-    write(rejected, "POST /api", headers("rejected", "order", "20000"), "book");
+    sendRequest(rejected, "POST /api", headers("rejected", "order", "20000"), "book");
     FakePeer.Message answer = FakePeer.read(rejected);
     assertEquals("503", status(answer));
     assertEquals("close", answer.headers().get("connection"));
@@ -204,10 +205,10 @@
     assertEquals(
         "503", status(FakePeer.read(expectContinue)), "must be rejected before its body arrives");
     Socket malformed = connectFrom(1, node);
-    write(malformed, "POST /api", Map.of(), "");
+    sendRequest(malformed, "POST /api", Map.of(), "");
     assertEquals("400", readOutcome(malformed));
     Socket healthCheck = connectFrom(1, node);
-    write(healthCheck, "GET /_health", Map.of(), "");
+    sendRequest(healthCheck, "GET /_health", Map.of(), "");
     assertEquals(
         "503",
         status(FakePeer.read(healthCheck)),
@@ -262,11 +263,11 @@
               m.answer(FakePeer.ok("", "x"));
             });
     String[] members = asManyMembers(server);
-    EdgeNode node = start(config(members), folder);
+    EdgeNode node = startNode(config(members), folder);
     List<Socket> inFlight = new ArrayList<>();
     for (int i = 0; i < 10; i++) {
       inFlight.add(connectFrom(9, node));
-      order(inFlight.get(i), "in-flight-" + i);
+      sendOrder(inFlight.get(i), "in-flight-" + i);
     }
     awaitMetric(node, "in_progress", 10);
     InetSocketAddress at = node.address();
@@ -293,7 +294,7 @@
                   surgeBegun.complete(null);
                 }
                 try (Socket socket = connectFrom(1 + number % 4, at)) {
-                  write(socket, "GET /api", headers("s-" + number, "lookup", "20000"), "");
+                  sendRequest(socket, "GET /api", headers("s-" + number, "lookup", "20000"), "");
                   return readOutcome(socket);
                 } catch (IOException e) {
                   // The listening socket or the connection was closed before the request was sent.
@@ -335,14 +336,14 @@
               responsePermit.join();
               m.answer(FakePeer.ok("", m.headers().get("x-trace-id")));
             });
-    EdgeNode node = node(server);
+    EdgeNode node = startNode(server);
     Socket client = client(node);
     for (int i = 0; i < 3; i++) {
-      order(client, "t-" + i);
+      sendOrder(client, "t-" + i);
     }
     client.shutdownOutput();
     Socket single = client(node);
-    order(single, "t-single");
+    sendOrder(single, "t-single");
     single.shutdownOutput();
     awaitMetric(node, "connections.half_closed", 2);
     responsePermit.complete(null);
@@ -355,7 +356,7 @@
     assertEquals("close", last.headers().get("connection"));
     assertNull(FakePeer.read(single));
     Socket truncated = client(node);
-    order(truncated, "t-9");
+    sendOrder(truncated, "t-9");
     truncated.getOutputStream().write("POST /api HT".getBytes(StandardCharsets.UTF_8));
     truncated.shutdownOutput();
     assertEquals("t-9", readFinalResponse(truncated).body());
@@ -375,9 +376,9 @@
   @Test
   void aClosedClientIsDetectedAtOnce() throws Exception {
     FakePeer server = peer(m -> {});
-    EdgeNode node = node(server);
+    EdgeNode node = startNode(server);
     Socket client = client(node);
-    order(client, "t-1");
+    sendOrder(client, "t-1");
     server.next();
     assertEquals(1, metric(node, "in_progress"));
     client.close();
@@ -400,7 +401,7 @@
               }
               m.answer(FakePeer.ok("", "x".repeat(60_000)));
             });
-    EdgeNode node = start(config(asManyMembers(server)));
+    EdgeNode node = startNode(config(asManyMembers(server)));
     Socket unaffected = client(node);
     for (int i = 0; i < 20; i++) {
       CompletableFuture<Void> stallEnd = new CompletableFuture<>();
@@ -420,18 +421,18 @@
                   .getBytes(StandardCharsets.UTF_8));
       reset(upload);
       Socket pending = connectFrom(1, node);
-      order(pending, "wait-" + i);
+      sendOrder(pending, "wait-" + i);
       reset(pending);
       Socket answered = connectFrom(1, node);
-      order(answered, "read-" + i);
+      sendOrder(answered, "read-" + i);
       answered.getInputStream().read();
       reset(answered);
       Socket crossingClose = connectFrom(1, node);
       Map<String, String> last = headers("both-" + i, "order", "20000");
       last.put("Connection", "close");
-      write(crossingClose, "POST /api", last, "book");
+      sendRequest(crossingClose, "POST /api", last, "book");
       crossingClose.close();
-      assertEquals("200", ask(unaffected, "unaffected-" + i));
+      assertEquals("200", exchangeOrder(unaffected, "unaffected-" + i));
     }
     responsePermit.complete(null);
     awaitMetric(node, "connections.open", 1);
@@ -444,13 +445,13 @@
     byte[] body = new byte[65_000];
     FakePeer server =
         peer(m -> m.answer(FakePeer.ok("", new String(body, StandardCharsets.US_ASCII))));
-    EdgeNode node = node(server);
+    EdgeNode node = startNode(server);
     Socket client = new Socket();
     client.setReceiveBufferSize(4_096);
     client.connect(node.address());
     toClose.add(client);
     for (int i = 0; i < 200; i++) {
-      write(client, "GET /api", headers("t-" + i, "lookup", "20000"), "");
+      sendRequest(client, "GET /api", headers("t-" + i, "lookup", "20000"), "");
     }
     awaitMetric(node, "connections.timed_out.unread", 1);
     awaitMetric(node, "connections.open", 0);
@@ -480,7 +481,7 @@
         Map<String, String> other = headers("other", "order", "20000");
         other.put("Cookie", "customer=0000000000000099");
         Socket otherCustomer = client(node);
-        write(otherCustomer, "POST /api", other, "x".repeat(30_000));
+        sendRequest(otherCustomer, "POST /api", other, "x".repeat(30_000));
         assertEquals("200", readOutcome(otherCustomer));
       }
     }
@@ -504,7 +505,7 @@
     List<Socket> clients = new ArrayList<>();
     for (int i = 0; i < 16; i++) {
       clients.add(client(node));
-      write(clients.get(i), "GET /api", headers("t-" + i, "lookup", "20000"), "");
+      sendRequest(clients.get(i), "GET /api", headers("t-" + i, "lookup", "20000"), "");
     }
     for (Socket client : clients) {
       assertTrue(body.equals(FakePeer.read(client).body()));
@@ -522,12 +523,12 @@
                 m.answer(FakePeer.ok("", "x"));
               }
             });
-    EdgeNode node = node(unresponsive);
+    EdgeNode node = startNode(unresponsive);
     Socket client = client(node);
-    write(client, "POST /api", headers("t-1", "strict", "2500"), "book");
+    sendRequest(client, "POST /api", headers("t-1", "strict", "2500"), "book");
     assertEquals("502", readOutcome(client));
     unresponsive.next();
-    assertEquals("200", ask(client, "t-2"));
+    assertEquals("200", exchangeOrder(client, "t-2"));
     assertNotNull(unresponsive.closedConnections.poll(30, TimeUnit.SECONDS));
     assertEquals(2, metric(node, "connections.archive_servers.opened"));
   }
@@ -557,15 +558,15 @@
     thread.setDaemon(true);
     thread.start();
     EdgeNode node =
-        start(config(member("s-0", "127.0.0.1:" + listening.getLocalPort(), "Ready", 0)));
+        startNode(config(member("s-0", "127.0.0.1:" + listening.getLocalPort(), "Ready", 0)));
     Socket first = client(node);
-    order(first, "t-0");
+    sendOrder(first, "t-0");
     closed.get();
     assertEquals("200", readOutcome(first));
     List<Socket> clients = new ArrayList<>();
     for (int i = 1; i < 4; i++) {
       clients.add(client(node));
-      order(clients.get(i - 1), "t-" + i);
+      sendOrder(clients.get(i - 1), "t-" + i);
     }
     for (Socket client : clients) {
       assertEquals("200", readOutcome(client));
@@ -602,16 +603,16 @@
                         + "\r\n0\r\n\r\n");
               }
             });
-    EdgeNode node = node(old);
+    EdgeNode node = startNode(old);
     Socket client = client(node);
-    assertEquals("200", ask(client, "t-1"));
+    assertEquals("200", exchangeOrder(client, "t-1"));
     Socket previousConnection = old.next().socket();
     responsePermit.complete(null);
     assertNotNull(
         old.closedConnections.poll(60, TimeUnit.SECONDS),
         "the idle connection to the old address must be closed");
     for (int i = 0; old.received.isEmpty() || moved.received.isEmpty(); i++) {
-      assertEquals("200", ask(client, "u-" + i));
+      assertEquals("200", exchangeOrder(client, "u-" + i));
     }
     assertTrue(old.next().socket() != previousConnection);
   }
@@ -677,8 +678,8 @@
         file,
         config(member("s-0", server.address(), "Ready", 0))
             .replace("\"counter\"", "\"ops\":\"127.0.0.1:" + operatorsPort + "\",\"counter\""));
-    Process process = serve(file, List.of("sh", "-c", "ulimit -n 90; exec \"$0\" \"$@\""));
-    InetSocketAddress at = servingAt(process);
+    Process process = startProcess(file, List.of("sh", "-c", "ulimit -n 90; exec \"$0\" \"$@\""));
+    InetSocketAddress at = awaitListenAddress(process);
     while (!callOperators(operatorsPort, "check").startsWith("ACK")) {
       Thread.sleep(20);
     }
@@ -704,7 +705,7 @@
     }
     Socket client = connectFrom(2, at);
     toClose.add(client);
-    assertEquals("200", ask(client, "t-1"));
+    assertEquals("200", exchangeOrder(client, "t-1"));
     assertTrue(process.isAlive());
   }
 
@@ -749,8 +750,8 @@
         config(member("s-0", terminating.address(), "Ready", 0))
             .replace("1024", "256")
             .replace("\"counter\"", "\"ops\":\"127.0.0.1:" + operatorsPort + "\",\"counter\""));
-    Process process = serve(file, List.of("sh", "-c", "ulimit -n 256; exec \"$0\" \"$@\""));
-    InetSocketAddress at = servingAt(process);
+    Process process = startProcess(file, List.of("sh", "-c", "ulimit -n 256; exec \"$0\" \"$@\""));
+    InetSocketAddress at = awaitListenAddress(process);
     List<Socket> idle = new ArrayList<>();
     toClose.add(
         () -> {
@@ -788,7 +789,7 @@
     headers.put("X-Quota", "units=1,spread=2,first=0");
     while (true) {
       try (Socket client = connectFrom(9, at)) {
-        write(client, "GET /api", headers, "");
+        sendRequest(client, "GET /api", headers, "");
         FakePeer.Message answer = FakePeer.read(client);
         if (answer != null) {
           assertEquals("200", status(answer));
@@ -845,7 +846,7 @@
                       m.headers().get("x-trace-id").endsWith("3")
                           ? "HTTP/1.1 200 OK\r\nbroken\r\n\r\n"
                           : FakePeer.ok("", "x".repeat(2_000))));
-      EdgeNode node = node(server, peer(m -> m.socket().close()));
+      EdgeNode node = startNode(server, peer(m -> m.socket().close()));
       ExecutorService callers = Executors.newFixedThreadPool(16);
       toClose.add(callers::shutdownNow);
       List<Future<?>> done = new ArrayList<>();
@@ -883,15 +884,15 @@
         case 0 -> reset(socket);
         case 1 -> socket.getOutputStream().write("POST /api HT".getBytes(StandardCharsets.UTF_8));
         case 2 -> {
-          order(socket, id);
+          sendOrder(socket, id);
           readOutcome(socket);
         }
         case 3 -> {
-          order(socket, id);
+          sendOrder(socket, id);
           reset(socket);
         }
         case 4 -> {
-          order(socket, id);
+          sendOrder(socket, id);
           socket.shutdownOutput();
           readOutcome(socket);
         }
@@ -908,17 +909,17 @@
                             + "Content-Length: 50000\r\n\r\nhalf")
                         .getBytes(StandardCharsets.UTF_8));
         case 7 -> {
-          order(socket, id);
-          order(socket, id + "x");
+          sendOrder(socket, id);
+          sendOrder(socket, id + "x");
         }
         case 8 -> {
-          order(socket, id);
-          order(socket, id + "x");
+          sendOrder(socket, id);
+          sendOrder(socket, id + "x");
           readOutcome(socket);
           readOutcome(socket);
         }
         default -> {
-          write(socket, "GET /_health", Map.of(), "");
+          sendRequest(socket, "GET /_health", Map.of(), "");
           readOutcome(socket);
         }
       }
--- a/edge/src/test/java/edgegateway/node/DiscoveryRaceTest.java
+++ b/edge/src/test/java/edgegateway/node/DiscoveryRaceTest.java
@@ -66,7 +66,7 @@
     respond.complete(null);
     started.get();
     Socket client = client(node);
-    order(client, "t-1");
+    sendOrder(client, "t-1");
     assertEquals("ready", FakePeer.read(client).body());
   }
 
@@ -123,7 +123,7 @@
               sendChange.join();
               answerByteByByte(m, change);
             });
-    EdgeNode node = start(config());
+    EdgeNode node = startNode(config());
     Socket client = client(node);
     orderUntil(client, "first");
     sendChange.complete(null);
@@ -144,7 +144,7 @@
   private static void orderUntil(Socket client, String expectedBody) throws IOException {
     String body;
     do {
-      order(client, "t-" + System.nanoTime());
+      sendOrder(client, "t-" + System.nanoTime());
       body = FakePeer.read(client).body();
     } while (!body.equals(expectedBody));
   }
--- a/edge/src/test/java/edgegateway/node/OperatorServerTest.java
+++ b/edge/src/test/java/edgegateway/node/OperatorServerTest.java
@@ -72,7 +72,7 @@
 
   @Test
   void anInvalidCallIsAnsweredWithNak() throws Exception {
-    OperatorServer ops = ops(node(peer(m -> m.answer(FakePeer.ok("", "x")))));
+    OperatorServer ops = ops(startNode(peer(m -> m.answer(FakePeer.ok("", "x")))));
     for (String line :
         List.of(
             "",
@@ -100,7 +100,7 @@
 
   @Test
   void anEventLoopStallAppearsInTheMetrics() throws Exception {
-    EdgeNode node = node(peer(m -> m.answer(FakePeer.ok("", "x"))));
+    EdgeNode node = startNode(peer(m -> m.answer(FakePeer.ok("", "x"))));
     OperatorServer ops = ops(node);
     CompletableFuture<Void> stallEnded = new CompletableFuture<>();
     node.loop.execute(
@@ -124,7 +124,7 @@
 
   @Test
   void checkIsAcknowledgedOnceTheNodeIsReadyForClients() throws Exception {
-    EdgeNode node = node(peer(m -> m.answer(FakePeer.ok("", "x"))));
+    EdgeNode node = startNode(peer(m -> m.answer(FakePeer.ok("", "x"))));
     OperatorServer ops = ops(node);
     assertEquals("NAK", ackOrNak(ops, "check"));
     node.admit();
@@ -134,7 +134,7 @@
   /** Connections that send no call must not exhaust the connections allowed for operators. */
   @Test
   void idleConnectionsDoNotBlockFurtherCalls() throws Exception {
-    OperatorServer ops = ops(node(peer(m -> m.answer(FakePeer.ok("", "x")))));
+    OperatorServer ops = ops(startNode(peer(m -> m.answer(FakePeer.ok("", "x")))));
     for (int i = 0; i < 100; i++) {
       toClose.add(new Socket(ops.address().getAddress(), ops.address().getPort()));
     }
@@ -155,7 +155,7 @@
                       ? "HTTP/1.1 500 No\r\nContent-Length: 0\r\n\r\n"
                       : FakePeer.ok("", "x"));
             });
-    EdgeNode node = node(server);
+    EdgeNode node = startNode(server);
     OperatorServer ops = ops(node);
     Map<String, String> initial = vars(ops);
     for (String requestClass : List.of("lookup", "order", "strict")) {
@@ -164,14 +164,14 @@
       }
     }
     Socket client = client(node);
-    assertEquals("200", ask(client, "t-1"));
-    write(client, "POST /api", headers("t-bad", "strict", "20000"), "book");
+    assertEquals("200", exchangeOrder(client, "t-1"));
+    sendRequest(client, "POST /api", headers("t-bad", "strict", "20000"), "book");
     assertEquals("502", status(FakePeer.read(client)));
-    write(client, "GET /_health", Map.of(), "");
+    sendRequest(client, "GET /_health", Map.of(), "");
     FakePeer.read(client);
-    write(client, "GET /api", headers("t-2", "lookup", "1"), "");
+    sendRequest(client, "GET /api", headers("t-2", "lookup", "1"), "");
     assertEquals("503", status(FakePeer.read(client)));
-    order(client, "t-slow");
+    sendOrder(client, "t-slow");
     awaitMetric(ops, "app.upstream_tries", "3");
     Map<String, String> afterwards = vars(ops);
     assertEquals("1", afterwards.get("app.handled.order.passed"));
@@ -190,7 +190,7 @@
     FakePeer first = peer(m -> m.answer(FakePeer.ok("", "x")));
     FakePeer second = peer(m -> m.answer(FakePeer.ok("", "x")));
     EdgeNode node =
-        start(
+        startNode(
             config(
                 member("s-0", first.address(), "Ready", 0),
                 member("s-1", second.address(), "Ready", 0)),
@@ -201,13 +201,13 @@
     awaitMetric(ops, "app.skipped_archive_servers", "1");
     Socket client = client(node);
     for (int i = 0; i < 20; i++) {
-      assertEquals("200", ask(client, "t-" + i));
+      assertEquals("200", exchangeOrder(client, "t-" + i));
     }
     assertTrue(first.received.isEmpty());
     // The new process of an upgrade takes the ejection over, and each process follows calls to the
     // other.
     EdgeNode successor =
-        start(
+        startNode(
             config(
                 member("s-0", first.address(), "Ready", 0),
                 member("s-1", second.address(), "Ready", 0)),
@@ -219,7 +219,7 @@
     assertEquals("ACK", ackOrNak(ops, "set-up s-0"));
     for (int i = 0; first.received.isEmpty(); i++) {
       assertFalse(Thread.interrupted(), "the readmitted endpoint gets no request");
-      assertEquals("200", ask(client, "u-" + i));
+      assertEquals("200", exchangeOrder(client, "u-" + i));
     }
   }
 
@@ -232,7 +232,7 @@
             member("s-0", first.address(), "Ready", 0),
             member("s-1", second.address(), "Ready", 0)
                 .replace("\"locality\":\"a\"", "\"locality\":\"b\""));
-    EdgeNode node = start(config, folder);
+    EdgeNode node = startNode(config, folder);
     OperatorServer ops = ops(node);
     for (String line :
         List.of(
@@ -253,7 +253,7 @@
     assertEquals("NAK no server of another zone could be sent to\n", call(ops, "zone-out b\n"));
     Socket client = client(node);
     for (int i = 0; i < 20; i++) {
-      assertEquals("200", ask(client, "t-" + i));
+      assertEquals("200", exchangeOrder(client, "t-" + i));
     }
     assertTrue(first.received.isEmpty());
     assertTrue(
@@ -263,7 +263,7 @@
         call(ops, "zones\n"));
     // The new process of an upgrade takes the ejection over, and each process follows calls to the
     // other.
-    EdgeNode successor = start(config, folder);
+    EdgeNode successor = startNode(config, folder);
     OperatorServer successorOps = ops(successor);
     awaitMetric(successorOps, "app.skipped_archive_servers", "1");
     assertEquals("ACK", ackOrNak(successorOps, "zone-in a 1"));
@@ -271,7 +271,7 @@
     assertTrue(call(ops, "zones\n").startsWith("a state=returning "), call(ops, "zones\n"));
     for (int i = 0; first.received.isEmpty(); i++) {
       assertFalse(Thread.interrupted(), "the readmitted endpoint gets no request");
-      assertEquals("200", ask(client, "u-" + i));
+      assertEquals("200", exchangeOrder(client, "u-" + i));
     }
   }
 
@@ -279,8 +279,8 @@
   void anInvalidFileOfSetDownEndpointsIsIgnored() throws Exception {
     Files.writeString(folder.resolve("left-out.json"), "{half");
     FakePeer first = peer(m -> m.answer(FakePeer.ok("", "x")));
-    EdgeNode node = start(config(member("s-0", first.address(), "Ready", 0)), folder);
-    assertEquals("200", ask(client(node), "t-1"));
+    EdgeNode node = startNode(config(member("s-0", first.address(), "Ready", 0)), folder);
+    assertEquals("200", exchangeOrder(client(node), "t-1"));
     assertEquals("ACK", ackOrNak(ops(node), "set-down s-0"));
     assertEquals("[\"s-0\"]", Files.readString(folder.resolve("left-out.json")));
   }
@@ -296,14 +296,14 @@
               }
               m.answer(FakePeer.ok("", "x"));
             });
-    EdgeNode node = node(server);
+    EdgeNode node = startNode(server);
     OperatorServer ops = ops(node);
     node.admit();
     awaitReady(ops);
     Socket busy = client(node);
-    assertEquals("200", ask(busy, "t-1"));
+    assertEquals("200", exchangeOrder(busy, "t-1"));
     server.next();
-    order(busy, "t-2");
+    sendOrder(busy, "t-2");
     server.next();
     Socket idle = client(node);
     assertEquals("ACK", ackOrNak(ops, "drain-on"));
@@ -315,14 +315,14 @@
     assertEquals("close", answer.headers().get("connection"));
     assertNull(FakePeer.read(idle), "the drain does not close an idle connection");
     Socket healthCheck = client(node);
-    write(healthCheck, "GET /_health", Map.of(), "");
+    sendRequest(healthCheck, "GET /_health", Map.of(), "");
     assertEquals("503", status(FakePeer.read(healthCheck)));
-    assertEquals("200", ask(client(node), "t-3"));
+    assertEquals("200", exchangeOrder(client(node), "t-3"));
     assertEquals("ACK", ackOrNak(ops, "drain-off"));
     assertEquals("ACK", ackOrNak(ops, "check"));
     Socket persistentClient = client(node);
     for (String id : List.of("t-4", "t-5")) {
-      order(persistentClient, id);
+      sendOrder(persistentClient, id);
       assertFalse(FakePeer.read(persistentClient).headers().containsKey("connection"));
     }
     CompletableFuture<Void> stopped = node.stop();
--- a/edge/src/test/java/edgegateway/node/RaceConditionsTest.java
+++ b/edge/src/test/java/edgegateway/node/RaceConditionsTest.java
@@ -52,7 +52,7 @@
    * Allows one connection for each endpoint, so that an attempt waits while another is in flight.
    */
   private EdgeNode nodeWithOneConnectionPerEndpoint(String... members) throws Exception {
-    return start(
+    return startNode(
         config(members)
             .replace("\"counter\"", "\"connections\":{\"per-archive-server\":1},\"counter\""));
   }
@@ -85,10 +85,10 @@
     EdgeNode node =
         nodeWithOneConnectionPerEndpoint(member("s-0", terminating.address(), "Ready", 0));
     Socket first = client(node);
-    order(first, "t-1");
+    sendOrder(first, "t-1");
     terminating.next();
     Socket second = client(node);
-    order(second, "t-2");
+    sendOrder(second, "t-2");
     awaitMetric(node, "app.in_progress=2");
     messages.add(
         list(
@@ -109,7 +109,7 @@
             member("s-0", terminating.address(), "Ready", 0),
             member("s-1", other.address(), "Terminating", 0)));
     do {
-      order(first, "t-" + System.nanoTime());
+      sendOrder(first, "t-" + System.nanoTime());
     } while (!FakePeer.read(first).body().equals("held"));
   }
 
@@ -123,13 +123,13 @@
     FakePeer server = peerAnsweringAfter(respond);
     EdgeNode node = nodeWithOneConnectionPerEndpoint(member("s-0", server.address(), "Ready", 0));
     Socket first = client(node);
-    order(first, "t-1");
+    sendOrder(first, "t-1");
     server.next();
     for (String ending : List.of("close", "reset", "close-with-pipelined-request")) {
       Socket second = client(node);
-      order(second, "t-" + ending);
+      sendOrder(second, "t-" + ending);
       if (ending.equals("close-with-pipelined-request")) {
-        order(second, "t-more");
+        sendOrder(second, "t-more");
       }
       awaitMetric(node, "app.in_progress=2");
       second.setSoLinger(ending.equals("reset"), 0);
@@ -137,7 +137,7 @@
       awaitMetric(node, "app.in_progress=1");
     }
     Socket third = client(node);
-    order(third, "t-3");
+    sendOrder(third, "t-3");
     respond.complete(null);
     assertEquals("held", FakePeer.read(first).body());
     assertEquals("held", FakePeer.read(third).body());
@@ -207,13 +207,13 @@
     toClose.add(server);
     String address = "127.0.0.1:" + server.getLocalPort();
     EdgeNode node =
-        start(
+        startNode(
             config(member("s-0", address, "Ready", 0))
                 .replace("\"key-ttl-ns\": 30000000000", "\"key-ttl-ns\": 400000000")
                 .replace(
                     "\"connect-timeout-ns\": 250000000", "\"connect-timeout-ns\": 15000000000"));
     Socket client = client(node);
-    order(client, "t-1");
+    sendOrder(client, "t-1");
     Socket first = server.accept();
     assertEquals("t-1", FakePeer.read(first).headers().get("x-trace-id"));
     // While the accept queue is full, the kernel drops the SYN of the next connection, which TCP
@@ -230,7 +230,7 @@
     Socket retryConnection = server.accept();
     retryConnection.setSoTimeout(5_000);
     assertEquals("503", status(FakePeer.read(client)));
-    write(client, "POST /api", headers("t-2", "order", "20000"), "book");
+    sendRequest(client, "POST /api", headers("t-2", "order", "20000"), "book");
     assertEquals(
         "t-2",
         FakePeer.read(retryConnection).headers().get("x-trace-id"),
@@ -256,7 +256,7 @@
   @Test
   void theConnectionOfAnEndedAttemptIsClosedBeforeTheNextBegins() throws Exception {
     EdgeNode node =
-        start(
+        startNode(
             config(
                 member("s-0", "127.0.0.1:1", "Ready", 0),
                 member("s-1", "127.0.0.1:2", "Ready", 0)));
@@ -327,9 +327,9 @@
     discovery = peer(m -> {});
     Path file = Files.createTempFile("node", ".json");
     Files.writeString(file, config());
-    Process process = serve(file, List.of());
+    Process process = startProcess(file, List.of());
     discovery.next();
-    signal(process, "TERM");
+    sendSignal(process, "TERM");
     // A second SIGTERM, if the process still runs, must not change its exit status.
     new ProcessBuilder("kill", "-TERM", Long.toString(process.pid())).start().waitFor();
     assertEquals(0, process.waitFor());
--- a/edge/src/test/java/edgegateway/node/ResponseEndTest.java
+++ b/edge/src/test/java/edgegateway/node/ResponseEndTest.java
@@ -36,7 +36,7 @@
               m.answer(FakePeer.ok("", body));
               responsesWritten.add(1);
             });
-    EdgeNode node = node(server);
+    EdgeNode node = startNode(server);
     node.operatorCommands().drain(true).get();
     for (int round = 0; round < 30; round++) {
       Socket client = new Socket();
@@ -44,7 +44,7 @@
       client.connect(node.address());
       client.setSoTimeout(20_000);
       toClose.add(client);
-      order(client, "t-" + round);
+      sendOrder(client, "t-" + round);
       assertEquals("t-" + round, server.next().headers().get("x-trace-id"));
       CompletableFuture<Void> unblockLoop = new CompletableFuture<>();
       CompletableFuture<Void> respond = new CompletableFuture<>();
@@ -74,9 +74,9 @@
   void aStalledResponseWithoutLengthIsNotForwardedAsComplete() throws Exception {
     FakePeer server =
         peer(m -> m.answer("HTTP/1.1 200 OK\r\nConnection: close\r\n\r\n" + "x".repeat(200_000)));
-    EdgeNode node = node(server);
+    EdgeNode node = startNode(server);
     Socket client = client(node);
-    write(client, "GET /api", headers("t-1", "lookup", "50000"), "");
+    sendRequest(client, "GET /api", headers("t-1", "lookup", "50000"), "");
     String received = new String(client.getInputStream().readAllBytes(), StandardCharsets.UTF_8);
     assertTrue(received.contains("chunked"), received.substring(0, 200));
     assertFalse(received.endsWith("0\r\n\r\n"), "a truncated response was forwarded as complete");
@@ -103,7 +103,7 @@
               m.socket().setSoLinger(resets.take(), 0);
               m.socket().close();
             });
-    EdgeNode node = node(server);
+    EdgeNode node = startNode(server);
     Socket client = client(node);
     for (String response : fullResponses) {
       for (int cutAt = 0; cutAt <= response.length(); cutAt++) {
@@ -115,7 +115,7 @@
           resets.add(reset);
           boolean complete = !reset && cutAt == response.length();
           String id = "t-" + fullResponses.indexOf(response) + "-" + cutAt + reset;
-          write(client, "POST /api", headers(id, "strict", "20000"), "book");
+          sendRequest(client, "POST /api", headers(id, "strict", "20000"), "book");
           FakePeer.Message answer = FakePeer.read(client);
           assertEquals(complete ? "200" : "502", status(answer), id);
           assertEquals(complete ? "body" : "", answer.body(), id);
--- a/edge/src/test/java/edgegateway/node/SignalsTest.java
+++ b/edge/src/test/java/edgegateway/node/SignalsTest.java
@@ -52,13 +52,13 @@
     CompletableFuture<Void> never = new CompletableFuture<>();
     discovery = peer(m -> never.join());
     Path file = writeConfig("node.json");
-    Process process = serve(file, commandIgnoring("HUP"));
-    said(process, "signal_ignored signal=SIGHUP config_poll_ms=500");
-    servingAt(process);
+    Process process = startProcess(file, commandIgnoring("HUP"));
+    nextLogLine(process, "signal_ignored signal=SIGHUP config_poll_ms=500");
+    awaitListenAddress(process);
     discovery.next();
     discovery = peer(m -> never.join());
     Files.move(writeConfig("next.json"), file, StandardCopyOption.REPLACE_EXISTING);
-    signal(process, "HUP");
+    sendSignal(process, "HUP");
     assertTrue(discovery.next().startLine().contains("watch=1"));
     process.destroy();
     assertEquals(0, process.waitFor());
@@ -69,14 +69,14 @@
     Path file = writeConfig("node.json");
     Files.writeString(
         file, Files.readString(file).replaceFirst("\\{", "{\"ops\":\"127.0.0.1:0\","));
-    Process process = serve(file, commandIgnoring("TERM"));
+    Process process = startProcess(file, commandIgnoring("TERM"));
     Matcher listening =
         Pattern.compile("operators_listening address=.*:(\\d+)")
-            .matcher(said(process, "operators_listening"));
+            .matcher(nextLogLine(process, "operators_listening"));
     assertTrue(listening.matches());
-    said(process, "signal_ignored signal=SIGTERM");
-    servingAt(process);
-    signal(process, "TERM");
+    nextLogLine(process, "signal_ignored signal=SIGTERM");
+    awaitListenAddress(process);
+    sendSignal(process, "TERM");
     try (Socket call = new Socket("127.0.0.1", Integer.parseInt(listening.group(1)))) {
       call.getOutputStream().write("drain-on\n".getBytes());
       assertEquals("ACK\n", new String(call.getInputStream().readAllBytes()));
@@ -100,19 +100,20 @@
     CompletableFuture<Void> never = new CompletableFuture<>();
     discovery = peer(m -> never.join());
     Path file = writeConfig("node.json");
-    Process process = serve(file, commandIgnoring("HUP INT TERM", wrapper.group(1).split(" ")));
-    servingAt(process);
+    Process process =
+        startProcess(file, commandIgnoring("HUP INT TERM", wrapper.group(1).split(" ")));
+    awaitListenAddress(process);
     assertFalse(
         SignalDispositions.parse(Files.readString(Path.of("/proc/" + process.pid() + "/status")))
             .isIgnored(SignalDispositions.SIGHUP));
     discovery.next();
     discovery = peer(m -> never.join());
     Files.move(writeConfig("next.json"), file, StandardCopyOption.REPLACE_EXISTING);
-    signal(process, "HUP");
+    sendSignal(process, "HUP");
     assertTrue(discovery.next().startLine().contains("watch=1"));
-    signal(process, "TERM");
+    sendSignal(process, "TERM");
     assertTrue(
-        said(process, "drained ")
+        nextLogLine(process, "drained ")
             .matches("drained longest_loop_stall_ms=\\d+ longest_discovery_wait_ms=\\d+"));
     assertEquals(0, process.waitFor());
   }
@@ -124,11 +125,11 @@
   @Test
   void anUnreachableDiscoveryIsLoggedAndShownInTheMetrics() throws Exception {
     discovery.close();
-    Process process = serve(writeConfig("node.json"), List.of());
-    servingAt(process);
+    Process process = startProcess(writeConfig("node.json"), List.of());
+    awaitListenAddress(process);
     Matcher unreachable =
         Pattern.compile("discovery_unreachable silent_ms=(\\d+) address=\\S+ revision=\\d+")
-            .matcher(said(process, "discovery_unreachable"));
+            .matcher(nextLogLine(process, "discovery_unreachable"));
     assertTrue(unreachable.matches());
     assertTrue(Long.parseLong(unreachable.group(1)) >= 6_000, unreachable.group());
     CompletableFuture<Void> startAnswering = new CompletableFuture<>();
@@ -141,7 +142,7 @@
                 m.answer("1\r\n\n\r\n");
               }
             });
-    EdgeNode node = start(config());
+    EdgeNode node = startNode(config());
     while (node.metrics.millisSinceDiscoveryMessage() < 50) {
       assertNull(process.onExit().getNow(null));
     }
--- a/edge/src/test/java/edgegateway/node/UpgradeTest.java
+++ b/edge/src/test/java/edgegateway/node/UpgradeTest.java
@@ -38,13 +38,13 @@
   @Test
   void noConnectionIsLostAndTheHealthCheckNeverFails() throws Exception {
     FakePeer server = peer(m -> m.answer(FakePeer.ok("", "x")));
-    EdgeNode oldNode = start(config(member("s-0", server.address(), "Ready", 0)), sharedFolder);
+    EdgeNode oldNode = startNode(config(member("s-0", server.address(), "Ready", 0)), sharedFolder);
     oldNode.admit();
     while (!oldNode.ready()) {
       assertFalse(Thread.interrupted(), "the old node does not become ready for clients");
     }
     Socket persistentClient = client(oldNode);
-    assertEquals("200", ask(persistentClient, "t-0"));
+    assertEquals("200", exchangeOrder(persistentClient, "t-0"));
     assertFalse(oldNode.slots.isOtherProcessAlive());
     EdgeNode newNode =
         new EdgeNode(
@@ -66,9 +66,9 @@
     for (int i = 0; i < 50; i++) {
       Socket client = client(newNode);
       clients.add(client);
-      write(client, "GET /_health", Map.of(), "");
+      sendRequest(client, "GET /_health", Map.of(), "");
     }
-    order(persistentClient, "t-1");
+    sendOrder(persistentClient, "t-1");
     CompletableFuture<CompletableFuture<Void>> stopping =
         CompletableFuture.supplyAsync(
             () -> {
@@ -89,7 +89,7 @@
       assertEquals("200", status(FakePeer.read(client)));
     }
     stopped.get(60, TimeUnit.SECONDS);
-    assertEquals("200", ask(client(newNode), "t-2"));
+    assertEquals("200", exchangeOrder(client(newNode), "t-2"));
     newNode.importPredecessorState();
     assertFalse(
         Files.exists(sharedFolder.resolve("handover")), "the handover file was not deleted");
@@ -99,7 +99,7 @@
   void filesOfAnEarlierUpgradeDoNotCountAsAnotherProcess() throws Exception {
     Files.write(sharedFolder.resolve("slots"), new byte[] {1, 1, 1, 1});
     Files.write(sharedFolder.resolve("handover"), new byte[] {1});
-    EdgeNode node = start(config(), sharedFolder);
+    EdgeNode node = startNode(config(), sharedFolder);
     assertFalse(node.slots.isOtherProcessAlive());
     assertFalse(node.slots.isOtherProcessAccepting());
   }
