--- a/edge/src/main/java/edgegateway/node/EdgeNode.java
+++ b/edge/src/main/java/edgegateway/node/EdgeNode.java
@@ -136,8 +136,8 @@
         new DescriptorBudgetService(currentConfig, slots, upstreamPool, clients, bufferedBodies);
     ejections = new OperatorEjections(policyEvents, upstreamPool, currentConfig, folder);
     operatorCommands = newOperatorCommands(currentConfig);
-    for (String line : budget.allocateForSingleProcess().clamped()) {
-      policyActions.log(line);
+    for (String warning : budget.allocateForSingleProcess().clampWarnings()) {
+      policyActions.log(warning);
     }
   }
 
--- a/edge/src/main/java/edgegateway/node/connections/DescriptorBudget.java
+++ b/edge/src/main/java/edgegateway/node/connections/DescriptorBudget.java
@@ -17,7 +17,7 @@
  * @param operators maximum connections at the operators' address
  * @param bufferedBytes maximum bytes of completely buffered bodies
  * @param idleTimeoutNanos time after which an idle client connection is closed
- * @param clamped a message for each configured limit that exceeds the available capacity
+ * @param clampWarnings a message for each configured limit that exceeds the available capacity
  */
 public record DescriptorBudget(
     int clients,
@@ -27,7 +27,7 @@
     int operators,
     int bufferedBytes,
     long idleTimeoutNanos,
-    List<String> clamped) {
+    List<String> clampWarnings) {
   /** For standard streams, class archive, slots, three event loops, listening sockets and files. */
   static final int RESERVED_DESCRIPTORS = 23;
 
@@ -78,7 +78,7 @@
    */
   public static DescriptorBudget of(
       ConnectionLimits limits, int descriptors, int processes, int endpoints) {
-    List<String> clamped = new ArrayList<>();
+    List<String> clampWarnings = new ArrayList<>();
     int operators =
         Math.max(MIN_OPERATORS, Math.min(MAX_OPERATORS, descriptors / DESCRIPTORS_PER_OPERATOR));
     int available =
@@ -88,12 +88,13 @@
             - DISCOVERY_CONNECTIONS
             - operators;
     int maxClients = Math.max(MIN_CLIENTS, (int) (available * CLIENT_FRACTION));
-    int clients = clamp("clients", limits.clients(), maxClients, clamped);
+    int clients = clamp("clients", limits.clients(), maxClients, clampWarnings);
     int rejectionSlots = Math.max(MIN_REJECTION_SLOTS, (int) (available * REJECTION_SLOT_FRACTION));
     int maxUpstreams = Math.max(MIN_UPSTREAMS, available - clients - rejectionSlots);
-    int upstreams = upstreams(limits, available, maxUpstreams, clamped);
-    int perUpstream = perUpstream(limits, upstreams, endpoints, clamped);
-    int bufferedBytes = clamp("held-bytes", limits.bufferedBytes(), maxBufferedBytes(), clamped);
+    int upstreams = upstreams(limits, available, maxUpstreams, clampWarnings);
+    int perUpstream = perUpstream(limits, upstreams, endpoints, clampWarnings);
+    int bufferedBytes =
+        clamp("held-bytes", limits.bufferedBytes(), maxBufferedBytes(), clampWarnings);
     long idleTimeoutNanos =
         limits.idleTimeoutNanos() > 0 ? limits.idleTimeoutNanos() : DEFAULT_IDLE_TIMEOUT_NANOS;
     return new DescriptorBudget(
@@ -104,22 +105,22 @@
         operators,
         bufferedBytes,
         idleTimeoutNanos,
-        List.copyOf(clamped));
+        List.copyOf(clampWarnings));
   }
 
   private static int upstreams(
-      ConnectionLimits limits, int available, int max, List<String> clamped) {
+      ConnectionLimits limits, int available, int max, List<String> clampWarnings) {
     if (limits.upstreams() > 0) {
-      return clamp("archive-servers", limits.upstreams(), max, clamped);
+      return clamp("archive-servers", limits.upstreams(), max, clampWarnings);
     }
     double fraction = 1 - CLIENT_FRACTION - REJECTION_SLOT_FRACTION;
     return Math.min(max, Math.max(MIN_UPSTREAMS, (int) (available * fraction)));
   }
 
   private static int perUpstream(
-      ConnectionLimits limits, int upstreams, int endpoints, List<String> clamped) {
+      ConnectionLimits limits, int upstreams, int endpoints, List<String> clampWarnings) {
     if (limits.perUpstream() > 0) {
-      return clamp("per-archive-server", limits.perUpstream(), upstreams, clamped);
+      return clamp("per-archive-server", limits.perUpstream(), upstreams, clampWarnings);
     }
     int unevenShare = UNEVEN_LOAD_FACTOR * upstreams / Math.max(1, endpoints);
     return Math.min(upstreams, Math.max(UNEVEN_LOAD_FACTOR, unevenShare));
@@ -131,10 +132,11 @@
   }
 
   /** The configured limit, at most the maximum; the maximum if no limit is configured. */
-  private static int clamp(String key, int limit, int max, List<String> clamped) {
+  private static int clamp(String key, int limit, int max, List<String> clampWarnings) {
     if (limit > max) {
       String given = "connections." + key + " is " + limit;
-      clamped.add(given + ", which exceeds the available capacity: using " + max + " instead");
+      clampWarnings.add(
+          given + ", which exceeds the available capacity: using " + max + " instead");
     }
     return limit > 0 ? Math.min(limit, max) : max;
   }
--- a/edge/src/test/java/edgegateway/node/ConnectionsTest.java
+++ b/edge/src/test/java/edgegateway/node/ConnectionsTest.java
@@ -649,7 +649,7 @@
     }
     EdgeNode node =
         startWithLimits("{\"clients\":100000}", peer(m -> m.answer(FakePeer.ok("", "x"))));
-    assertEquals(1, node.budget().clamped().size());
+    assertEquals(1, node.budget().clampWarnings().size());
     assertEquals(NodeConfigParser.parse(validConfig).maxDescriptors(), 1_024);
     assertTrue(node.budget().clients() < 1_024);
   }
--- a/edge/src/test/java/edgegateway/node/connections/DescriptorBudgetTest.java
+++ b/edge/src/test/java/edgegateway/node/connections/DescriptorBudgetTest.java
@@ -49,16 +49,16 @@
             new ConnectionLimits(5_000, 5_000, 5_000, 1 << 30, 3_000_000_000L), 256, 1, 10);
     assertEquals(
         DescriptorBudget.of(ConnectionLimits.NONE, 256, 1, 10).clients(), budget.clients());
-    assertEquals(4, budget.clamped().size());
+    assertEquals(4, budget.clampWarnings().size());
     assertEquals(
         "connections.clients is 5000, which exceeds the available capacity: using 128 instead",
-        budget.clamped().get(0));
+        budget.clampWarnings().get(0));
     assertEquals(3_000_000_000L, budget.idleTimeoutNanos());
     DescriptorBudget small =
         DescriptorBudget.of(new ConnectionLimits(10, 5, 2, 1 << 18, 0), 256, 1, 10);
     assertEquals(
         List.of(10, 5, 2, 1 << 18),
         List.of(small.clients(), small.upstreams(), small.perUpstream(), small.bufferedBytes()));
-    assertTrue(small.clamped().isEmpty());
+    assertTrue(small.clampWarnings().isEmpty());
   }
 }
