--- a/edge/src/main/java/edgegateway/node/connections/BufferedBodies.java
+++ b/edge/src/main/java/edgegateway/node/connections/BufferedBodies.java
@@ -4,14 +4,19 @@
 import java.util.Map;
 
 /**
- * Limits the bytes of completely buffered bodies, over all requests. Each customer may buffer up to
- * twice the free capacity (a dynamic threshold). A single customer thus gets two thirds of the
- * capacity, and however many customers buffer much, some capacity stays free for customers that
- * buffer little. A buffered body is never dropped to enforce the limit. Used on the event loop's
- * thread only.
+ * Limits the memory for buffered data, over all requests: bodies of requests and responses, whether
+ * complete or still arriving, and read-ahead (messages that a connection queues).
+ *
+ * <p>Each customer may buffer up to twice the free capacity (a dynamic threshold). A single
+ * customer thus gets two thirds of the capacity c: its bytes x can grow until x = 2 (c - x).
+ * However many customers buffer much, some capacity stays free for customers that buffer little.
+ * Buffered data is never dropped to enforce the limit. Used on the event loop's thread only.
  */
 public final class BufferedBodies {
-  /** Used for a request whose customer cannot be parsed. */
+  /**
+   * Stands for the customer of a request whose customer cannot be parsed, and of messages that are
+   * queued while their connection has no current request. Counts as one customer.
+   */
   public static final long UNKNOWN_CUSTOMER = -1;
 
   /** A customer may buffer this many times the free capacity. */
@@ -37,7 +42,7 @@
     return 2 * totalBytes < capacityBytes;
   }
 
-  /** Creates the account of a body of this customer, with size 0. */
+  /** Creates the account of a body or a message queue of this customer, with size 0. */
   public Body newBody(long customer) {
     return new Body(customer);
   }
@@ -46,7 +51,7 @@
     return bytesByCustomer.getOrDefault(customer, 0L);
   }
 
-  /** The buffered bytes of one body. */
+  /** The buffered bytes of one body, or of the messages that one connection queues. */
   public final class Body {
     private final long customer;
     private long bytes;
@@ -56,8 +61,8 @@
     }
 
     /**
-     * Changes the size of the body; returns false and changes nothing if the size exceeds the
-     * threshold.
+     * Changes the size of the buffered data; returns false and changes nothing if the size exceeds
+     * the threshold.
      */
     public boolean tryResize(int newBytes) {
       long addedBytes = newBytes - bytes;
@@ -84,7 +89,7 @@
       metrics.bufferedBytes.set(totalBytes);
     }
 
-    /** Releases the account: no byte of the body is buffered any more. Idempotent. */
+    /** Sets the size to 0, because the data is no longer buffered. Idempotent. */
     public void release() {
       resize(0);
     }
--- a/edge/src/main/java/edgegateway/node/connections/ClientCapacity.java
+++ b/edge/src/main/java/edgegateway/node/connections/ClientCapacity.java
@@ -3,51 +3,52 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * How many clients' connections the table may hold: as many as the budget allows, or temporarily
- * fewer after the process ran out of file descriptors at a lower number. Times are nanoseconds of
- * one clock.
+ * The limit on clients' connections: the budgeted limit, or for some time a lower limit, because
+ * the process ran out of file descriptors although the budget allowed more connections. Times are
+ * nanoseconds of one clock.
  */
 final class ClientCapacity {
-  /** How long the observed limit stays unchanged before it is raised step by step. */
-  private static final long OBSERVED_LIMIT_HOLD_NANOS = TimeUnit.SECONDS.toNanos(10);
+  /** How long after the last shortage of descriptors the lowered limit begins to rise. */
+  private static final long LOWERED_LIMIT_HOLD_NANOS = TimeUnit.SECONDS.toNanos(10);
 
-  /** How far the observed limit is below the number at which descriptors ran out. */
-  private static final int OBSERVED_LIMIT_MARGIN = 8;
+  /** How far the lowered limit is below the number of connections when descriptors ran out. */
+  private static final int LOWERED_LIMIT_MARGIN = 8;
 
   private static final int UNLIMITED = Integer.MAX_VALUE;
 
   private int budgetedLimit;
-  private int observedLimit = UNLIMITED;
-  private long observedAtNanos;
+  private int loweredLimit = UNLIMITED;
+  private long exhaustedAtNanos;
 
   void setBudgeted(int connections) {
     budgetedLimit = connections;
   }
 
+  /** The maximum number of connections at present. */
   int connections() {
-    return Math.min(budgetedLimit, observedLimit);
+    return Math.min(budgetedLimit, loweredLimit);
   }
 
   /**
    * Lowers the limit because no file descriptor is left with this number of open connections;
-   * returns false if a limit was already observed.
+   * returns false if the limit was already lowered before.
    */
-  boolean descriptorsExhausted(long nowNanos, int open) {
-    boolean first = observedLimit == UNLIMITED;
-    observedLimit = Math.max(1, Math.min(observedLimit, open - OBSERVED_LIMIT_MARGIN));
-    observedAtNanos = nowNanos;
+  boolean descriptorsExhausted(long nowNanos, int openConnections) {
+    boolean first = loweredLimit == UNLIMITED;
+    loweredLimit = Math.max(1, Math.min(loweredLimit, openConnections - LOWERED_LIMIT_MARGIN));
+    exhaustedAtNanos = nowNanos;
     return first;
   }
 
   /**
-   * Raises the observed limit by one once its hold time is over, and removes it when it has reached
-   * the budgeted limit. Called periodically.
+   * Raises the lowered limit by one if its hold time is over, or removes it if it has reached the
+   * budgeted limit. Called periodically.
    */
   void recover(long nowNanos) {
-    if (observedLimit < budgetedLimit && nowNanos - observedAtNanos > OBSERVED_LIMIT_HOLD_NANOS) {
-      observedLimit++;
-    } else if (observedLimit >= budgetedLimit) {
-      observedLimit = UNLIMITED;
+    if (loweredLimit < budgetedLimit && nowNanos - exhaustedAtNanos > LOWERED_LIMIT_HOLD_NANOS) {
+      loweredLimit++;
+    } else if (loweredLimit >= budgetedLimit) {
+      loweredLimit = UNLIMITED;
     }
   }
 }
--- a/edge/src/main/java/edgegateway/node/connections/ClientConnection.java
+++ b/edge/src/main/java/edgegateway/node/connections/ClientConnection.java
@@ -37,7 +37,10 @@
   private final long acceptedAtNanos;
   private State state;
 
-  /** When the wait for the current request began. */
+  /**
+   * When the wait for the current request began: at the accept, at the end of the previous
+   * response, or at the first byte of a further request.
+   */
   private long waitStartedAtNanos;
 
   /** When bytes of the current request last arrived. */
@@ -77,7 +80,7 @@
     return overCapacity;
   }
 
-  /** Whether no byte of a request has arrived since the last response. */
+  /** Whether no byte of a request has arrived since the accept or the last response. */
   public boolean isIdle() {
     return state == State.NEW || state == State.IDLE;
   }
--- a/edge/src/main/java/edgegateway/node/connections/ClientConnectionTable.java
+++ b/edge/src/main/java/edgegateway/node/connections/ClientConnectionTable.java
@@ -16,8 +16,9 @@
  * clock.
  *
  * <p>Up to its capacity the table accepts every connection. Beyond that, peer addresses get max-min
- * fair shares: the peer with the most connections loses the connection that has been idle the
- * longest, and a new connection of that peer is accepted only to have its request rejected.
+ * fair shares: the peer with the most connections loses the connection that has waited for a
+ * request the longest, and a new connection of that peer is accepted only to have its request
+ * rejected.
  */
 public final class ClientConnectionTable {
   /** How long new connections keep arriving after a drain began. */
--- a/edge/src/main/java/edgegateway/node/connections/ClientPeers.java
+++ b/edge/src/main/java/edgegateway/node/connections/ClientPeers.java
@@ -39,8 +39,9 @@
   }
 
   /**
-   * Selects the longest idle connection of the peer that has the most connections, among peers with
-   * a connection that has been idle long enough; null if there is no such peer.
+   * Selects the connection that has waited for a request the longest, of the peer that has the most
+   * connections among peers with a connection that has waited long enough; null if there is no such
+   * peer.
    *
    * @param newcomer the peer that needs capacity: only its own connections and those of peers that
    *     have more connections are considered; null to consider all peers
@@ -50,8 +51,8 @@
     for (PeerConnections peer : peers.values()) {
       boolean eligible = newcomer == null || peer == newcomer || peer.count() > newcomer.count();
       if (eligible && (selected == null || peer.count() > selected.peer().count())) {
-        ClientConnection longestIdle = peer.longestIdle(nowNanos);
-        selected = longestIdle != null ? longestIdle : selected;
+        ClientConnection longestWaiting = peer.longestWaiting(nowNanos);
+        selected = longestWaiting != null ? longestWaiting : selected;
       }
     }
     return selected;
--- a/edge/src/main/java/edgegateway/node/connections/ConnectionAcceptor.java
+++ b/edge/src/main/java/edgegateway/node/connections/ConnectionAcceptor.java
@@ -44,7 +44,7 @@
 
   private static final int BACKLOG = 4096;
 
-  /** Pause without a file descriptor or capacity; short compared with a request's deadline. */
+  /** Pause when descriptors or capacity are lacking; short compared with a request's deadline. */
   private static final long ACCEPT_PAUSE_MILLIS = 20;
 
   /** A close accepts the backlog in small batches for this long, then all that is left at once. */
--- a/edge/src/main/java/edgegateway/node/connections/ConnectionLimits.java
+++ b/edge/src/main/java/edgegateway/node/connections/ConnectionLimits.java
@@ -5,9 +5,9 @@
  * here; {@link DescriptorBudget} then sets it.
  *
  * @param clients maximum client connections
- * @param upstreams maximum connections to all archive servers together
- * @param perUpstream maximum connections to one archive server
- * @param bufferedBytes maximum bytes of completely buffered bodies, over all requests
+ * @param upstreams maximum connections to all upstreams together
+ * @param perUpstream maximum connections to one upstream
+ * @param bufferedBytes maximum bytes of buffered bodies and read-ahead, over all requests
  * @param idleTimeoutNanos time after which an idle client connection is closed
  */
 public record ConnectionLimits(
--- a/edge/src/main/java/edgegateway/node/connections/DescriptorBudget.java
+++ b/edge/src/main/java/edgegateway/node/connections/DescriptorBudget.java
@@ -12,10 +12,10 @@
  *
  * @param clients maximum client connections; above that, one is evicted for each new one
  * @param rejectionSlots extra client connections, for the time of an eviction or a rejection
- * @param upstreams maximum connections to all archive servers together
- * @param perUpstream maximum connections to one archive server
+ * @param upstreams maximum connections to all upstreams together
+ * @param perUpstream maximum connections to one upstream
  * @param operators maximum connections at the operators' address
- * @param bufferedBytes maximum bytes of completely buffered bodies
+ * @param bufferedBytes maximum bytes of buffered bodies and read-ahead
  * @param idleTimeoutNanos time after which an idle client connection is closed
  * @param clampWarnings a message for each configured limit that exceeds the available capacity
  */
@@ -28,10 +28,15 @@
     int bufferedBytes,
     long idleTimeoutNanos,
     List<String> clampWarnings) {
-  /** For standard streams, class archive, slots, three event loops, listening sockets and files. */
+  /**
+   * For the standard streams, the class archive, the lock file of the process slots, the selectors
+   * of three event loops, the listening sockets for clients and operators, and other files that the
+   * process opens, together. The third event loop, besides those of the node and of the operators'
+   * address, exists during the warm-up.
+   */
   static final int RESERVED_DESCRIPTORS = 23;
 
-  /** Four, and another four during a switch to a new address of the counter. */
+  /** Four connections, and another four during a switch to a new address of the counter. */
   static final int COUNTER_CONNECTIONS = 8;
 
   /** One for each watch that may be open at the same time. */
@@ -47,25 +52,32 @@
   private static final int DESCRIPTORS_PER_OPERATOR = 32;
 
   /**
-   * Fraction of the remaining descriptors for client connections. A third of all descriptors serves
-   * clients' requests; the rest allows further connections.
+   * Client connections' fraction of the available descriptors: those that remain after the reserved
+   * ones and the connections to the counter, to discovery and at the operators' address. Twice the
+   * fraction that remains for upstream connections (0.3): at most about a third of the available
+   * descriptors are client connections with a request in flight at an upstream, and the rest of the
+   * fraction allows further connections, which are idle or whose requests wait.
    */
   private static final double CLIENT_FRACTION = 0.6;
 
+  /** Fraction of the available descriptors, as for {@link #CLIENT_FRACTION}. */
   private static final double REJECTION_SLOT_FRACTION = 0.1;
 
-  /** One archive server may have this many times its even share of the connections. */
+  /**
+   * One upstream may have this many times its even share of the upstream connections. Also the
+   * minimum number of connections allowed to one upstream, as if its even share were at least one.
+   */
   private static final int UNEVEN_LOAD_FACTOR = 4;
 
   private static final int MAX_BUFFERED_BYTES = 12 << 20;
 
   /**
-   * The part of the direct memory for buffered bodies, in eighths. Long bodies that are forwarded
+   * Buffered bodies and read-ahead get 3/8 of the direct memory. Long bodies that are forwarded
    * while they arrive get a quarter of the direct memory, and socket reads the rest.
    */
-  private static final int BUFFERED_MEMORY_EIGHTHS = 3;
+  private static final int BUFFERED_MEMORY_NUMERATOR = 3;
 
-  private static final int EIGHTHS = 8;
+  private static final int BUFFERED_MEMORY_DENOMINATOR = 8;
   private static final long DEFAULT_IDLE_TIMEOUT_NANOS = 75_000_000_000L;
 
   /**
@@ -127,7 +139,10 @@
   }
 
   private static int maxBufferedBytes() {
-    long memoryBytes = PlatformDependent.maxDirectMemory() / EIGHTHS * BUFFERED_MEMORY_EIGHTHS;
+    long memoryBytes =
+        PlatformDependent.maxDirectMemory()
+            / BUFFERED_MEMORY_DENOMINATOR
+            * BUFFERED_MEMORY_NUMERATOR;
     return (int) Math.min(MAX_BUFFERED_BYTES, memoryBytes);
   }
 
--- a/edge/src/main/java/edgegateway/node/connections/PeerConnections.java
+++ b/edge/src/main/java/edgegateway/node/connections/PeerConnections.java
@@ -46,11 +46,12 @@
    * The connection that has waited for a request the longest, among those not yet selected for
    * eviction; null if there is none, or if it has not waited long enough to be evicted.
    */
-  ClientConnection longestIdle(long nowNanos) {
+  ClientConnection longestWaiting(long nowNanos) {
     for (ClientConnection connection : evictable) {
       if (!connection.isSelectedForEviction()) {
-        boolean idleLongEnough = connection.waitedNanos(nowNanos) >= ClientTimeouts.MIN_IDLE_NANOS;
-        return idleLongEnough ? connection : null;
+        boolean waitedLongEnough =
+            connection.waitedNanos(nowNanos) >= ClientTimeouts.MIN_IDLE_NANOS;
+        return waitedLongEnough ? connection : null;
       }
     }
     return null;
--- a/edge/src/main/java/edgegateway/node/connections/TlsTermination.java
+++ b/edge/src/main/java/edgegateway/node/connections/TlsTermination.java
@@ -129,9 +129,9 @@
       channel = context.channel();
       // Nothing is read while the handshake is queued.
       channel.config().setAutoRead(false);
-      boolean queued = handshakes.submit(this);
+      boolean accepted = handshakes.submit(this);
       context.fireChannelActive();
-      if (!queued) {
+      if (!accepted) {
         metrics.rejected.incrementAndGet();
         channel.close();
       }
--- a/edge/src/main/java/edgegateway/node/connections/Upstream.java
+++ b/edge/src/main/java/edgegateway/node/connections/Upstream.java
@@ -26,7 +26,7 @@
   private final UpstreamTransport transport;
   private final Object address;
 
-  /** The server started recently and has not responded yet. */
+  /** Whether the server started recently and has not responded yet. */
   private boolean slowStart;
 
   /** Most recently used first. */
@@ -39,8 +39,8 @@
   private long lastResponseAtNanos = Long.MIN_VALUE;
 
   /**
-   * An attempt or a connect timed out, and the server has not responded since that attempt or
-   * connect began: idle connections may be dead.
+   * Whether an attempt or a connect timed out and the server has not responded since that attempt
+   * or connect began: idle connections may be dead.
    */
   private boolean suspected;
 
--- a/edge/src/test/java/edgegateway/node/connections/BufferedBodiesTest.java
+++ b/edge/src/test/java/edgegateway/node/connections/BufferedBodiesTest.java
@@ -9,7 +9,7 @@
 import java.util.SplittableRandom;
 import org.junit.jupiter.api.Test;
 
-/** The limit on buffered bodies. */
+/** The limit on the memory for buffered data. */
 class BufferedBodiesTest {
   private static final int CAPACITY_BYTES = 1_200_000;
   private static final int BODY_BYTES = 65_536;
--- a/edge/src/test/java/edgegateway/node/connections/ClientCapacityTest.java
+++ b/edge/src/test/java/edgegateway/node/connections/ClientCapacityTest.java
@@ -44,6 +44,9 @@
     assertEquals(99, capacity.connections());
     capacity.recover(HOLD_NANOS + 1);
     assertEquals(100, capacity.connections());
+    // The reports below are 1 ns earlier than the call of recover() before them. That makes no
+    // difference: a lowered limit that has reached the budgeted limit is removed without a hold
+    // time.
     assertFalse(capacity.descriptorsExhausted(HOLD_NANOS, 200), "the lowered limit still applies");
     capacity.recover(HOLD_NANOS + 1);
     assertTrue(
--- a/edge/src/test/java/edgegateway/node/connections/ConnectBackoffTest.java
+++ b/edge/src/test/java/edgegateway/node/connections/ConnectBackoffTest.java
@@ -7,7 +7,7 @@
 import java.util.SplittableRandom;
 import org.junit.jupiter.api.Test;
 
-/** Connect backoff and learned connection limit of one archive server, on a fake clock. */
+/** Connect backoff and learned connection limit of one archive server; times are arguments. */
 class ConnectBackoffTest {
   private static final long MS = 1_000_000L;
   private final ConnectBackoff backoff = new ConnectBackoff(new SplittableRandom(1));
@@ -20,6 +20,7 @@
       assertTrue(backoff.allowsConnect(now));
       backoff.connectFailed(now);
       assertTrue(backoff.isFailing());
+      // With its random jitter, the backoff is between half of the delay and the full delay.
       assertFalse(backoff.allowsConnect(now + delayNanos / 2 - 1), "failure " + failures);
       assertTrue(backoff.allowsConnect(now + delayNanos), "failure " + failures);
       now += delayNanos;
