--- a/edge/src/main/java/edgegateway/node/connections/DescriptorBudget.java
+++ b/edge/src/main/java/edgegateway/node/connections/DescriptorBudget.java
@@ -12,12 +12,12 @@
  *
  * @param clients maximum client connections; above that, one is evicted for each new one
  * @param rejectionSlots extra client connections, for the time of an eviction or a rejection
- * @param upstreams maximum connections to all archive servers together
- * @param perUpstream maximum connections to one archive server
+ * @param upstreams maximum connections to all upstreams together
+ * @param perUpstream maximum connections to one upstream
  * @param operators maximum connections at the operators' address
- * @param bufferedBytes maximum bytes of completely buffered bodies
+ * @param bufferedBytes maximum bytes of buffered bodies and read-ahead
  * @param idleTimeoutNanos time after which an idle client connection is closed
- * @param clamped a message for each configured limit that exceeds the available capacity
+ * @param clampWarnings a message for each configured limit that exceeds the available capacity
  */
 public record DescriptorBudget(
     int clients,
@@ -27,11 +27,16 @@
     int operators,
     int bufferedBytes,
     long idleTimeoutNanos,
-    List<String> clamped) {
-  /** For standard streams, class archive, slots, three event loops, listening sockets and files. */
+    List<String> clampWarnings) {
+  /**
+   * For the standard streams, the class archive, the lock file of the process slots, the selectors
+   * of three event loops, the listening sockets for clients and operators, and other files that the
+   * process opens, together. The third event loop, besides those of the node and of the operators'
+   * address, exists during the warm-up.
+   */
   static final int RESERVED_DESCRIPTORS = 23;
 
-  /** Four, and another four during a switch to a new address of the counter. */
+  /** Four connections, and another four during a switch to a new address of the counter. */
   static final int COUNTER_CONNECTIONS = 8;
 
   /** One for each watch that may be open at the same time. */
@@ -47,25 +52,32 @@
   private static final int DESCRIPTORS_PER_OPERATOR = 32;
 
   /**
-   * Fraction of the remaining descriptors for client connections. A third of all descriptors serves
-   * clients' requests; the rest allows further connections.
+   * Client connections' fraction of the available descriptors: those that remain after the reserved
+   * ones and the connections to the counter, to discovery and at the operators' address. Twice the
+   * fraction that remains for upstream connections (0.3): at most about a third of the available
+   * descriptors are client connections with a request in flight at an upstream, and the rest of the
+   * fraction allows further connections, which are idle or whose requests wait.
    */
   private static final double CLIENT_FRACTION = 0.6;
 
+  /** Fraction of the available descriptors, as for {@link #CLIENT_FRACTION}. */
   private static final double REJECTION_SLOT_FRACTION = 0.1;
 
-  /** One archive server may have this many times its even share of the connections. */
+  /**
+   * One upstream may have this many times its even share of the upstream connections. Also the
+   * minimum number of connections allowed to one upstream, as if its even share were at least one.
+   */
   private static final int UNEVEN_LOAD_FACTOR = 4;
 
   private static final int MAX_BUFFERED_BYTES = 12 << 20;
 
   /**
-   * The part of the direct memory for buffered bodies, in eighths. Long bodies that are forwarded
+   * Buffered bodies and read-ahead get 3/8 of the direct memory. Long bodies that are forwarded
    * while they arrive get a quarter of the direct memory, and socket reads the rest.
    */
-  private static final int BUFFERED_MEMORY_EIGHTHS = 3;
+  private static final int BUFFERED_MEMORY_NUMERATOR = 3;
 
-  private static final int EIGHTHS = 8;
+  private static final int BUFFERED_MEMORY_DENOMINATOR = 8;
   private static final long DEFAULT_IDLE_TIMEOUT_NANOS = 75_000_000_000L;
 
   /**
@@ -78,7 +90,7 @@
    */
   public static DescriptorBudget of(
       ConnectionLimits limits, int descriptors, int processes, int endpoints) {
-    List<String> clamped = new ArrayList<>();
+    List<String> clampWarnings = new ArrayList<>();
     int operators =
         Math.max(MIN_OPERATORS, Math.min(MAX_OPERATORS, descriptors / DESCRIPTORS_PER_OPERATOR));
     int available =
@@ -88,12 +100,13 @@
             - DISCOVERY_CONNECTIONS
             - operators;
     int maxClients = Math.max(MIN_CLIENTS, (int) (available * CLIENT_FRACTION));
-    int clients = clamp("clients", limits.clients(), maxClients, clamped);
+    int clients = clamp("clients", limits.clients(), maxClients, clampWarnings);
     int rejectionSlots = Math.max(MIN_REJECTION_SLOTS, (int) (available * REJECTION_SLOT_FRACTION));
     int maxUpstreams = Math.max(MIN_UPSTREAMS, available - clients - rejectionSlots);
-    int upstreams = upstreams(limits, available, maxUpstreams, clamped);
-    int perUpstream = perUpstream(limits, upstreams, endpoints, clamped);
-    int bufferedBytes = clamp("held-bytes", limits.bufferedBytes(), maxBufferedBytes(), clamped);
+    int upstreams = upstreams(limits, available, maxUpstreams, clampWarnings);
+    int perUpstream = perUpstream(limits, upstreams, endpoints, clampWarnings);
+    int bufferedBytes =
+        clamp("held-bytes", limits.bufferedBytes(), maxBufferedBytes(), clampWarnings);
     long idleTimeoutNanos =
         limits.idleTimeoutNanos() > 0 ? limits.idleTimeoutNanos() : DEFAULT_IDLE_TIMEOUT_NANOS;
     return new DescriptorBudget(
@@ -104,37 +117,41 @@
         operators,
         bufferedBytes,
         idleTimeoutNanos,
-        List.copyOf(clamped));
+        List.copyOf(clampWarnings));
   }
 
   private static int upstreams(
-      ConnectionLimits limits, int available, int max, List<String> clamped) {
+      ConnectionLimits limits, int available, int max, List<String> clampWarnings) {
     if (limits.upstreams() > 0) {
-      return clamp("archive-servers", limits.upstreams(), max, clamped);
+      return clamp("archive-servers", limits.upstreams(), max, clampWarnings);
     }
     double fraction = 1 - CLIENT_FRACTION - REJECTION_SLOT_FRACTION;
     return Math.min(max, Math.max(MIN_UPSTREAMS, (int) (available * fraction)));
   }
 
   private static int perUpstream(
-      ConnectionLimits limits, int upstreams, int endpoints, List<String> clamped) {
+      ConnectionLimits limits, int upstreams, int endpoints, List<String> clampWarnings) {
     if (limits.perUpstream() > 0) {
-      return clamp("per-archive-server", limits.perUpstream(), upstreams, clamped);
+      return clamp("per-archive-server", limits.perUpstream(), upstreams, clampWarnings);
     }
     int unevenShare = UNEVEN_LOAD_FACTOR * upstreams / Math.max(1, endpoints);
     return Math.min(upstreams, Math.max(UNEVEN_LOAD_FACTOR, unevenShare));
   }
 
   private static int maxBufferedBytes() {
-    long memoryBytes = PlatformDependent.maxDirectMemory() / EIGHTHS * BUFFERED_MEMORY_EIGHTHS;
+    long memoryBytes =
+        PlatformDependent.maxDirectMemory()
+            / BUFFERED_MEMORY_DENOMINATOR
+            * BUFFERED_MEMORY_NUMERATOR;
     return (int) Math.min(MAX_BUFFERED_BYTES, memoryBytes);
   }
 
   /** The configured limit, at most the maximum; the maximum if no limit is configured. */
-  private static int clamp(String key, int limit, int max, List<String> clamped) {
+  private static int clamp(String key, int limit, int max, List<String> clampWarnings) {
     if (limit > max) {
       String given = "connections." + key + " is " + limit;
-      clamped.add(given + ", which exceeds the available capacity: using " + max + " instead");
+      clampWarnings.add(
+          given + ", which exceeds the available capacity: using " + max + " instead");
     }
     return limit > 0 ? Math.min(limit, max) : max;
   }
