--- a/edge/src/main/java/edgegateway/policy/control/RecursiveLeastSquares.java
+++ b/edge/src/main/java/edgegateway/policy/control/RecursiveLeastSquares.java
@@ -25,20 +25,20 @@
   /**
    * Creates a model whose parameters are all 0.
    *
-   * @param outputs number of outputs
-   * @param inputs number of rows of the regressor, of which each output is a linear function
+   * @param outputCount number of outputs
+   * @param inputCount number of inputs, which is the dimension of the regressor
    */
-  RecursiveLeastSquares(int outputs, int inputs) {
-    parameters = new SimpleMatrix(outputs, inputs);
-    covariance = SimpleMatrix.identity(inputs).scale(INITIAL_VARIANCE);
+  RecursiveLeastSquares(int outputCount, int inputCount) {
+    parameters = new SimpleMatrix(outputCount, inputCount);
+    covariance = SimpleMatrix.identity(inputCount).scale(INITIAL_VARIANCE);
   }
 
   /**
    * Updates the fit with one observation.
    *
    * @param regressor a column with one row per input
-   * @param outputs one value per output; NaN marks an output that was not observed, whose
-   *     parameters do not change
+   * @param outputs the observed value of each output; NaN marks an output that was not observed,
+   *     whose parameters do not change
    */
   void update(SimpleMatrix regressor, double... outputs) {
     SimpleMatrix direction = covariance.mult(regressor);
--- a/edge/src/main/java/edgegateway/policy/control/ShareController.java
+++ b/edge/src/main/java/edgegateway/policy/control/ShareController.java
@@ -91,13 +91,13 @@
    */
   private void observe(int index, double[] outputs, double[] observed) {
     ClassIntervalStatistics statistics = classes.get(index);
-    boolean answered = statistics.succeeded() > 0;
+    boolean hasSuccess = statistics.succeeded() > 0;
     int latencyIndex = classCount + index;
     outputs[index] = statistics.succeeded() / throughputScale;
     outputs[latencyIndex] =
-        answered ? statistics.normalizedInverseLatency() : previousInverseLatency(latencyIndex);
-    observed[index] = answered ? outputs[index] : Double.NaN;
-    observed[latencyIndex] = answered ? outputs[latencyIndex] : Double.NaN;
+        hasSuccess ? statistics.normalizedInverseLatency() : previousInverseLatency(latencyIndex);
+    observed[index] = hasSuccess ? outputs[index] : Double.NaN;
+    observed[latencyIndex] = hasSuccess ? outputs[latencyIndex] : Double.NaN;
   }
 
   private double previousInverseLatency(int latencyIndex) {
--- a/edge/src/test/java/edgegateway/policy/control/UtilityOptimizerTest.java
+++ b/edge/src/test/java/edgegateway/policy/control/UtilityOptimizerTest.java
@@ -10,7 +10,13 @@
 class UtilityOptimizerTest {
   private static final int REQUESTS_PER_INTERVAL = 100;
 
-  /** Throughput and inverse latency of each class are proportional to its share. */
+  /**
+   * Model of two classes whose normalized throughput and inverse latency are proportional to the
+   * class's share in the fair queue. Rows of both matrices: throughput of class 0, throughput of
+   * class 1, inverse latency of class 0, inverse latency of class 1. Columns of the gain: share of
+   * class 0, share of class 1. The offset is 0 and the gain of the throughput is 1, so the first
+   * two references equal the allocated shares.
+   */
   private static final LinearModel PROPORTIONAL_MODEL =
       new LinearModel(
           new SimpleMatrix(4, 1),
@@ -57,7 +63,7 @@
   }
 
   @Test
-  void allSharesAreAllocatedWithoutArrivals() {
+  void sharesSumToOneWithoutArrivals() {
     SimpleMatrix references =
         references(statisticsWithArrivals(1, 0), statisticsWithArrivals(4, 0));
     assertEquals(1, references.get(0) + references.get(1), 1e-9);
