--- a/edge/src/main/java/edgegateway/node/zones/HalfOpenProbes.java
+++ b/edge/src/main/java/edgegateway/node/zones/HalfOpenProbes.java
@@ -8,17 +8,17 @@
  * the next round starts with exponential backoff.
  */
 final class HalfOpenProbes {
-  private static final long PROBE_INTERVAL_NANOS = 200_000_000L;
+  private static final long ATTEMPT_INTERVAL_NANOS = 200_000_000L;
   private static final long INITIAL_BACKOFF_NANOS = 500_000_000L;
   private static final long MAX_BACKOFF_NANOS = 2_000_000_000L;
   private static final int MAX_BACKOFF_DOUBLINGS = 5;
   private static final long NO_WINDOW = Long.MIN_VALUE;
 
   /** Sends one half-open attempt. */
-  private final Runnable sendProbe;
+  private final Runnable sendAttempt;
 
   private long window = NO_WINDOW;
-  private long nextProbeNanos;
+  private long nextAttemptNanos;
   private int failedRounds;
 
   /** Total attempts of the zone when the current round began. */
@@ -27,40 +27,40 @@
   /** Total failures of the zone when the current round began. */
   private long failuresAtRoundStart;
 
-  HalfOpenProbes(Runnable sendProbe) {
-    this.sendProbe = sendProbe;
+  HalfOpenProbes(Runnable sendAttempt) {
+    this.sendAttempt = sendAttempt;
   }
 
   /** Starts over, without backoff, after the zone was ejected. */
   void reset(long nowNanos) {
     window = NO_WINDOW;
-    nextProbeNanos = nowNanos;
+    nextAttemptNanos = nowNanos;
     failedRounds = 0;
   }
 
   /**
    * Sends the next attempt if it is due.
    *
-   * @param requiredAnswers number of successful attempts that a round needs
+   * @param requiredSuccesses number of successful attempts that a round needs
    * @return whether the current round has enough successful attempts and no failure
    */
-  boolean advance(long nowNanos, ZoneHealth health, int requiredAnswers) {
+  boolean advance(long nowNanos, ZoneHealth health, int requiredSuccesses) {
     long currentWindow = ZoneConsensus.window(nowNanos);
     if (window != currentWindow) {
       window = currentWindow;
-      nextProbeNanos = Math.max(nextProbeNanos, nowNanos);
+      nextAttemptNanos = Math.max(nextAttemptNanos, nowNanos);
       beginRound(health);
     }
     if (health.totalFailures() > failuresAtRoundStart) {
-      nextProbeNanos = nowNanos + backoffNanos();
+      nextAttemptNanos = nowNanos + backoffNanos();
       failedRounds++;
       beginRound(health);
       return false;
     }
-    boolean succeeded = health.totalAttempts() - attemptsAtRoundStart >= requiredAnswers;
-    if (!succeeded && nowNanos >= nextProbeNanos) {
-      nextProbeNanos = nowNanos + PROBE_INTERVAL_NANOS;
-      sendProbe.run();
+    boolean succeeded = health.totalAttempts() - attemptsAtRoundStart >= requiredSuccesses;
+    if (!succeeded && nowNanos >= nextAttemptNanos) {
+      nextAttemptNanos = nowNanos + ATTEMPT_INTERVAL_NANOS;
+      sendAttempt.run();
     }
     return succeeded;
   }
--- a/edge/src/main/java/edgegateway/node/zones/ZoneStateMachine.java
+++ b/edge/src/main/java/edgegateway/node/zones/ZoneStateMachine.java
@@ -50,10 +50,10 @@
   private static final int MIN_RETURN_VOTES = 3;
 
   /** Successful half-open attempts that a node needs to vote for a zone's return. */
-  private static final int REQUIRED_ANSWERS = 1;
+  private static final int REQUIRED_SUCCESSES = 1;
 
   /** Successful half-open attempts that a node needs to readmit a zone on its own. */
-  private static final int REQUIRED_ANSWERS_LOCAL = 3;
+  private static final int REQUIRED_SUCCESSES_LOCAL = 3;
 
   /** The vote request interval is multiplied by a random factor from this to this plus 1. */
   private static final double MIN_VOTE_REQUEST_JITTER = 0.5;
@@ -269,9 +269,9 @@
     }
     long window = ZoneConsensus.window(nowNanos);
     boolean decidesLocally = decidedBy == DecidedBy.ALONE || consensus.decidesLocally();
-    int requiredAnswers = decidesLocally ? REQUIRED_ANSWERS_LOCAL : REQUIRED_ANSWERS;
+    int requiredSuccesses = decidesLocally ? REQUIRED_SUCCESSES_LOCAL : REQUIRED_SUCCESSES;
     boolean succeeded =
-        (decidesLocally || probesIn(window)) && probes.advance(nowNanos, health, requiredAnswers);
+        (decidesLocally || probesIn(window)) && probes.advance(nowNanos, health, requiredSuccesses);
     // If the zone was healthy in an earlier window and no quorum followed, this node readmits it.
     boolean healthyInEarlierWindow = healthyWindow != NEVER && healthyWindow != window;
     if (succeeded && (decidesLocally || healthyInEarlierWindow)) {
--- a/edge/src/test/java/edgegateway/node/zones/FakeZoneFleet.java
+++ b/edge/src/test/java/edgegateway/node/zones/FakeZoneFleet.java
@@ -131,6 +131,7 @@
         double decay = Math.exp(-stepNanos / HEALTH_DECAY_NANOS);
         recentAttempts[zone] *= decay;
         recentFailures[zone] *= decay;
+        // The failure excess decays with a time constant five times as long.
         failureExcess[zone] *= Math.pow(decay, 0.2);
         if (nodeRandom.nextDouble() < rate * trafficFraction(zone) * stepNanos / SECOND_NANOS) {
           attempt(zone);
@@ -140,10 +141,12 @@
           attempt(zone);
         }
         int failingEndpoints = failureExcess[zone] > 1 ? SERVERS : 0;
-        double part = 1.0 / ZONES.size();
+        double endpointFraction = 1.0 / ZONES.size();
+        // The false report: 10 attempts, all failed, and all endpoints observed and failing.
         all.add(
             alwaysSuspects && zone == index % ZONES.size()
-                ? new ZoneHealth(zone, 10, 10, 10, SERVERS, SERVERS, SERVERS, 0, 0, part, 10, 10, 0)
+                ? new ZoneHealth(
+                    zone, 10, 10, 10, SERVERS, SERVERS, SERVERS, 0, 0, endpointFraction, 10, 10, 0)
                 : new ZoneHealth(
                     zone,
                     recentAttempts[zone],
@@ -154,7 +157,7 @@
                     failingEndpoints,
                     0,
                     0,
-                    part,
+                    endpointFraction,
                     attempts[zone],
                     failures[zone],
                     lastAnswerNanos[zone]));
--- a/edge/src/test/java/edgegateway/node/zones/HalfOpenProbesTest.java
+++ b/edge/src/test/java/edgegateway/node/zones/HalfOpenProbesTest.java
@@ -10,59 +10,65 @@
 class HalfOpenProbesTest {
   private static final long MILLISECOND_NANOS = 1_000_000L;
 
-  private int sent;
-  private int succeeded;
-  private int failed;
+  private int sentAttempts;
+  private int succeededAttempts;
+  private int failedAttempts;
   private long nowNanos = ZoneConsensus.VOTE_WINDOW_NANOS;
-  private final HalfOpenProbes probes = new HalfOpenProbes(() -> sent++);
+  private final HalfOpenProbes probes = new HalfOpenProbes(() -> sentAttempts++);
 
-  private boolean advance(int requiredAnswers) {
-    int attempts = succeeded + failed;
+  /**
+   * Advances with the attempts that have ended so far, in zone 0 with 4 endpoints that were all
+   * observed and 0.3 of all listed endpoints. Only the total attempts and failures matter here.
+   */
+  private boolean advance(int requiredSuccesses) {
+    int totalAttempts = succeededAttempts + failedAttempts;
     return probes.advance(
         nowNanos,
-        new ZoneHealth(0, 0, 0, 0, 4, 4, 0, 0, 0, 0.3, attempts, failed, 0),
-        requiredAnswers);
+        new ZoneHealth(0, 0, 0, 0, 4, 4, 0, 0, 0, 0.3, totalAttempts, failedAttempts, 0),
+        requiredSuccesses);
   }
 
   @Test
   void sendsAttemptsAtAnIntervalUntilEnoughSucceed() {
     assertFalse(advance(2));
     assertFalse(advance(2));
-    assertEquals(1, sent, "the second attempt must wait for the interval");
+    assertEquals(1, sentAttempts, "the second attempt must wait for the interval");
     nowNanos += 200 * MILLISECOND_NANOS;
-    succeeded++;
+    succeededAttempts++;
     assertFalse(advance(2));
-    assertEquals(2, sent);
-    succeeded++;
+    assertEquals(2, sentAttempts);
+    succeededAttempts++;
     assertTrue(advance(2));
     nowNanos += 200 * MILLISECOND_NANOS;
     assertTrue(advance(2));
-    assertEquals(2, sent, "no attempt may follow after enough succeeded");
+    assertEquals(2, sentAttempts, "no attempt may follow after enough succeeded");
   }
 
   @Test
   void startsANewRoundWithDoublingBackoffAfterAFailure() {
     for (long backoffNanos : new long[] {500 * MILLISECOND_NANOS, 1_000 * MILLISECOND_NANOS}) {
       advance(1);
-      int sentBefore = sent;
-      failed++;
+      int sentBefore = sentAttempts;
+      failedAttempts++;
       assertFalse(advance(1));
       nowNanos += backoffNanos - 1;
       assertFalse(advance(1));
-      assertEquals(sentBefore, sent, "sent before the end of the backoff, in ns: " + backoffNanos);
+      assertEquals(
+          sentBefore, sentAttempts, "sent before the end of the backoff, in ns: " + backoffNanos);
       nowNanos++;
       assertFalse(advance(1));
-      assertEquals(sentBefore + 1, sent, "sent at the end of the backoff, in ns: " + backoffNanos);
+      assertEquals(
+          sentBefore + 1, sentAttempts, "sent at the end of the backoff, in ns: " + backoffNanos);
     }
   }
 
   @Test
   void startsANewRoundInEachVotingWindow() {
     advance(1);
-    succeeded++;
+    succeededAttempts++;
     assertTrue(advance(1));
     nowNanos += ZoneConsensus.VOTE_WINDOW_NANOS;
     assertFalse(advance(1));
-    assertEquals(2, sent);
+    assertEquals(2, sentAttempts);
   }
 }
