--- a/edge/src/main/java/edgegateway/node/operators/EjectionFile.java
+++ b/edge/src/main/java/edgegateway/node/operators/EjectionFile.java
@@ -17,8 +17,8 @@
 
 /**
  * A file that preserves operators' ejections across an upgrade: a JSON array with the names of the
- * ejected endpoints or zones. Processes of two versions share the file, so its format must not
- * change. Not thread-safe.
+ * ejected endpoints or zones. Two versions of the program run at the same time during an upgrade
+ * and share the file, which has no format version, so its format must not change. Not thread-safe.
  */
 public final class EjectionFile {
   private static final EventLog LOG = EventLog.console();
--- a/edge/src/main/java/edgegateway/node/upgrade/HandoverFile.java
+++ b/edge/src/main/java/edgegateway/node/upgrade/HandoverFile.java
@@ -19,15 +19,19 @@
 /**
  * The file through which the old process of an upgrade transfers its state to the new one.
  *
- * <p>Processes of two versions share the file, so its name and format must not change. It holds
- * plain big-endian numbers, since during an upgrade both processes are short of CPU time and the
- * code of a serialization library would not be compiled by the JIT compiler yet. May be used from
- * any thread, but only from one at a time.
+ * <p>Two versions of the program run at the same time during an upgrade and share the file, so its
+ * name must not change, and a change of the format needs a new {@link #FORMAT_VERSION}; the new
+ * process then starts without the state. The file holds plain big-endian numbers, since during an
+ * upgrade both processes are short of CPU time and the code of a serialization library would not be
+ * compiled by the JIT compiler yet. May be used from any thread, but only from one at a time.
  */
 public final class HandoverFile {
   private static final EventLog LOG = EventLog.console();
 
-  /** Must change with the format; a file with another version is ignored. */
+  /**
+   * First field of the file. A change of the format needs a new value: a file of another format
+   * version is deleted, reported in the log and otherwise ignored.
+   */
   private static final int FORMAT_VERSION = 0x5eed0001;
 
   private static final String FILE_NAME = "handover";
--- a/edge/src/test/java/edgegateway/node/operators/EjectionFileTest.java
+++ b/edge/src/test/java/edgegateway/node/operators/EjectionFileTest.java
@@ -13,34 +13,38 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
-/** The format is fixed, since two versions run at the same time during an upgrade. */
+/**
+ * Tests the exact bytes of the ejection files: two versions of the program run at the same time
+ * during an upgrade and share the files, which have no format version, so the format must not
+ * change.
+ */
 class EjectionFileTest {
   private static final Set<String> ENDPOINTS =
       new LinkedHashSet<>(List.of("s-5be2a07c", "s-0", "s \"\u00e4\" \\"));
 
-  /** File that version f416bee wrote for {@link #ENDPOINTS}. */
-  private static final byte[] ENDPOINTS_BY_F416BEE =
+  /** {@link #ENDPOINTS} as a JSON array, as the program of commit f416bee wrote it. */
+  private static final byte[] ENDPOINTS_FILE =
       "[\"s-5be2a07c\",\"s-0\",\"s \\\"\u00e4\\\" \\\\\"]".getBytes(StandardCharsets.UTF_8);
 
-  /** File that version f416bee wrote for the zones b and a. */
-  private static final byte[] ZONES_BY_F416BEE = "[\"b\",\"a\"]".getBytes(StandardCharsets.UTF_8);
+  /** The zones b and a as a JSON array, as the program of commit f416bee wrote it. */
+  private static final byte[] ZONES_FILE = "[\"b\",\"a\"]".getBytes(StandardCharsets.UTF_8);
 
   @TempDir Path folder;
 
   @Test
-  void readsFilesOfThePreviousVersion() throws Exception {
-    Files.write(folder.resolve("left-out.json"), ENDPOINTS_BY_F416BEE);
-    Files.write(folder.resolve("zones-out.json"), ZONES_BY_F416BEE);
+  void readsFilesInTheFixedFormat() throws Exception {
+    Files.write(folder.resolve("left-out.json"), ENDPOINTS_FILE);
+    Files.write(folder.resolve("zones-out.json"), ZONES_FILE);
     assertEquals(ENDPOINTS, new EjectionFile(folder, "left-out").readIfChanged());
     assertEquals(Set.of("a", "b"), new EjectionFile(folder, "zones-out").readIfChanged());
   }
 
   @Test
-  void writesFilesLikeThePreviousVersion() throws Exception {
+  void writesFilesInTheFixedFormat() throws Exception {
     new EjectionFile(folder, "left-out").write(ENDPOINTS);
     new EjectionFile(folder, "zones-out").write(new LinkedHashSet<>(List.of("b", "a")));
-    assertArrayEquals(ENDPOINTS_BY_F416BEE, Files.readAllBytes(folder.resolve("left-out.json")));
-    assertArrayEquals(ZONES_BY_F416BEE, Files.readAllBytes(folder.resolve("zones-out.json")));
+    assertArrayEquals(ENDPOINTS_FILE, Files.readAllBytes(folder.resolve("left-out.json")));
+    assertArrayEquals(ZONES_FILE, Files.readAllBytes(folder.resolve("zones-out.json")));
   }
 
   @Test
--- a/edge/src/test/java/edgegateway/node/upgrade/HandoverFileTest.java
+++ b/edge/src/test/java/edgegateway/node/upgrade/HandoverFileTest.java
@@ -13,10 +13,16 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
-/** The format is fixed, since two versions run at the same time during an upgrade. */
+/**
+ * Tests the exact bytes of the handover file: two versions of the program run at the same time
+ * during an upgrade and exchange the file, so a change of the format needs a new format version.
+ */
 class HandoverFileTest {
-  /** File that version f416bee wrote for {@link #STATE}. */
-  private static final byte[] WRITTEN_BY_F416BEE =
+  /**
+   * {@link #STATE} in format version 0x5eed0001, the first four bytes. The program of commit
+   * f416bee wrote these bytes.
+   */
+  private static final byte[] STATE_IN_FORMAT_1 =
       HexFormat.of()
           .parseHex(
               "5eed0001400c000000000000000000023fc999999999999a3fd333333333"
@@ -51,19 +57,19 @@
   @TempDir Path folder;
 
   @Test
-  void readsAFileOfThePreviousVersion() throws Exception {
-    Files.write(folder.resolve("handover"), WRITTEN_BY_F416BEE);
+  void readsAFileInFormat1() throws Exception {
+    Files.write(folder.resolve("handover"), STATE_IN_FORMAT_1);
     assertEquals(STATE, new HandoverFile(folder).read());
   }
 
   @Test
-  void writesTheFileLikeThePreviousVersion() throws Exception {
+  void writesTheFileInFormat1() throws Exception {
     new HandoverFile(folder).write(STATE);
-    assertArrayEquals(WRITTEN_BY_F416BEE, Files.readAllBytes(folder.resolve("handover")));
+    assertArrayEquals(STATE_IN_FORMAT_1, Files.readAllBytes(folder.resolve("handover")));
   }
 
   @Test
-  void sharesNothingWithoutAFolder() throws Exception {
+  void discardsAndReadsNothingWithoutAFolder() throws Exception {
     HandoverFile file = new HandoverFile(null);
     file.discard();
     assertNull(file.read());
