--- a/edge/src/main/java/edgegateway/node/counter/CounterProtocol.java
+++ b/edge/src/main/java/edgegateway/node/counter/CounterProtocol.java
@@ -24,7 +24,10 @@
 
   private CounterProtocol() {}
 
-  /** The URI of a call that adds an amount; the lifetime is rounded up to whole milliseconds. */
+  /**
+   * The URI of a call that adds an amount. The lifetime is rounded up to whole milliseconds and is
+   * at least 1 ms.
+   */
   static String uri(long counterName, double amount, long lifetimeNanos) {
     long lifetimeMillis = Math.max(1, (lifetimeNanos + NANOS_PER_MILLI - 1) / NANOS_PER_MILLI);
     return PATH
--- a/edge/src/test/java/edgegateway/node/counter/CounterCallTest.java
+++ b/edge/src/test/java/edgegateway/node/counter/CounterCallTest.java
@@ -7,12 +7,14 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
-/** Tests how a single call ends and the URI that it sends, without a connection. */
+/** Tests the outcomes of a single call and the URI of its request, without a connection. */
 class CounterCallTest {
-  private static final long MAX_UNSIGNED_NAME = -1;
+  /** The largest counter name, 2^64 - 1, as a signed long. */
+  private static final long MAX_COUNTER_NAME = -1;
+
   private final List<String> reportedOutcomes = new ArrayList<>();
 
-  /** A call that adds 1.5 to the counter 4. */
+  /** A call that adds 1.5 to the counter named 4, with a lifetime of 1 ns. */
   private CounterCall newCall() {
     return new CounterCall(
         (counterName, outcome, total) ->
@@ -59,10 +61,10 @@
   }
 
   @Test
-  void uriHasAnUnsignedNameAndTheLifetimeRoundedUpToMilliseconds() {
+  void uriHasAnUnsignedNameAndTheLifetimeRoundedUpToAtLeastOneMillisecond() {
     assertEquals(
         "/tally/18446744073709551615?n=-2.25&keep_ms=1",
-        CounterProtocol.uri(MAX_UNSIGNED_NAME, -2.25, 0));
+        CounterProtocol.uri(MAX_COUNTER_NAME, -2.25, 0));
     assertEquals("/tally/4?n=1.5&keep_ms=2", CounterProtocol.uri(4, 1.5, 1_000_001));
   }
 }
--- a/testbed/src/test/java/edgegateway/testbed/workload/ArrivalGeneratorTest.java
+++ b/testbed/src/test/java/edgegateway/testbed/workload/ArrivalGeneratorTest.java
@@ -12,6 +12,11 @@
 import java.util.stream.Collectors;
 import org.junit.jupiter.api.Test;
 
+/**
+ * Tests the arrivals drawn for 12 edge nodes in 30 s. The arguments of each {@link CustomerPlan}
+ * are its name, number of customers, rate in requests per second, burst in units, price factor,
+ * ceiling factor (0 for none), use as a fraction of the rate, and spread in nodes.
+ */
 class ArrivalGeneratorTest {
   private static final long NANOS_PER_SECOND = 1_000_000_000L;
 
@@ -84,7 +89,7 @@
   }
 
   @Test
-  void busiestNodeChangesDuringTheRunAndNoUseDrawsNothing() {
+  void busiestNodeChangesDuringTheRunAndZeroUsageGeneratesNoArrivals() {
     List<RequestArrival> arrivals =
         ArrivalGenerator.draw(settings(4, new CustomerPlan("big", 1, 200, 20, 1, 0, 1, 4)), 3);
     Set<Integer> busiest = new HashSet<>();
@@ -97,7 +102,7 @@
       busiest.add(
           byNode.entrySet().stream().max(Map.Entry.comparingByValue()).orElseThrow().getKey());
     }
-    assertTrue(busiest.size() > 1, "the weights never change");
+    assertTrue(busiest.size() > 1, "the same node was the busiest in every second");
     assertEquals(
         0,
         ArrivalGenerator.draw(settings(1, new CustomerPlan("idle", 9, 5, 20, 1, 0, 0, 2)), 1)
--- a/testbed/src/test/java/edgegateway/testbed/workload/ClientRetryPolicyTest.java
+++ b/testbed/src/test/java/edgegateway/testbed/workload/ClientRetryPolicyTest.java
@@ -17,8 +17,12 @@
     assertEquals("r17", ClientRetryPolicy.requestId("r17"));
   }
 
+  /**
+   * Tests the jitter of 0.5 to 1.5 times the mean, the maximum number of retries, the deadline, a
+   * Retry-After that is ignored or is the minimum backoff, and the validation of the settings.
+   */
   @Test
-  void retriesWhileRetriesAndTimeRemain() {
+  void delayFollowsRetryLimitDeadlineJitterAndRetryAfter() {
     ClientRetryPolicy ignoresRetryAfter = new ClientRetryPolicy(2, 200 * NANOS_PER_MILLI, false);
     for (int i = 0; i < 1_000; i++) {
       long delayNanos =
