--- a/edge/src/main/java/edgegateway/node/WarmUp.java
+++ b/edge/src/main/java/edgegateway/node/WarmUp.java
@@ -29,7 +29,10 @@
 public final class WarmUp {
   private static final EventLog LOG = EventLog.console();
 
-  /** The JVM compiles code after about 200 runs, and not every request runs all of the code. */
+  /**
+   * Several times the number of runs, about 200, after which the JVM compiles code, because each
+   * request runs only a part of the code.
+   */
   private static final int REQUESTS = 2_000;
 
   private static final int REQUESTS_PER_ROUND = 20;
@@ -45,8 +48,9 @@
   private static final int CUSTOMERS = 90;
 
   /**
-   * Limit for a node with a small fraction of a CPU core. There all requests would take too long,
-   * since the load balancer or the old process of an upgrade waits for this node.
+   * Limit for a node with a small fraction of a CPU core. On such a node, sending all {@link
+   * #REQUESTS} would take too long, since the load balancer or the old process of an upgrade waits
+   * for this node.
    */
   private static final long MAX_DURATION_NANOS = TimeUnit.MILLISECONDS.toNanos(3_000);
 
@@ -58,8 +62,8 @@
   /** Whether a request has been sent and not yet answered. */
   private boolean inProgress;
 
-  private int sent;
-  private int served;
+  private int requestsSent;
+  private int attemptsAnswered;
 
   private WarmUp(NodeConfig config, EdgeNode node) {
     this.config = config;
@@ -70,7 +74,7 @@
    * Runs the warm-up until all requests are sent or {@link #MAX_DURATION_NANOS} has passed. Must
    * not be called on an event loop's thread.
    *
-   * @return number of requests that reached a server; 0 if no endpoint is known
+   * @return number of attempts that an in-memory archive server answered; 0 if no endpoint is known
    */
   public static int run(NodeConfig nodeConfig) throws Exception {
     long startNanos = System.nanoTime();
@@ -83,14 +87,15 @@
       node.startPolicy();
       node.loop.submit(warmUp::connect).get();
       // In rounds, so that the policy's timers run in between as they do in normal operation.
-      while (warmUp.sent < REQUESTS && System.nanoTime() - startNanos < MAX_DURATION_NANOS) {
+      while (warmUp.requestsSent < REQUESTS
+          && System.nanoTime() - startNanos < MAX_DURATION_NANOS) {
         node.loop.submit(warmUp::runRound).get();
       }
       LOG.info(
           "warmed_up",
-          field("requests", warmUp.sent),
+          field("requests", warmUp.requestsSent),
           field("duration_ms", TimeUnit.NANOSECONDS.toMillis(System.nanoTime() - startNanos)));
-      return warmUp.served;
+      return warmUp.attemptsAnswered;
     }
   }
 
@@ -130,7 +135,11 @@
         settings.rules());
   }
 
-  /** All known endpoints as ready and past their slow start, with this node's own address. */
+  /**
+   * Returns all known endpoints as ready and past their slow start. Their addresses are replaced by
+   * this node's listen address, which is never connected to: each endpoint gets an in-memory
+   * connection instead.
+   */
   private static List<EndpointEntry> readyEntries(NodeConfig nodeConfig) {
     List<EndpointEntry> entries = new ArrayList<>();
     for (EndpointEntry entry : nodeConfig.knownEndpoints().entries()) {
@@ -163,13 +172,13 @@
     for (int i = 0; i < REQUESTS_PER_ROUND; i++) {
       if (!inProgress) {
         inProgress = true;
-        client.writeInbound(toBuffer(request(sent++)));
+        client.writeInbound(toBuffer(request(requestsSent++)));
       }
       for (EmbeddedChannel server : servers) {
         if (!server.outboundMessages().isEmpty()) {
           server.releaseOutbound();
           server.writeInbound(toBuffer(RESPONSE));
-          served++;
+          attemptsAnswered++;
         }
       }
       inProgress = client.outboundMessages().isEmpty();
@@ -177,6 +186,10 @@
     }
   }
 
+  /**
+   * Returns a request as it is received from a client. The request class changes with each number
+   * and the plan with every second one, so that two classes are combined with all plans.
+   */
   private String request(int number) {
     int classIndex = number % config.names().requestClasses().size();
     RequestClass classSettings = config.settings().requestClasses().get(classIndex);
--- a/edge/src/main/java/edgegateway/node/clients/ClientSession.java
+++ b/edge/src/main/java/edgegateway/node/clients/ClientSession.java
@@ -112,7 +112,7 @@
       receive(message);
     } else {
       pipelined.add(ReferenceCountUtil.retain(message));
-      if (updateReadAhead()) {
+      if (updateAndCheckReadAheadFull()) {
         stopReading();
       }
     }
@@ -125,11 +125,11 @@
   /**
    * Updates the bytes of queued messages that are counted as buffered.
    *
-   * @return whether the connection should not be read any further
+   * @return true if the connection must not be read any further; false if reading may continue
    */
-  boolean updateReadAhead() {
+  boolean updateAndCheckReadAheadFull() {
     long customer = current == null ? BufferedBodies.UNKNOWN_CUSTOMER : current.request.customer();
-    return pipelined.updateReadAhead(customer);
+    return pipelined.updateAndCheckReadAheadFull(customer);
   }
 
   /** Stops reading the connection; while it is not read, no close or reset is detected. */
@@ -424,7 +424,7 @@
         ReferenceCountUtil.release(message);
       }
     }
-    if (!updateReadAhead() && !isForwardingUpload()) {
+    if (!updateAndCheckReadAheadFull() && !isForwardingUpload()) {
       channel.config().setAutoRead(true);
     }
     if (current == null && pipelined.isEmpty() && inputEnded && !closing) {
--- a/edge/src/main/java/edgegateway/node/clients/ConnectionPersistence.java
+++ b/edge/src/main/java/edgegateway/node/clients/ConnectionPersistence.java
@@ -18,7 +18,10 @@
   private boolean headMethod;
   private boolean closeAnnounced;
 
-  /** Takes over the version, method and headers of a new request. */
+  /**
+   * Records of a new request whether the client wants to keep the connection, whether the version
+   * is HTTP/1.0 and whether the method is HEAD.
+   */
   void requestReceived(HttpRequest request) {
     keepAlive = HttpUtil.isKeepAlive(request);
     http10 = !request.protocolVersion().isKeepAliveDefault();
@@ -30,7 +33,10 @@
     keepAlive = false;
   }
 
-  /** Whether the client supports neither chunked encoding nor 1xx responses. */
+  /**
+   * Whether the request's version is HTTP/1.0, whose clients support neither chunked encoding nor
+   * 1xx responses.
+   */
   boolean isHttp10() {
     return http10;
   }
@@ -43,7 +49,8 @@
   /**
    * Sets the {@code Connection} header of a response.
    *
-   * @param last whether the connection accepts no further request
+   * @param last true if this is the last response on the connection; false if the connection can
+   *     still accept requests
    */
   void announce(HttpHeaders headers, boolean last) {
     closeAnnounced = !keepAlive || last;
@@ -54,7 +61,7 @@
     }
   }
 
-  /** Whether the last response announced that the connection closes after it. */
+  /** Whether the most recent response announced that the connection is closed after it. */
   boolean isCloseAnnounced() {
     return closeAnnounced;
   }
--- a/edge/src/main/java/edgegateway/node/clients/PipelinedMessages.java
+++ b/edge/src/main/java/edgegateway/node/clients/PipelinedMessages.java
@@ -10,10 +10,10 @@
 import java.util.Map;
 
 /**
- * Queues the decoded messages of a connection that cannot be handled yet: pipelined requests after
- * the request in flight, and the chunks of a long body before its attempt begins. A connection must
- * be read to detect that its client disconnected; this class limits how far it is read ahead. Not
- * thread-safe: used on the event loop's thread only.
+ * Queues the decoded messages of a connection that cannot be handled yet: the chunks of a long body
+ * that is in flight but not being forwarded, and the heads and chunks of pipelined requests behind
+ * the request in flight. A connection must be read to detect that its client disconnected; this
+ * class limits how far it is read ahead. Not thread-safe: used on the event loop's thread only.
  */
 final class PipelinedMessages {
   /** A queue of up to this size is not counted as buffered. */
@@ -25,15 +25,17 @@
    */
   private static final int MAX_READ_AHEAD_BYTES = 128 * 1024;
 
-  /** Memory that each head, header and chunk of a body takes in addition to its content. */
+  /**
+   * Memory that each request head, header field and body chunk takes in addition to its content.
+   */
   private static final int OVERHEAD_BYTES = 128;
 
   private final BufferedBodies bufferedBodies;
   private final ArrayDeque<HttpObject> queue = new ArrayDeque<>();
   private int queuedBytes;
 
-  /** The account of the queue's buffered bytes; null while the queue is not counted. */
-  private BufferedBodies.Body bufferedBytes;
+  /** The account that the queue's bytes are counted in; null while the queue is not counted. */
+  private BufferedBodies.Body account;
 
   PipelinedMessages(BufferedBodies bufferedBodies) {
     this.bufferedBodies = bufferedBodies;
@@ -74,19 +76,21 @@
   /**
    * Updates the bytes that are counted as buffered for a customer to the queue's current size.
    *
-   * @return whether the connection should not be read any further
+   * @param customer the customer that the queue is counted for; used when the counting begins, and
+   *     ignored as long as the queue stays counted
+   * @return true if the connection must not be read any further; false if reading may continue
    */
-  boolean updateReadAhead(long customer) {
-    if (queuedBytes > MAX_UNCOUNTED_BYTES && bufferedBytes == null) {
-      bufferedBytes = bufferedBodies.newBody(customer);
-    } else if (queuedBytes <= MAX_UNCOUNTED_BYTES && bufferedBytes != null) {
-      bufferedBytes.release();
-      bufferedBytes = null;
+  boolean updateAndCheckReadAheadFull(long customer) {
+    if (queuedBytes > MAX_UNCOUNTED_BYTES && account == null) {
+      account = bufferedBodies.newBody(customer);
+    } else if (queuedBytes <= MAX_UNCOUNTED_BYTES && account != null) {
+      account.release();
+      account = null;
     }
-    if (bufferedBytes == null) {
+    if (account == null) {
       return false;
     }
-    bufferedBytes.resize(queuedBytes);
+    account.resize(queuedBytes);
     return queuedBytes > MAX_READ_AHEAD_BYTES || !bufferedBodies.isLessThanHalfUsed();
   }
 
@@ -95,10 +99,10 @@
     while (!queue.isEmpty()) {
       ReferenceCountUtil.release(poll());
     }
-    updateReadAhead(BufferedBodies.UNKNOWN_CUSTOMER);
+    updateAndCheckReadAheadFull(BufferedBodies.UNKNOWN_CUSTOMER);
   }
 
-  /** The content length of a chunk of a body in bytes; 0 for a head. */
+  /** The content length of a body chunk in bytes; 0 for a request head. */
   static int contentBytes(HttpObject message) {
     return message instanceof HttpContent content ? content.content().readableBytes() : 0;
   }
--- a/edge/src/main/java/edgegateway/node/clients/RequestBodyUpload.java
+++ b/edge/src/main/java/edgegateway/node/clients/RequestBodyUpload.java
@@ -102,7 +102,7 @@
         ReferenceCountUtil.release(message);
       }
     }
-    session.updateReadAhead();
+    session.updateAndCheckReadAheadFull();
   }
 
   /** Forwards a message of the body; the caller keeps ownership of its reference. */
--- a/edge/src/main/java/edgegateway/node/discovery/DiscoveryOutageLog.java
+++ b/edge/src/main/java/edgegateway/node/discovery/DiscoveryOutageLog.java
@@ -11,8 +11,8 @@
 
 /**
  * Logs the start and the end of a discovery outage, and its duration so far after 6 s and each time
- * that doubles. Failed watches are not logged one by one here, because they are retried many times
- * during an outage. Not thread-safe: used on the event loop only.
+ * the duration has doubled. Failed watches are not logged one by one here, because they are retried
+ * many times during an outage. Not thread-safe: used on the event loop only.
  */
 final class DiscoveryOutageLog {
   /** The values that are logged beside the duration of an outage. */
@@ -58,7 +58,7 @@
 
   /**
    * An event was accepted. Must be called before {@link NodeMetrics#discoveryMessageReceived},
-   * because it logs the time since the event before.
+   * because this method logs the time since the previous event.
    */
   void eventReceived() {
     if (outageInProgress) {
--- a/edge/src/main/java/edgegateway/node/discovery/WatchHandler.java
+++ b/edge/src/main/java/edgegateway/node/discovery/WatchHandler.java
@@ -22,8 +22,8 @@
 
 /**
  * Last handler in the pipeline of a watch's connection. Sends the request and turns the response
- * into events: it consists of JSON objects, with an empty line every 2 s as a keep-alive. Closes
- * the connection when the response ends, is an error or is malformed.
+ * into events. The body of the response consists of JSON objects, with an empty line every 2 s as a
+ * keep-alive. Closes the connection when the response ends, is an error or is malformed.
  */
 final class WatchHandler extends SimpleChannelInboundHandler<HttpObject> {
   private static final EventLog LOG = EventLog.console();
@@ -59,9 +59,8 @@
 
   @Override
   protected void channelRead0(ChannelHandlerContext context, HttpObject part) {
-    // After a close, the remaining parts of the same read still arrive. They are dropped: the body
-    // of
-    // an error response is not a list.
+    // After a close, the remaining parts of the same read still arrive. They are dropped, because
+    // the body of an error response is not an endpoint list.
     ended |= !watch.isOpen() || part.decoderResult().isFailure() || isErrorResponse(part);
     if (!ended && part instanceof HttpContent content) {
       objects.append(ByteBufUtil.getBytes(content.content()));
--- a/edge/src/main/java/edgegateway/node/discovery/WatchScheduler.java
+++ b/edge/src/main/java/edgegateway/node/discovery/WatchScheduler.java
@@ -5,7 +5,7 @@
 import java.util.SplittableRandom;
 
 /**
- * Decides when a new watch is opened and which watch's events are accepted. It does no I/O, and the
+ * Decides when a new watch is opened and which watch's events are accepted. Does no I/O; the
  * current time is passed in, in nanoseconds. Not thread-safe.
  *
  * <p>A node must know a change within 6 s after discovery has it and is reachable, whatever failed
--- a/edge/src/main/java/edgegateway/node/operators/OperatorCall.java
+++ b/edge/src/main/java/edgegateway/node/operators/OperatorCall.java
@@ -1,6 +1,10 @@
 package edgegateway.node.operators;
 
-/** Calls of the operators' line protocol. Their keywords and answers must not change. */
+/**
+ * A call of the operators' line protocol, sent as one line with a keyword and its arguments. A call
+ * is either a query, which reads the node's state ({@link #CHECK}, {@link #VARS} and {@link
+ * #ZONES}), or a command, which changes it (all others). Keywords and answers must not change.
+ */
 enum OperatorCall {
   /** Reports whether the node accepts clients. */
   CHECK("check", false),
@@ -33,7 +37,7 @@
     this.takesName = takesName;
   }
 
-  /** Returns the call for a keyword; null if there is none. */
+  /** Returns the call with this keyword; null if there is none. */
   static OperatorCall of(String keyword) {
     for (OperatorCall call : ALL) {
       if (call.keyword.equals(keyword)) {
--- a/edge/src/main/java/edgegateway/node/operators/OperatorCallHandler.java
+++ b/edge/src/main/java/edgegateway/node/operators/OperatorCallHandler.java
@@ -3,7 +3,10 @@
 import java.util.concurrent.CompletableFuture;
 import java.util.regex.Pattern;
 
-/** Parses a line from an operator, executes the call and formats the answer. Thread-safe. */
+/**
+ * Parses the line of an operator's call, executes the query or command at the node and formats the
+ * answer. Thread-safe.
+ */
 final class OperatorCallHandler {
   private static final String ACK = "ACK\n";
   private static final String NAK_PREFIX = "NAK ";
@@ -20,7 +23,10 @@
     this.node = node;
   }
 
-  /** Returns the complete answer to a line, with a final newline, once the call was executed. */
+  /**
+   * Executes the call in a line. The future completes with the whole answer, which ends with a
+   * newline.
+   */
   CompletableFuture<String> answer(String line) {
     String[] words = WHITE_SPACE.split(line.strip());
     OperatorCall call = OperatorCall.of(words[0]);
--- a/edge/src/main/java/edgegateway/node/operators/OperatorCommands.java
+++ b/edge/src/main/java/edgegateway/node/operators/OperatorCommands.java
@@ -3,8 +3,9 @@
 import java.util.concurrent.CompletableFuture;
 
 /**
- * The queries and commands that a node offers to operators. All methods are thread-safe. The future
- * of a command completes with null on success and otherwise with the reason of the failure.
+ * What a node provides for the operators' calls: queries, which read its state, and commands, which
+ * change it ({@link OperatorCall}). All methods are thread-safe. The future of a command completes
+ * with null on success and otherwise with the reason of the failure.
  */
 public interface OperatorCommands {
   /**
--- a/edge/src/main/java/edgegateway/node/operators/OperatorServer.java
+++ b/edge/src/main/java/edgegateway/node/operators/OperatorServer.java
@@ -20,10 +20,10 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * Accepts operators' connections. Each connection carries one line with a call and its answer, and
- * is then closed. A separate event loop keeps answers from being delayed by a busy client loop:
- * metrics are read on the thread of this server, and only commands and the zone report are passed
- * to the client loop.
+ * Accepts operators' connections. Each connection carries one call, which is a line of text, and
+ * its answer, and is then closed. A separate event loop keeps answers from being delayed by a busy
+ * client loop: metrics are read on the thread of this server, and only commands and the zone report
+ * are passed to the client loop.
  */
 public final class OperatorServer implements AutoCloseable {
   private static final int MAX_LINE_BYTES = 512;
@@ -117,7 +117,7 @@
 
     @Override
     public void exceptionCaught(ChannelHandlerContext context, Throwable cause) {
-      // The line was too long or the client closed the connection.
+      // The line was too long or the operator closed the connection.
       if (answering) {
         context.close();
       } else {
--- a/edge/src/main/java/edgegateway/node/upstream/UpstreamAttempt.java
+++ b/edge/src/main/java/edgegateway/node/upstream/UpstreamAttempt.java
@@ -12,11 +12,11 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * One attempt to send a request to an archive server. An attempt waits for a connection, is written
- * to it, and ends exactly once: with a response, at its timeout, when its connection is lost, or
- * because it is cancelled. The {@link UpstreamContext#listener} is told of its end or, if a long
- * response is streamed to the client, of the start of that response. Not thread-safe: used on the
- * event loop's thread only.
+ * One attempt to send a request to an archive server. An attempt waits for a connection, writes the
+ * request to the connection, and ends exactly once: with a response, at the attempt's timeout, when
+ * the connection is lost, or by cancellation. The {@link UpstreamContext#listener} is notified of
+ * the attempt's end or, if a long response is streamed to the client, of the start of that
+ * response. Not thread-safe: used on the event loop's thread only.
  */
 final class UpstreamAttempt implements ConnectionWaiter {
   /**
@@ -45,8 +45,8 @@
   private long sentAtNanos = System.nanoTime();
 
   /**
-   * Whether a long response is being streamed to the client. The listener was told when it started,
-   * so the end is not reported.
+   * Whether a long response is being streamed to the client. The listener was notified when the
+   * streaming started, so the attempt's end is not reported.
    */
   private boolean responseStreaming;
 
@@ -143,8 +143,8 @@
   public void connectionReady(UpstreamConnection ready) {
     boolean tooLate = System.nanoTime() - writeDeadlineNanos >= 0;
     if (ready.upstream().isRetired() || tooLate) {
-      // A retired endpoint must not get new requests. It is too late after a stall of the event
-      // loop, or if the timeout is due next.
+      // A retired endpoint must not get new requests. The write deadline has passed if the event
+      // loop stalled, or if the attempt's timeout is due next.
       end(Outcome.NOT_SENT, 0, null);
       ready.release(System.nanoTime());
     } else if (clientChecks < MAX_CLIENT_CHECKS && !request.wouldHaveSeenClientDisconnect()) {
@@ -203,7 +203,7 @@
 
   /**
    * Called when the rest of a long body cannot be forwarded. Ends the attempt only if the request
-   * already has a response; otherwise the caller reports the lost connection next.
+   * already has a response; otherwise the caller ends the attempt by {@link #connectionLost} next.
    */
   void uploadFailed() {
     if (request.responseClaimed) {
--- a/edge/src/main/java/edgegateway/node/upstream/UpstreamConnectionHandler.java
+++ b/edge/src/main/java/edgegateway/node/upstream/UpstreamConnectionHandler.java
@@ -20,8 +20,8 @@
 /**
  * Last channel handler of a connection to an archive server: writes the request of one attempt at a
  * time and receives the response. A short body is buffered, so that another attempt can still
- * replace this one; a long body is streamed to the client. Data that cannot be a response to the
- * attempt closes the connection.
+ * replace the current one; a long body is streamed to the client. Data that cannot be a response to
+ * the attempt closes the connection.
  */
 final class UpstreamConnectionHandler extends SimpleChannelInboundHandler<HttpObject>
     implements TransportHandle {
@@ -170,8 +170,8 @@
   }
 
   /**
-   * Starts to stream the response to the client. From then on, no other attempt can replace this
-   * one.
+   * Starts to stream the response to the client. From then on, no other attempt can replace the
+   * current one.
    *
    * @param contentLength the declared length of the body in bytes; -1 if there is none
    */
--- a/edge/src/main/java/edgegateway/node/upstream/UpstreamContext.java
+++ b/edge/src/main/java/edgegateway/node/upstream/UpstreamContext.java
@@ -6,7 +6,7 @@
 import edgegateway.node.requests.BodyRelay;
 import io.netty.channel.EventLoop;
 
-/** Objects that all attempts and all connections to archive servers of a node share. */
+/** Objects shared by all upstream attempts and connections of a node. */
 record UpstreamContext(
     AttemptListener listener,
     EventLoop loop,
--- a/edge/src/test/java/edgegateway/node/clients/PipelinedMessagesTest.java
+++ b/edge/src/test/java/edgegateway/node/clients/PipelinedMessagesTest.java
@@ -63,7 +63,7 @@
   @Test
   void countsNothingUpToTheThreshold() {
     messages.add(chunk(4 * 1024 - OVERHEAD_BYTES));
-    assertFalse(messages.updateReadAhead(CUSTOMER));
+    assertFalse(messages.updateAndCheckReadAheadFull(CUSTOMER));
     assertEquals(0, bufferedBytes());
   }
 
@@ -71,11 +71,11 @@
   void countsAllBytesAboveTheThresholdAndNoneOnceTheQueueIsEmpty() {
     messages.add(chunk(4 * 1024));
     assertFalse(
-        messages.updateReadAhead(CUSTOMER),
+        messages.updateAndCheckReadAheadFull(CUSTOMER),
         "reading continues while more than half of the capacity is free");
     assertEquals(4 * 1024 + OVERHEAD_BYTES, bufferedBytes());
     ReferenceCountUtil.release(messages.poll());
-    assertFalse(messages.updateReadAhead(CUSTOMER));
+    assertFalse(messages.updateAndCheckReadAheadFull(CUSTOMER));
     assertEquals(0, bufferedBytes());
   }
 
@@ -84,7 +84,7 @@
     HttpRequest head = new DefaultHttpRequest(HttpVersion.HTTP_1_1, HttpMethod.GET, "/api");
     head.headers().set("Name", "x".repeat(4 * 1024));
     messages.add(head);
-    messages.updateReadAhead(CUSTOMER);
+    messages.updateAndCheckReadAheadFull(CUSTOMER);
     assertEquals(
         2 * OVERHEAD_BYTES + "/api".length() + "Name".length() + 4 * 1024, bufferedBytes());
   }
@@ -92,9 +92,9 @@
   @Test
   void stopsReadingAboveTheReadAheadLimit() {
     messages.add(chunk(128 * 1024 - OVERHEAD_BYTES));
-    assertFalse(messages.updateReadAhead(CUSTOMER));
+    assertFalse(messages.updateAndCheckReadAheadFull(CUSTOMER));
     messages.add(chunk(0));
-    assertTrue(messages.updateReadAhead(CUSTOMER));
+    assertTrue(messages.updateAndCheckReadAheadFull(CUSTOMER));
   }
 
   @Test
@@ -102,17 +102,17 @@
     bufferedBodies.newBody(8).resize(CAPACITY_BYTES / 2);
     messages.add(chunk(1_024));
     assertFalse(
-        messages.updateReadAhead(CUSTOMER),
+        messages.updateAndCheckReadAheadFull(CUSTOMER),
         "a queue below the counting threshold never stops reading");
     messages.add(chunk(4 * 1024));
-    assertTrue(messages.updateReadAhead(CUSTOMER));
+    assertTrue(messages.updateAndCheckReadAheadFull(CUSTOMER));
   }
 
   @Test
   void releasesAllQueuedMessages() {
     HttpContent chunk = chunk(8 * 1024);
     messages.add(chunk);
-    messages.updateReadAhead(CUSTOMER);
+    messages.updateAndCheckReadAheadFull(CUSTOMER);
     messages.release();
     assertEquals(0, chunk.refCnt());
     assertEquals(0, bufferedBytes());
--- a/edge/src/test/java/edgegateway/node/operators/OperatorCallHandlerTest.java
+++ b/edge/src/test/java/edgegateway/node/operators/OperatorCallHandlerTest.java
@@ -7,7 +7,10 @@
 import java.util.concurrent.CompletableFuture;
 import org.junit.jupiter.api.Test;
 
-/** The commands that operators' lines execute at the node, and the answers to them. */
+/**
+ * Tests which command at the node each operators' call executes, and the answers to commands,
+ * queries and invalid calls.
+ */
 class OperatorCallHandlerTest {
   private final FakeNode node = new FakeNode();
   private final OperatorCallHandler handler = new OperatorCallHandler(node);
@@ -16,7 +19,7 @@
     private final List<String> commands = new ArrayList<>();
     private boolean ready = true;
 
-    /** Result of all commands; null for success. */
+    /** The reason with which all commands fail; null if they succeed. */
     private String failureReason;
 
     private CompletableFuture<String> record(String command) {
