--- a/edge/src/main/java/edgegateway/node/clients/ClientSessionContext.java
+++ b/edge/src/main/java/edgegateway/node/clients/ClientSessionContext.java
@@ -40,7 +40,7 @@
     /** A connection was opened, whether or not the connection table accepted it. */
     void connectionOpened();
 
-    /** A connection left the connection table by its close, which frees a slot for another one. */
+    /** A connection was closed and removed from the connection table, which frees a slot. */
     void connectionRemoved();
 
     /** A session ended, whether or not its connection was in the connection table. */
--- a/edge/src/main/java/edgegateway/node/clients/RequestBodyUpload.java
+++ b/edge/src/main/java/edgegateway/node/clients/RequestBodyUpload.java
@@ -10,8 +10,8 @@
 import io.netty.util.ReferenceCountUtil;
 
 /**
- * Streams the part of a long request body that follows its buffered beginning. It is forwarded
- * while it is received, and is not kept, so that it can be forwarded in a single attempt only. Not
+ * Streams the part of a long request body that follows its buffered beginning. That part is
+ * forwarded while it is received and is not kept, so only a single attempt can forward it. Not
  * thread-safe: used on the event loop's thread only.
  */
 final class RequestBodyUpload implements InFlightRequest.BodyUpload {
--- a/edge/src/main/java/edgegateway/node/clients/ResponseSender.java
+++ b/edge/src/main/java/edgegateway/node/clients/ResponseSender.java
@@ -51,7 +51,7 @@
   /**
    * Writes a complete response.
    *
-   * @param body the sender takes ownership of it
+   * @param body the body; this sender takes ownership of it
    * @param retryAfterNanos value of the Retry-After header; 0 to send none
    * @return completes when the response is written
    */
